--- /dev/null
+++ b/node/src/test/java/tulipshed/decision/PolicyFilesTest.java
@@ -0,0 +1,134 @@
+package tulipshed.decision;
+
+import static com.tngtech.archunit.base.DescribedPredicate.describe;
+import static com.tngtech.archunit.core.domain.JavaCall.Predicates.target;
+import static com.tngtech.archunit.core.domain.properties.HasName.Predicates.name;
+import static com.tngtech.archunit.core.domain.properties.HasOwner.Predicates.With.owner;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.tngtech.archunit.base.DescribedPredicate;
+import com.tngtech.archunit.core.domain.JavaClass;
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+
+/** Each class of the decision module that takes a decision is named under {@code policy} in the deployment file. */
+class PolicyFilesTest {
+    private static final Path REPOSITORY = Path.of("..");
+    private static final Pattern POLICY_LINE = Pattern.compile("(?m)^policy = \\[(.*)]$");
+    private static final Pattern QUOTED = Pattern.compile("\"([^\"]*)\"");
+
+    /** The classes that hold state, count or wire and decide nothing; the rules below hold them to that. */
+    private static final Set<String> TYPES_WITHOUT_DECISIONS = Set.of(
+            "ActiveSettings",
+            "BalancerApi",
+            "BalancerParts",
+            "ConnectionGroup",
+            "DecayingCounter",
+            "EndpointPool",
+            "EndpointPools",
+            "EndpointState",
+            "EndpointTable",
+            "Hashing",
+            "IdleConnection",
+            "IndexedSet",
+            "MachineType",
+            "MovingAverages",
+            "RejectionLog",
+            "RequestState",
+            "RequestTable");
+
+    private final JavaClasses classes = new ClassFileImporter()
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("tulipshed.decision");
+
+    @Test
+    void eachClassIsNamedAsPolicyOrHeldToDecideNothing() throws IOException {
+        Set<String> accounted = new TreeSet<>(policyTypes());
+        accounted.addAll(TYPES_WITHOUT_DECISIONS);
+        assertEquals(accounted, topLevelTypes());
+    }
+
+    @Test
+    void noClassIsBoth() throws IOException {
+        Set<String> both = new TreeSet<>(policyTypes());
+        both.retainAll(TYPES_WITHOUT_DECISIONS);
+        assertEquals(Set.of(), both);
+    }
+
+    @Test
+    void policyNamesFilesThatExist() throws IOException {
+        for (String file : policyFiles()) {
+            assertTrue(Files.isRegularFile(REPOSITORY.resolve(file)), file);
+        }
+    }
+
+    @Test
+    void onlyPolicyClassesActOnTheirDecisions() {
+        noClasses()
+                .that(decideNothing())
+                .should()
+                .callMethodWhere(target(owner(describe(
+                                "the actions of the balancer", type -> type.isEquivalentTo(BalancerApi.Actions.class))))
+                        .and(DescribedPredicate.not(target(name("log")))))
+                .check(classes);
+    }
+
+    @Test
+    void onlyPolicyClassesDrawRandomNumbersOrReadTheRulesOfTheSettings() {
+        noClasses()
+                .that(decideNothing())
+                .and(describe(
+                        "do not wire the parts", type -> !type.getSimpleName().equals("BalancerParts")))
+                .should()
+                .dependOnClassesThat()
+                .belongToAnyOf(java.util.SplittableRandom.class, BalancerApi.ProtocolRules.class)
+                .check(classes);
+    }
+
+    private static DescribedPredicate<JavaClass> decideNothing() {
+        return describe(
+                "are not named as policy",
+                type -> TYPES_WITHOUT_DECISIONS.contains(topLevel(type).getSimpleName())
+                        && !topLevel(type).getSimpleName().equals("BalancerApi"));
+    }
+
+    private Set<String> topLevelTypes() {
+        return classes.stream()
+                .map(PolicyFilesTest::topLevel)
+                .map(JavaClass::getSimpleName)
+                .filter(name -> !name.equals("package-info"))
+                .collect(Collectors.toCollection(TreeSet::new));
+    }
+
+    private static JavaClass topLevel(JavaClass type) {
+        return type.getEnclosingClass().map(PolicyFilesTest::topLevel).orElse(type);
+    }
+
+    private static Set<String> policyTypes() throws IOException {
+        return policyFiles().stream()
+                .map(file -> Path.of(file).getFileName().toString().replace(".java", ""))
+                .collect(Collectors.toCollection(TreeSet::new));
+    }
+
+    private static Set<String> policyFiles() throws IOException {
+        String deployment = Files.readString(REPOSITORY.resolve("deploy/balancer.toml"));
+        Matcher line = POLICY_LINE.matcher(deployment);
+        assertTrue(line.find(), "deploy/balancer.toml names no policy files");
+        return QUOTED.matcher(line.group(1))
+                .results()
+                .map(found -> found.group(1))
+                .collect(Collectors.toSet());
+    }
+}
