--- /dev/null
+++ b/node/src/main/java/tulipshed/time/WallTime.java
@@ -0,0 +1,16 @@
+package tulipshed.time;
+
+/**
+ * A point in time as a machine's wall clock shows it. Wall clocks of two machines differ, and any of them may step either
+ * way at any moment, so the difference of two wall times is no measure of the time that passed unless one clock showed
+ * both and did not step. What a node decides rests on {@link Clock}, which is a type of its own for that reason.
+ *
+ * @param epochMs milliseconds since the Unix epoch
+ */
+public record WallTime(long epochMs) {
+    /** How much later this is than another time, in milliseconds; negative where it is earlier. */
+    public double millisAfter(WallTime other) {
+        // As longs, the difference of two arbitrary times may overflow.
+        return (double) epochMs - (double) other.epochMs;
+    }
+}
