--- a/lab/src/main/java/tulipshed/lab/load/LoadRun.java
+++ b/lab/src/main/java/tulipshed/lab/load/LoadRun.java
@@ -28,6 +28,7 @@
 import tulipshed.lab.policy.Try;
 import tulipshed.lab.scenario.Scenario;
 import tulipshed.lab.scenario.ScenarioReader;
+import tulipshed.time.SystemWallClock;
 
 /**
  * A scenario with real nodes: each a process, with the world's clients, members and discovery on loopback sockets. The
@@ -206,8 +207,9 @@
 
     private void news(MemberNews n) {
         var e = n.listed().info();
-        long startedMs =
-                e.startedUs() == 0 ? 0 : System.currentTimeMillis() - Math.round(nowMs() - e.startedUs() / 1000.0);
+        long startedMs = e.startedUs() == 0
+                ? 0
+                : new SystemWallClock().now().epochMs() - Math.round(nowMs() - e.startedUs() / 1000.0);
         String state =
                 e.status() == EndpointStatus.REMOVED ? "DELETED" : e.status().name();
         for (int d = 0; d < discoveries.size(); d++) {
--- a/node/src/main/java/tulipshed/cli/NodeAssembly.java
+++ b/node/src/main/java/tulipshed/cli/NodeAssembly.java
@@ -5,7 +5,6 @@
 import org.jboss.logging.Logger;
 import tulipshed.config.NodeConfig;
 import tulipshed.decision.Balancer;
-import tulipshed.decision.BalancerApi.EndpointListKind;
 import tulipshed.discovery.EndpointListUpdate;
 import tulipshed.discovery.EndpointWatch;
 import tulipshed.lineprotocol.LineProtocolFrontend;
@@ -17,9 +16,6 @@
 
 /** Builds the components of a node in the order in which they depend on each other. Runs on the event-loop thread. */
 final class NodeAssembly {
-    /** The version to watch from when no endpoint list is cached. */
-    private static final long NO_VERSION = 0;
-
     private final NodeOptions options;
     private final NodeConfig config;
     private final XnioEventLoop loop;
@@ -49,13 +45,12 @@
                 options.log(),
                 Balancer::new);
         Optional<ManagementServer> management = openManagement(core);
-        long cachedVersion = loadCachedEndpoints(core);
+        EndpointWatch watch = createWatch(core);
         Router router = options.operators().router();
         if (router != null) {
             core.useRouter(router);
         }
         core.hotRestartPeer(options.hotRestart());
-        EndpointWatch watch = createWatch(core, cachedVersion);
         LineProtocolFrontend frontend = createFrontend(core, router);
         PeerMessaging peers = new PeerMessaging(options, loop, core);
         peers.configure(config);
@@ -73,19 +68,13 @@
         return Optional.of(management);
     }
 
-    /** Passes the cached endpoint list to the core and returns its version. */
-    private long loadCachedEndpoints(ProxyCore core) {
-        if (config.cachedEndpoints().isEmpty()) {
-            return NO_VERSION;
-        }
-        EndpointListUpdate cached = EndpointListUpdate.read(config.cachedEndpoints());
-        core.endpointsChanged(EndpointListKind.CACHED, cached.entries());
-        return cached.version();
-    }
-
-    private EndpointWatch createWatch(ProxyCore core, long cachedVersion) {
+    /** Creates the watch, which passes the cached endpoint list to the core. */
+    private EndpointWatch createWatch(ProxyCore core) {
         EndpointWatch watch =
-                new EndpointWatch(config.discovery(), options.limits(), loop, core, cachedVersion, options.log());
+                new EndpointWatch(config.discovery(), options.limits(), loop, core, options.clock(), options.log());
+        if (!config.cachedEndpoints().isEmpty()) {
+            watch.startFromCachedList(EndpointListUpdate.read(config.cachedEndpoints()));
+        }
         core.endpointListSource(watch);
         return watch;
     }
--- a/node/src/main/java/tulipshed/discovery/EndpointListCursor.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointListCursor.java
@@ -11,9 +11,9 @@
     private boolean fullListRequired;
     private boolean catchUpRequired;
 
-    /** A cursor at a version that is known already; 0 where none is. */
-    EndpointListCursor(long version) {
-        this.version = version;
+    /** The version of the list received last; 0 where none is known. */
+    long version() {
+        return version;
     }
 
     /** The next request asks for the full list, which discovery returns at once. */
@@ -35,7 +35,7 @@
         return new ListRequest(LIST_PATH + "?index=" + version + "&wait=" + (long) waitMs, waitMs);
     }
 
-    /** Moves on to the version of a list that was received. */
+    /** Moves on to the version of a list that was received, or was known before. */
     void advance(EndpointListUpdate update) {
         // Changes that lead back to an older version do not show what the list contains at that version.
         fullListRequired = !fullListRequired && !update.full() && update.version() < version;
--- a/node/src/main/java/tulipshed/discovery/EndpointListUpdate.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointListUpdate.java
@@ -5,10 +5,8 @@
 import java.util.Map;
 import tulipshed.config.MalformedInputException;
 import tulipshed.config.NodeConfig;
-import tulipshed.decision.BalancerApi.EndpointInfo;
 import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.proxy.EndpointListEntry;
-import tulipshed.time.Clock;
+import tulipshed.time.WallTime;
 
 /**
  * Discovery's endpoint list, or the changes to it.
@@ -17,12 +15,13 @@
  * @param full whether the entries are the full list rather than the changes since the version requested
  * @param entries the endpoints, or the changed ones among them
  */
-public record EndpointListUpdate(long version, boolean full, List<EndpointListEntry> entries) {
+public record EndpointListUpdate(long version, boolean full, List<ListedEndpoint> entries) {
     private static final double DEFAULT_WEIGHT = 1;
 
     /**
      * Reads discovery's JSON form, whose field names differ from those of the code: {@code servers} are the entries, and of
-     * an entry {@code addr} is the address, {@code state} the status and {@code kind} the machine type.
+     * an entry {@code addr} is the address, {@code state} the status, {@code kind} the machine type and {@code started_ms}
+     * the start.
      *
      * @throws MalformedInputException if it is not of that form; the message says what is wrong
      */
@@ -30,7 +29,7 @@
         if (!(json.get("version") instanceof Double version) || !(json.get("servers") instanceof List<?> servers)) {
             throw new MalformedInputException("a list without version or servers");
         }
-        List<EndpointListEntry> entries = new ArrayList<>();
+        List<ListedEndpoint> entries = new ArrayList<>();
         for (Object server : servers) {
             if (!(server instanceof Map<?, ?> fields)) {
                 throw new MalformedInputException("a list entry that is not an object");
@@ -40,7 +39,7 @@
         return new EndpointListUpdate(version.longValue(), Boolean.TRUE.equals(json.get("full")), entries);
     }
 
-    private static EndpointListEntry readEntry(Map<?, ?> fields) {
+    private static ListedEndpoint readEntry(Map<?, ?> fields) {
         EndpointStatus status = readStatus(fields);
         if (!(fields.get("id") instanceof String id)) {
             throw new MalformedInputException("a list entry without id");
@@ -49,15 +48,15 @@
         if (address == null && status != EndpointStatus.REMOVED) {
             throw new MalformedInputException("a list entry without addr: " + id);
         }
-        EndpointInfo info = new EndpointInfo(
+        return new ListedEndpoint(
                 id,
                 status,
                 text(fields, "zone"),
                 (int) number(fields, "cell", 0),
                 text(fields, "kind"),
                 number(fields, "weight", DEFAULT_WEIGHT),
-                Clock.toMicros(number(fields, "started_ms", 0)));
-        return new EndpointListEntry(info, address == null ? null : NodeConfig.address("addr", address));
+                new WallTime(Math.round(number(fields, "started_ms", 0))),
+                address == null ? null : NodeConfig.address("addr", address));
     }
 
     private static EndpointStatus readStatus(Map<?, ?> fields) {
--- a/node/src/main/java/tulipshed/discovery/EndpointWatch.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointWatch.java
@@ -11,6 +11,7 @@
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.EndpointListSource;
 import tulipshed.proxy.ProxyCore;
+import tulipshed.time.Clock;
 import tulipshed.transport.XnioEventLoop;
 
 /**
@@ -27,7 +28,8 @@
     private final ProxyCore core;
     private final Logger log;
     private final DiscoveryClient client;
-    private final EndpointListCursor cursor;
+    private final EndpointListCursor cursor = new EndpointListCursor();
+    private final EndpointStartTimes startTimes;
     private DeliveryMode mode = DeliveryMode.POLLED;
     private Health health = Health.UNCONFIRMED;
     private boolean stopped;
@@ -41,21 +43,27 @@
     }
 
     /**
-     * A watch that makes no call before {@link #watch}.
+     * A watch that makes no call before {@link #watch}, and at first asks for what discovery has since version 0.
      *
      * @param discovery the address of discovery, or of its agent on the node's machine
-     * @param version the version of the list that the node has already; 0 for none
+     * @param clock the clock of the core
      */
     public EndpointWatch(
-            InetSocketAddress discovery, Limits limits, XnioEventLoop loop, ProxyCore core, long version, NodeLog log) {
+            InetSocketAddress discovery, Limits limits, XnioEventLoop loop, ProxyCore core, Clock clock, NodeLog log) {
         this.limits = limits;
         this.loop = loop;
         this.core = core;
         this.log = log.logger("discovery");
-        cursor = new EndpointListCursor(version);
+        startTimes = new EndpointStartTimes(clock);
         client = new DiscoveryClient(discovery, limits, loop, new CallListener());
     }
 
+    /** Passes the list that the node has already to the core, and goes on from its version; before the first call. */
+    public void startFromCachedList(EndpointListUpdate cached) {
+        cursor.advance(cached);
+        notifyCore(EndpointListKind.CACHED, cached);
+    }
+
     /** Starts a call unless one is in progress or the watch has stopped. */
     @Override
     public void watch() {
@@ -139,7 +147,7 @@
         }
         health = Health.WATCHING;
         cursor.advance(update);
-        core.endpointsChanged(update.full() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, update.entries());
+        notifyCore(update.full() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, update);
         if (mode == DeliveryMode.PUSHED_TO_AGENT && update.entries().isEmpty()) {
             // Agents may respond at once although nothing changed.
             loop.schedule(limits.discovery().agentPollIntervalMs(), this::watch);
@@ -148,6 +156,10 @@
         }
     }
 
+    private void notifyCore(EndpointListKind kind, EndpointListUpdate update) {
+        core.endpointsChanged(kind, startTimes.translate(kind, update.entries()));
+    }
+
     private void callFailed(ListRequest request, CallFailure failure) {
         if (failure.isResponseTimeout() && request.isLongPoll() && mode == DeliveryMode.POLLED) {
             reopen(failure);
--- a/node/src/main/java/tulipshed/discovery/package-info.java
+++ b/node/src/main/java/tulipshed/discovery/package-info.java
@@ -3,6 +3,7 @@
  * proxy core.
  *
  * <p>{@link tulipshed.discovery.EndpointWatch} decides when to call and what a failure means, {@code DiscoveryClient}
- * makes one HTTP call at a time, and {@code EndpointListCursor} tracks the version of the list.
+ * makes one HTTP call at a time, {@code EndpointListCursor} tracks the version of the list, and {@link
+ * tulipshed.discovery.EndpointStartTimes} translates the starts in a list into the node's own time.
  */
 package tulipshed.discovery;
--- a/node/src/main/java/tulipshed/routing/MemberSchema.java
+++ b/node/src/main/java/tulipshed/routing/MemberSchema.java
@@ -26,7 +26,7 @@
         return schema;
     }
 
-    /** Puts one member into a frame; false where its texts are too long. */
+    /** Puts one member into a frame, its age by the clock of its start; false where its texts are too long. */
     boolean fill(Frame f, EndpointInfo e, double nowMs) {
         if (e.id().length() > LONGEST
                 || e.zone().length() > LONGEST
--- a/node/src/main/java/tulipshed/time/Clock.java
+++ b/node/src/main/java/tulipshed/time/Clock.java
@@ -1,14 +1,15 @@
 package tulipshed.time;
 
 /**
- * A source of time. Times are milliseconds since the Unix epoch, with fractions. The decision module counts in integral
+ * A source of monotonic time, for spans: milliseconds, with fractions, since an origin that has no meaning outside this
+ * clock. It says nothing of the time of day, which is {@link WallClock}'s. The decision module counts in integral
  * microseconds, and settings and the simulator in seconds; the conversions are here.
  */
 public interface Clock {
     /** How many microseconds a second has. */
     double MICROS_PER_SECOND = 1e6;
 
-    /** The present time in milliseconds since the Unix epoch; never less than at an earlier call. */
+    /** The present time in milliseconds; never less than at an earlier call. */
     double nowMs();
 
     /** Milliseconds as microseconds, rounded. */
--- a/node/src/main/java/tulipshed/time/ManualClock.java
+++ b/node/src/main/java/tulipshed/time/ManualClock.java
@@ -4,7 +4,7 @@
 public final class ManualClock implements Clock {
     private double nowMs;
 
-    /** Creates a clock that shows this time, in milliseconds since the Unix epoch. */
+    /** Creates a clock that shows this time, in milliseconds. */
     public ManualClock(double nowMs) {
         this.nowMs = nowMs;
     }
--- a/node/src/test/java/tulipshed/discovery/DiscoveryResponseParsingTest.java
+++ b/node/src/test/java/tulipshed/discovery/DiscoveryResponseParsingTest.java
@@ -15,6 +15,7 @@
 import tulipshed.config.MalformedInputException;
 import tulipshed.decision.BalancerApi.EndpointStatus;
 import tulipshed.testing.InputFuzzer;
+import tulipshed.time.WallTime;
 
 /** The parsers of discovery's HTTP responses and of the lists in them. */
 class DiscoveryResponseParsingTest {
@@ -40,8 +41,8 @@
         assertEquals(LIST_JSON, new String(parser.body(), StandardCharsets.ISO_8859_1));
         EndpointListUpdate list = EndpointListUpdate.read(JsonValues.object(parser.body()));
         assertEquals(43, list.version());
-        assertEquals(EndpointStatus.DRAINING, list.entries().get(0).info().status());
-        assertEquals(5_000, list.entries().get(0).info().startedUs());
+        assertEquals(EndpointStatus.DRAINING, list.entries().get(0).status());
+        assertEquals(new WallTime(5), list.entries().get(0).started());
     }
 
     @Property(tries = 500, seed = "22")
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
@@ -36,13 +36,19 @@
 
     private static final String ENTRY = "{\"id\":\"s-5\",\"addr\":\"127.0.0.1:9\",\"state\":\"SERVING\"}";
 
-    /** For each list: its kind and the number of its entries. */
+    /** For each list that discovery gave, and each failure to: its kind and the number of its entries. */
     final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
 
+    /** For each entry of these lists: the age of the endpoint as the decision module knows it, in microseconds. */
+    final BlockingQueue<Long> agesUs = new LinkedBlockingQueue<>();
+
+    /** Whether the decision module says when to call again, rather than the test. */
+    volatile boolean schedulesCalls;
+
     XnioEventLoop loop;
     ServerSocket discovery;
     EndpointWatch watch;
-    private ProxyCore core;
+    ProxyCore core;
 
     @BeforeEach
     void startWatch() throws IOException {
@@ -64,7 +70,13 @@
                                 @Override
                                 public void endpointsChanged(
                                         long at, EndpointListKind kind, List<EndpointInfo> entries) {
-                                    notifications.add(kind + " " + entries.size());
+                                    if (kind != EndpointListKind.CACHED) {
+                                        entries.forEach(entry -> agesUs.add(at - entry.startedUs()));
+                                        notifications.add(kind + " " + entries.size());
+                                    }
+                                    if (schedulesCalls) {
+                                        super.endpointsChanged(at, kind, entries);
+                                    }
                                 }
                             });
             watch = newWatch(limits);
@@ -79,8 +91,15 @@
     }
 
     private EndpointWatch newWatch(Limits limits) {
-        return new EndpointWatch(
-                (InetSocketAddress) discovery.getLocalSocketAddress(), limits, loop, core, 41, NodeLog.silent());
+        EndpointWatch created = new EndpointWatch(
+                (InetSocketAddress) discovery.getLocalSocketAddress(),
+                limits,
+                loop,
+                core,
+                new SystemClock(),
+                NodeLog.silent());
+        created.startFromCachedList(new EndpointListUpdate(41, true, List.of()));
+        return created;
     }
 
     /** The next connection that the watch opens to discovery; reads from it time out. */
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchTest.java
@@ -7,6 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import tulipshed.time.SystemWallClock;
 
 /** How the watch makes calls, and what it passes on of their results. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
@@ -74,4 +75,28 @@
             assertEquals("open false", nextNotification(), "and no failure is notified");
         }
     }
+
+    /** Regression: the start was read as a time of the node's own clock, so an endpoint could look an hour old at once. */
+    @Test
+    void startCountsFromItsNotificationWhateverItsClockShows() throws Exception {
+        long hourMs = 3_600_000;
+        long nowMs = new SystemWallClock().now().epochMs();
+        try (Socket socket = discovery.accept()) {
+            readRequest(socket);
+            respond(socket, "200 OK", listJson(42, true));
+            assertEquals("COMPLETE 1", nextNotification());
+            agesUs.clear();
+            int version = 43;
+            for (long startedMs : List.of(nowMs - hourMs, nowMs + hourMs, nowMs - 3_000, nowMs + 3_000)) {
+                readRequest(socket);
+                respond(
+                        socket,
+                        "200 OK",
+                        listJson(version++, false).replace("\"state\"", "\"started_ms\":" + startedMs + ",\"state\""));
+                assertEquals("CHANGES 1", nextNotification());
+                long ageUs = agesUs.remove();
+                assertTrue(ageUs >= 0 && ageUs < 2_000_000, "age " + ageUs);
+            }
+        }
+    }
 }
--- /dev/null
+++ b/node/src/test/java/tulipshed/time/SystemClockTest.java
@@ -0,0 +1,20 @@
+package tulipshed.time;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class SystemClockTest {
+    /** Regression: the clock began at the machine's wall clock, which may be wrong by hours. */
+    @Test
+    void startsAtItsOwnOriginAndNeverGoesBack() {
+        SystemClock clock = new SystemClock();
+        double lastMs = clock.nowMs();
+        assertTrue(lastMs >= SystemClock.ORIGIN_MS && lastMs < SystemClock.ORIGIN_MS + 60_000);
+        for (int i = 0; i < 1_000; i++) {
+            double nowMs = clock.nowMs();
+            assertTrue(nowMs >= lastMs);
+            lastMs = nowMs;
+        }
+    }
+}
