--- a/node/src/main/java/tulipshed/discovery/DiscoveryClient.java
+++ b/node/src/main/java/tulipshed/discovery/DiscoveryClient.java
@@ -95,7 +95,12 @@
 
     /** Whether a call is in progress that may wait for changes. */
     boolean isLongPollInProgress() {
-        return isCallInProgress() && request.isLongPoll();
+        return isCallInProgress() && isLastRequestLongPoll();
+    }
+
+    /** Whether the last call, which may be in progress or not, was one that may wait for changes. */
+    boolean isLastRequestLongPoll() {
+        return request.isLongPoll();
     }
 
     /** Starts a call; none may be in progress. */
--- a/node/src/main/java/tulipshed/discovery/EndpointWatch.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointWatch.java
@@ -26,12 +26,24 @@
     private final Limits limits;
     private final XnioEventLoop loop;
     private final ProxyCore core;
+    private final Clock clock;
     private final Logger log;
     private final DiscoveryClient client;
     private final EndpointListCursor cursor = new EndpointListCursor();
     private final EndpointStartTimes startTimes;
     private DeliveryMode mode = DeliveryMode.POLLED;
     private Health health = Health.UNCONFIRMED;
+    private double callStartedMs;
+
+    /** Counts calls that started or were put off, of which only the last one counts. */
+    private long delayedCallCount;
+
+    /** How often the decision module was notified of a failure and has not called {@link #watch} for it yet. */
+    private int promptsAwaited;
+
+    /** Whether the decision module caused the last call. */
+    private boolean isCallPrompted;
+
     private boolean stopped;
 
     /** What the last call showed. */
@@ -53,6 +65,7 @@
         this.limits = limits;
         this.loop = loop;
         this.core = core;
+        this.clock = clock;
         this.log = log.logger("discovery");
         startTimes = new EndpointStartTimes(clock);
         client = new DiscoveryClient(discovery, limits, loop, new CallListener());
@@ -64,12 +77,11 @@
         notifyCore(EndpointListKind.CACHED, cached);
     }
 
-    /** Starts a call unless one is in progress or the watch has stopped. */
+    /** Starts a call unless one is in progress or the watch has stopped; the decision module calls this. */
     @Override
     public void watch() {
-        if (!client.isCallInProgress() && !stopped) {
-            startCall();
-        }
+        promptsAwaited = Math.max(0, promptsAwaited - 1);
+        callUnlessInProgress(true);
     }
 
     /**
@@ -78,9 +90,13 @@
      * decision module says when.
      */
     public void setPushed(boolean toAgent) {
-        mode = toAgent ? DeliveryMode.PUSHED_TO_AGENT : DeliveryMode.POLLED;
+        DeliveryMode changed = toAgent ? DeliveryMode.PUSHED_TO_AGENT : DeliveryMode.POLLED;
+        if (changed != mode) {
+            mode = changed;
+            promptsAwaited = 0;
+        }
         if (toAgent) {
-            watch();
+            callUnlessInProgress(false);
         }
     }
 
@@ -93,7 +109,7 @@
         if (client.isLongPollInProgress()) {
             client.close();
         }
-        watch();
+        callUnlessInProgress(false);
     }
 
     /** Whether it holds a connection, or is opening one. */
@@ -116,12 +132,33 @@
         if (!to.equals(client.address())) {
             client.setAddress(to);
             cursor.requireFullList();
-            watch();
+            callUnlessInProgress(false);
+        }
+    }
+
+    private void callUnlessInProgress(boolean prompted) {
+        if (!client.isCallInProgress() && !stopped) {
+            isCallPrompted = prompted;
+            startCall(mode.longPollMs(limits.discovery()));
         }
     }
 
-    private void startCall() {
-        client.call(cursor.nextRequest(mode.longPollMs(limits.discovery())));
+    private void startCall(double longPollMs) {
+        delayedCallCount++;
+        callStartedMs = clock.nowMs();
+        client.call(cursor.nextRequest(longPollMs));
+    }
+
+    /** Starts a call after a delay, unless one starts before; there is never more than one call to come. */
+    private void startCallAfter(double delayMs) {
+        long delayedCall = ++delayedCallCount;
+        loop.schedule(delayMs, () -> {
+            if (delayedCall == delayedCallCount && !stopped) {
+                isCallPrompted = false;
+                // The 6 s leave no room for a delay where discovery itself is polled, so the wait is shorter by it.
+                startCall(mode.longPollMs(limits.discovery()) - (mode == DeliveryMode.POLLED ? delayMs : 0));
+            }
+        });
     }
 
     private void responseReceived(int status, byte[] body) {
@@ -146,16 +183,25 @@
             log.info("watching endpoint list from version " + update.version());
         }
         health = Health.WATCHING;
+        boolean nothingChanged = update.entries().isEmpty() || update.version() == cursor.version();
         cursor.advance(update);
         notifyCore(update.full() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, update);
-        if (mode == DeliveryMode.PUSHED_TO_AGENT && update.entries().isEmpty()) {
-            // Agents may respond at once although nothing changed.
-            loop.schedule(limits.discovery().agentPollIntervalMs(), this::watch);
+        if (nothingChanged && (mode == DeliveryMode.PUSHED_TO_AGENT || isAnsweredAtOnce())) {
+            startCallAfter(limits.discovery().agentPollIntervalMs());
         } else {
-            startCall();
+            callUnlessInProgress(false);
         }
     }
 
+    /**
+     * Whether the response to a long poll came before there was time to wait for a change. Agents, and a discovery that
+     * cannot hold calls, may respond so although nothing changed.
+     */
+    private boolean isAnsweredAtOnce() {
+        return client.isLastRequestLongPoll()
+                && clock.nowMs() - callStartedMs < limits.discovery().agentPollIntervalMs();
+    }
+
     private void notifyCore(EndpointListKind kind, EndpointListUpdate update) {
         core.endpointsChanged(kind, startTimes.translate(kind, update.entries()));
     }
@@ -186,10 +232,17 @@
             log.warn("call failed: " + failure.logText());
         }
         health = Health.FAILING;
-        core.endpointsChanged(EndpointListKind.FAILED, List.of());
         if (mode == DeliveryMode.PUSHED_TO_AGENT) {
-            loop.schedule(limits.discovery().agentRetryDelayMs(), this::watch);
+            startCallAfter(limits.discovery().agentRetryDelayMs());
+        } else if (isCallPrompted && promptsAwaited > 0) {
+            // A prompt that is still to come repeats this call too. Each notification leads to a prompt, so with one
+            // here
+            // every call that a reload started in an outage would lead to a series of calls of its own.
+            return;
+        } else {
+            promptsAwaited++;
         }
+        core.endpointsChanged(EndpointListKind.FAILED, List.of());
     }
 
     /** Keeps the notifications of the client out of the public interface. */
