--- a/node/src/main/java/tulipshed/cli/ConfigurationReload.java
+++ b/node/src/main/java/tulipshed/cli/ConfigurationReload.java
@@ -3,9 +3,11 @@
 import java.util.Objects;
 import org.jboss.logging.Logger;
 import tulipshed.config.NodeConfig;
+import tulipshed.limits.Limits;
 import tulipshed.operators.OperatorsFile;
 import tulipshed.proxy.ProxyCore;
 import tulipshed.routing.Router;
+import tulipshed.time.Clock;
 
 /**
  * Applies a new configuration to a running node. Endpoints and connections stay. Confined to the event-loop thread, but
@@ -14,8 +16,15 @@
 final class ConfigurationReload {
     private final NodeComponents components;
     private final NodeConfig configAtStart;
+    private final Clock clock;
+    private final Limits limits;
     private final Logger log;
 
+    private double reloadedMs = Double.NEGATIVE_INFINITY;
+
+    /** The shortest of the longest deadlines that reloads replaced shortly before the last one, and then. */
+    private double replacedDeadlineMs;
+
     /** The rules in force; null while the operators' file has none. */
     private Router router;
 
@@ -23,6 +32,8 @@
         this.components = components;
         configAtStart = options.config();
         router = options.operators().router();
+        clock = options.clock();
+        limits = options.limits();
         log = options.log().logger("node");
     }
 
@@ -37,6 +48,7 @@
     /** Applies all of a configuration that a running node can change. */
     void apply(NodeConfig changed, OperatorsFile operators, boolean needsRestart) {
         ProxyCore core = components.core();
+        recordReplacedDeadline(core.longestDeadlineMs());
         core.reconfigure(changed.settings());
         components.frontend().reconfigure(changed.nameIndex(), changed.loadReportsLatency());
         applyRouter(operators.router());
@@ -50,6 +62,24 @@
                 + (needsRestart ? "; the other changes need a restart" : ""));
     }
 
+    private void recordReplacedDeadline(double deadlineMs) {
+        replacedDeadlineMs = isReloadRecent() ? Math.min(replacedDeadlineMs, deadlineMs) : deadlineMs;
+        reloadedMs = clock.nowMs();
+    }
+
+    private boolean isReloadRecent() {
+        return clock.nowMs() - reloadedMs < limits.shutdown().signalOrderMs();
+    }
+
+    /**
+     * The longest deadline by which a shutdown that begins now is timed. Signals that arrive together are handled in any
+     * order, so a reload that has just been applied may have come after the signal to end: the shorter deadline counts then.
+     */
+    double longestDeadlineAtShutdownMs() {
+        double deadlineMs = components.core().longestDeadlineMs();
+        return isReloadRecent() ? Math.min(replacedDeadlineMs, deadlineMs) : deadlineMs;
+    }
+
     private void applyRouter(Router changed) {
         if (router == null && changed == null) {
             return;
--- a/node/src/main/java/tulipshed/cli/GracefulShutdown.java
+++ b/node/src/main/java/tulipshed/cli/GracefulShutdown.java
@@ -9,42 +9,40 @@
 import tulipshed.transport.HotRestartState;
 
 /**
- * Takes a node out of service in three phases that overlap:
+ * Takes a node out of service in phases that overlap:
  *
  * <ol>
  *   <li>accept: new connections are still accepted, as the front layer needs a moment to notice;
- *   <li>migrate: established clients are asked to reconnect elsewhere, spread over the remaining time;
- *   <li>end: every pending request gets its response and the remaining connections are closed.
+ *   <li>migrate: established clients are asked to reconnect elsewhere, spread over the time there is;
+ *   <li>end: clients that have opened no request are rejected, then every pending request gets its response, and the
+ *       remaining connections are closed.
  * </ol>
  *
- * <p>After a hand-over to the other process of a hot restart, migration starts at once and the end comes as soon as
- * nothing is open. One instance shuts down once. Confined to the event-loop thread, but for {@link #awaitCompletion}.
+ * <p>{@link ShutdownSchedule} says when, from the settings that hold when the signal arrives. After a hand-over to the other
+ * process of a hot restart, migration starts at once and the end comes as soon as nothing is open. One instance shuts down
+ * once. Confined to the event-loop thread, but for the constructor and {@link #awaitCompletion}.
  */
 final class GracefulShutdown {
-    private static final double STEP_INTERVAL_MS = 25;
-
-    /** Migration starts by this part of the time until the end at the latest: a half. */
-    private static final int MIGRATION_START_DIVISOR = 2;
-
-    /** Connections that are closing are waited for, after the end, for this part of the linger timeout: a third. */
-    private static final int LINGER_DIVISOR = 3;
-
     private final NodeComponents components;
+    private final ConfigurationReload configurationReload;
     private final ProxyCore core;
     private final HotRestartState hotRestart;
     private final Clock clock;
     private final Limits limits;
     private final Logger log;
+    private final double startMs;
     private final CountDownLatch completed = new CountDownLatch(1);
-    private double startMs;
-
-    /** When the end phase begins at the latest, in ms since the start. */
-    private double endAfterMs;
 
-    private boolean handedOver;
-
-    GracefulShutdown(NodeOptions options, NodeComponents components) {
+    /**
+     * Creates a shutdown that {@link #begin} starts.
+     *
+     * @param startMs when the signal arrived: the event loop may be late to begin
+     */
+    GracefulShutdown(
+            NodeOptions options, NodeComponents components, ConfigurationReload configurationReload, double startMs) {
         this.components = components;
+        this.configurationReload = configurationReload;
+        this.startMs = startMs;
         core = components.core();
         hotRestart = options.hotRestart();
         clock = options.clock();
@@ -54,20 +52,26 @@
 
     /** Starts the shutdown. */
     void begin() {
-        startMs = clock.nowMs();
         hotRestart.refresh();
-        handedOver = hotRestart.isPeerServing();
+        boolean handedOver = hotRestart.isPeerServing();
         hotRestart.markLeaving();
         core.quotaShare(hotRestart.quotaShare());
         if (!handedOver) {
             components.frontend().startLeaving();
         }
         components.clientListener().startDraining();
-        endAfterMs = Math.min(limits.shutdown().maxDeadlineMs(), core.longestDeadlineMs())
-                + limits.shutdown().endMarginMs();
         log.info("shutting down" + (handedOver ? ", handing over to another process, " : ", ") + core.establishedCount()
                 + " established connections");
-        step();
+        ShutdownSchedule schedule =
+                ShutdownSchedule.of(limits.shutdown(), configurationReload.longestDeadlineAtShutdownMs());
+        new ShutdownSequence(
+                        handedOver ? schedule.afterHandover() : schedule,
+                        startMs,
+                        clock,
+                        components.loop(),
+                        log,
+                        new NodeActions())
+                .run();
     }
 
     /** Blocks until the shutdown is complete or the calling thread is interrupted. */
@@ -79,69 +83,57 @@
         }
     }
 
-    private void step() {
-        double elapsedMs = clock.nowMs() - startMs;
-        if (isAcceptPhaseOver(elapsedMs) && components.clientListener().isOpen()) {
-            stopAccepting();
-        }
-        if (elapsedMs >= migrateAfterMs()) {
-            migrateShare(elapsedMs);
-        }
-        if (elapsedMs >= endAfterMs || isHandoverComplete()) {
-            endRequests();
-            if (areConnectionsClosed(elapsedMs)) {
-                closeSockets();
-                completed.countDown();
-                return;
-            }
+    /** The actions of a shutdown on this node's components. */
+    private final class NodeActions implements ShutdownSequence.Actions {
+        @Override
+        public void stopAccepting() {
+            components.clientListener().drainAndClose();
+            components.frontend().listenerClosed();
+            components.quic().startDraining();
         }
-        components.loop().schedule(STEP_INTERVAL_MS, this::step);
-    }
 
-    /** After a hand-over the other process listens already, and what arrives from now on is better served there. */
-    private boolean isAcceptPhaseOver(double elapsedMs) {
-        return handedOver || elapsedMs >= limits.shutdown().acceptMs();
-    }
-
-    private void stopAccepting() {
-        components.clientListener().drainAndClose();
-        components.frontend().listenerClosed();
-        components.quic().startDraining();
-    }
+        @Override
+        public int establishedCount() {
+            return core.establishedCount();
+        }
 
-    private double migrateAfterMs() {
-        return handedOver ? 0 : Math.min(limits.shutdown().migrateAfterMs(), endAfterMs / MIGRATION_START_DIVISOR);
-    }
+        @Override
+        public boolean migrateOldest() {
+            return core.migrateOldest();
+        }
 
-    /** Migrates as many connections as one step has to so that all are migrated by the end. */
-    private void migrateShare(double elapsedMs) {
-        double remainingMs = Math.max(STEP_INTERVAL_MS, endAfterMs - elapsedMs);
-        int count = (int) Math.ceil(core.establishedCount() * Math.min(1, STEP_INTERVAL_MS / remainingMs));
-        for (int i = 0; i < count && core.migrateOldest(); i++) {}
-    }
+        @Override
+        public void rejectWaiting() {
+            components.frontend().rejectWaitingClients();
+        }
 
-    /** Returns whether nothing is left to do for the process that handed over: only discovery's connection is open. */
-    private boolean isHandoverComplete() {
-        return handedOver
-                && core.metrics().activeRequests() == 0
-                && components.loop().openConnections() <= (components.watch().isConnected() ? 1 : 0);
-    }
+        @Override
+        public void rejectPending() {
+            // From here on nothing is forwarded; until then retries follow the list.
+            components.watch().stop();
+            core.rejectAllPending();
+        }
 
-    private void endRequests() {
-        components.watch().stop();
-        components.frontend().rejectWaitingClients();
-        core.rejectAllPending();
-        while (core.migrateOldest()) {}
-    }
+        @Override
+        public boolean isIdle() {
+            return core.metrics().activeRequests() == 0 && components.loop().openConnections() <= openWithoutClients();
+        }
 
-    private boolean areConnectionsClosed(double elapsedMs) {
-        return components.loop().openConnections() == 0
-                || elapsedMs > endAfterMs + limits.sockets().lingerTimeoutMs() / LINGER_DIVISOR;
-    }
+        private int openWithoutClients() {
+            return (components.watch().isConnected() ? 1 : 0)
+                    + (components.peers().isOpen() ? 1 : 0);
+        }
 
-    private void closeSockets() {
-        components.quic().close();
-        components.peers().close();
-        components.management().ifPresent(ManagementServer::close);
+        @Override
+        public void finish() {
+            try {
+                components.watch().stop();
+                components.quic().close();
+                components.peers().close();
+                components.management().ifPresent(ManagementServer::close);
+            } finally {
+                completed.countDown();
+            }
+        }
     }
 }
--- a/node/src/main/java/tulipshed/cli/Node.java
+++ b/node/src/main/java/tulipshed/cli/Node.java
@@ -29,7 +29,8 @@
     /**
      * Starts a node and waits until it accepts clients.
      *
-     * @throws IOException when an address cannot be bound, or when the calling thread is interrupted
+     * @throws IOException when the clients' address cannot be bound, or when the calling thread is interrupted
+     * @throws tulipshed.config.MalformedInputException when another address cannot be bound
      */
     static Node start(NodeOptions options) throws IOException {
         return new Node(options, NodeStartup.start(options));
@@ -74,8 +75,12 @@
 
     /** Shuts down gracefully and returns when done; see {@link GracefulShutdown}. Called once. */
     void shutDown() {
-        GracefulShutdown shutdown = new GracefulShutdown(options, components);
+        double startMs = options.clock().nowMs();
+        GracefulShutdown shutdown = new GracefulShutdown(options, components, configurationReload, startMs);
         loop.execute(shutdown::begin);
         shutdown.awaitCompletion();
+        // A virtual machine that exits waits 300 ms for threads that are in system calls, as the loop's are, with all
+        // sockets open until then.
+        loop.stop();
     }
 }
--- a/node/src/main/java/tulipshed/cli/PeerMessaging.java
+++ b/node/src/main/java/tulipshed/cli/PeerMessaging.java
@@ -40,6 +40,11 @@
         }
     }
 
+    /** Returns whether the socket is open. */
+    boolean isOpen() {
+        return socket != null && socket.isOpen();
+    }
+
     /** Closes the socket where it is open. */
     void close() {
         if (socket != null) {
--- a/node/src/main/java/tulipshed/limits/DefaultLimits.java
+++ b/node/src/main/java/tulipshed/limits/DefaultLimits.java
@@ -96,11 +96,28 @@
         double acceptMs = 500;
         double migrateAfterMs = 1_500;
         double maxDeadlineMs = 3_000;
-        double endMarginMs = 200;
+        double killAfterDeadlineMs = 700;
+        double holdUpMs = 150;
+        double exitMs = 50;
+        double signalOrderMs = 500;
+        double lingerMs = 300;
+        double responseLingerMs = 100;
+        double minLingerMs = 50;
         double takeoverListTimeoutMs = 1_500;
         int sharedIds = 4096;
         return new Limits.Shutdown(
-                acceptMs, migrateAfterMs, maxDeadlineMs, endMarginMs, takeoverListTimeoutMs, sharedIds);
+                acceptMs,
+                migrateAfterMs,
+                maxDeadlineMs,
+                killAfterDeadlineMs,
+                holdUpMs,
+                exitMs,
+                signalOrderMs,
+                lingerMs,
+                responseLingerMs,
+                minLingerMs,
+                takeoverListTimeoutMs,
+                sharedIds);
     }
 
     private static Limits.Management management() {
--- /dev/null
+++ b/node/src/test/java/tulipshed/cli/ShutdownSequenceTest.java
@@ -0,0 +1,269 @@
+package tulipshed.cli;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.Random;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import tulipshed.limits.Limits;
+import tulipshed.logging.NodeLog;
+import tulipshed.proxy.EventLoop;
+import tulipshed.time.ManualClock;
+
+/** The phases of a shutdown in virtual time, with clients that arrive, hang and never close. */
+class ShutdownSequenceTest {
+    /** New connections come for that long after SIGTERM. */
+    private static final double ARRIVALS_MS = 400;
+
+    private static final double KILL_AFTER_DEADLINE_MS = 700;
+    private static final double HOLD_UP_MS = 150;
+    private static final double LONGEST_COUNTED_MS = 3_000;
+
+    /** What the core leaves to the client's deadline. */
+    private static final double RESPONSE_MARGIN_MS = 40;
+
+    private final Limits.Shutdown limits = Limits.forDescriptors(1024).shutdown();
+    private final ManualClock clock = new ManualClock(0);
+    private final VirtualLoop loop = new VirtualLoop();
+    private final FakeNode node = new FakeNode();
+
+    /** Runs tasks in the order of their times; can be held up once, before the first task at or after a time. */
+    private final class VirtualLoop implements EventLoop {
+        private final PriorityQueue<Task> tasks = new PriorityQueue<>();
+        private double holdUpAtMs = Double.POSITIVE_INFINITY;
+        private long added;
+
+        private record Task(double atMs, long sequence, Runnable action) implements Comparable<Task> {
+            @Override
+            public int compareTo(Task other) {
+                int byTime = Double.compare(atMs, other.atMs);
+                return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
+            }
+        }
+
+        @Override
+        public void execute(Runnable action) {
+            schedule(0, action);
+        }
+
+        @Override
+        public void schedule(double ms, Runnable action) {
+            tasks.add(new Task(clock.nowMs() + Math.ceil(Math.max(0, ms)), added++, action));
+        }
+
+        void run() {
+            while (!tasks.isEmpty()) {
+                Task task = tasks.poll();
+                clock.advance(task.atMs - clock.nowMs());
+                if (clock.nowMs() >= holdUpAtMs) {
+                    holdUpAtMs = Double.POSITIVE_INFINITY;
+                    clock.advance(HOLD_UP_MS);
+                }
+                task.action.run();
+            }
+        }
+    }
+
+    /** Clients that never close by themselves, as the worst of them do. */
+    private final class FakeNode implements ShutdownSequence.Actions {
+        private final List<Double> pendingSinceMs = new ArrayList<>();
+        /** Connections that the kernel accepts at these times. */
+        private final ArrayDeque<Double> arrivalsMs = new ArrayDeque<>();
+
+        private int established;
+        private int waiting;
+        private boolean idle;
+        private double acceptedUntilMs = Double.NaN;
+        private double firstRejectionMs = Double.NaN;
+        private double lastWriteMs;
+        private double finishedMs = Double.NaN;
+        private int finishes;
+        private int largestMigration;
+        private RuntimeException defect;
+
+        /** Takes the clients that have come by now; every second one gets an endpoint that hangs. */
+        void takeArrivals() {
+            while (!arrivalsMs.isEmpty() && arrivalsMs.peek() <= clock.nowMs() && Double.isNaN(acceptedUntilMs)) {
+                if (arrivalsMs.poll() % 20 == 0) {
+                    established++;
+                } else {
+                    pendingSinceMs.add(clock.nowMs());
+                }
+            }
+        }
+
+        @Override
+        public void stopAccepting() {
+            takeArrivals();
+            acceptedUntilMs = clock.nowMs();
+        }
+
+        @Override
+        public int establishedCount() {
+            largestMigration = 0;
+            return established;
+        }
+
+        @Override
+        public boolean migrateOldest() {
+            if (established == 0) {
+                return false;
+            }
+            established--;
+            largestMigration++;
+            lastWriteMs = clock.nowMs();
+            return true;
+        }
+
+        @Override
+        public void rejectWaiting() {
+            lastWriteMs = waiting > 0 ? clock.nowMs() : lastWriteMs;
+            waiting = 0;
+        }
+
+        @Override
+        public void rejectPending() {
+            if (defect != null) {
+                throw defect;
+            }
+            if (Double.isNaN(firstRejectionMs)) {
+                firstRejectionMs = clock.nowMs();
+            }
+            lastWriteMs = pendingSinceMs.isEmpty() ? lastWriteMs : clock.nowMs();
+            pendingSinceMs.clear();
+        }
+
+        @Override
+        public boolean isIdle() {
+            return idle;
+        }
+
+        @Override
+        public void finish() {
+            finishes++;
+            finishedMs = clock.nowMs();
+        }
+    }
+
+    private void shutDown(ShutdownSchedule schedule) {
+        new ShutdownSequence(schedule, 0, clock, loop, NodeLog.silent().logger("node"), node).run();
+    }
+
+    /** Clients all through the time in which the front layer sends any. */
+    private void scheduleArrivals() {
+        for (double atMs = 0; atMs <= ARRIVALS_MS; atMs += 10) {
+            node.arrivalsMs.add(atMs);
+            loop.schedule(atMs - clock.nowMs(), node::takeArrivals);
+        }
+        node.established = 200;
+        node.waiting = 5;
+        node.pendingSinceMs.add(0.0);
+    }
+
+    private static double killMs(double deadlineMs) {
+        return Math.min(LONGEST_COUNTED_MS, deadlineMs) + KILL_AFTER_DEADLINE_MS;
+    }
+
+    private void assertAllAnswered() {
+        assertEquals(1, node.finishes);
+        assertEquals(0, node.established, "all migrated");
+        assertEquals(List.of(), node.pendingSinceMs, "all answered");
+        assertEquals(0, node.waiting);
+        assertEquals(0, node.arrivalsMs.size(), "all arrivals accepted");
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {10, 50, 100, 150, 200, 250, 300, 500, 1000, 2999, 3000, 4800, 60_000})
+    void endsBeforeTheProcessMayBeKilledAndAcceptsAllArrivals(int deadlineMs) {
+        scheduleArrivals();
+        shutDown(ShutdownSchedule.of(limits, deadlineMs));
+        loop.run();
+        assertAllAnswered();
+        double countedMs = Math.min(LONGEST_COUNTED_MS, deadlineMs);
+        assertTrue(node.acceptedUntilMs >= Math.min(500, countedMs + 450), "accepted until " + node.acceptedUntilMs);
+        assertTrue(node.lastWriteMs + 50 <= node.finishedMs, "the last answer can still be read");
+        assertTrue(node.finishedMs + limits.exitMs() <= killMs(deadlineMs) - HOLD_UP_MS, "ended " + node.finishedMs);
+        assertTrue(
+                node.firstRejectionMs >= ARRIVALS_MS + countedMs - RESPONSE_MARGIN_MS,
+                "the latest request keeps its full deadline, unless that is longer than counts");
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {50, 120, 300, 1000, 3000})
+    void oneHoldUpAtAnyMomentLeavesAllAnsweredInTime(int deadlineMs) {
+        for (int holdUpAtMs = 0; holdUpAtMs < killMs(deadlineMs); holdUpAtMs += 7) {
+            ShutdownSequenceTest run = new ShutdownSequenceTest();
+            run.loop.holdUpAtMs = holdUpAtMs;
+            run.scheduleArrivals();
+            run.shutDown(ShutdownSchedule.of(limits, deadlineMs));
+            run.loop.run();
+            run.assertAllAnswered();
+            assertTrue(
+                    run.node.finishedMs + limits.exitMs() <= killMs(deadlineMs),
+                    "held up at " + holdUpAtMs + ", ended " + run.node.finishedMs);
+        }
+    }
+
+    /** The loop may be busy when the signal arrives; what it loses is not added to the time. */
+    @Test
+    void lateBeginDoesNotDelayTheEnd() {
+        clock.advance(HOLD_UP_MS);
+        scheduleArrivals();
+        shutDown(ShutdownSchedule.of(limits, 1000));
+        loop.run();
+        assertTrue(node.finishedMs + limits.exitMs() <= killMs(1000) - HOLD_UP_MS, "ended " + node.finishedMs);
+    }
+
+    @Test
+    void migrationIsSpreadOverItsTime() {
+        node.established = 1000;
+        ShutdownSchedule schedule = ShutdownSchedule.of(limits, 3000);
+        List<Integer> shares = new ArrayList<>();
+        shutDown(schedule);
+        Random random = new Random(1);
+        for (double atMs = 10; atMs < schedule.migrateUntilMs(); atMs += 10 + random.nextInt(10)) {
+            loop.schedule(atMs, () -> shares.add(node.largestMigration));
+        }
+        loop.run();
+        assertEquals(0, node.established);
+        assertTrue(shares.stream().mapToInt(Integer::intValue).max().orElseThrow() <= 30, shares.toString());
+    }
+
+    @Test
+    void afterHandoverItMigratesAtOnceAndEndsOnceIdle() {
+        node.established = 10;
+        node.idle = true;
+        ShutdownSchedule schedule = ShutdownSchedule.of(limits, 50).afterHandover();
+        node.idle = false;
+        loop.schedule(120, () -> node.idle = true);
+        shutDown(schedule);
+        loop.run();
+        assertEquals(0, node.acceptedUntilMs);
+        assertTrue(node.finishedMs >= 120 && node.finishedMs <= 150, "ended " + node.finishedMs);
+    }
+
+    @Test
+    void handoverWithClientsThatStayEndsInTimeToo() {
+        node.established = 10;
+        node.pendingSinceMs.add(0.0);
+        shutDown(ShutdownSchedule.of(limits, 50).afterHandover());
+        loop.run();
+        assertAllAnswered();
+        assertTrue(node.finishedMs + limits.exitMs() <= killMs(50) - HOLD_UP_MS);
+    }
+
+    /** A step that fails at every time must not keep the process until it is killed. */
+    @Test
+    void endsInTimeDespiteADefectInAStep() {
+        node.defect = new IllegalStateException("defect");
+        shutDown(ShutdownSchedule.of(limits, 1000));
+        loop.run();
+        assertEquals(1, node.finishes);
+    }
+}
