--- a/node/src/main/java/tulipshed/management/ManagementServer.java
+++ b/node/src/main/java/tulipshed/management/ManagementServer.java
@@ -78,7 +78,7 @@
         if (awaitingRequest.size() + responded.size() >= limits.management().connections()) {
             evictOldest();
         }
-        ManagementSession session = new ManagementSession(this, connection, limits, readBuffer, clock.nowMs());
+        ManagementSession session = new ManagementSession(this, connection, limits, readBuffer, clock);
         awaitingRequest.add(session);
         session.start();
     }
@@ -119,12 +119,14 @@
     }
 
     private void closeExpired() {
-        double expiredMs = clock.nowMs() - limits.management().requestTimeoutMs();
-        for (Set<ManagementSession> sessions : List.of(awaitingRequest, responded)) {
-            List.copyOf(sessions).stream()
-                    .filter(session -> session.startedMs() < expiredMs)
-                    .forEach(ManagementSession::onTimeout);
-        }
+        double nowMs = clock.nowMs();
+        // First those that have their response: one that gets it now has a sweep interval to read it.
+        List.copyOf(responded).stream()
+                .filter(session -> session.isOverdue(nowMs))
+                .forEach(ManagementSession::closeAfterRead);
+        List.copyOf(awaitingRequest).stream()
+                .filter(session -> session.isOverdue(nowMs))
+                .forEach(ManagementSession::onRequestTimeout);
         loop.schedule(limits.sockets().sweepIntervalMs(), this::closeExpired);
     }
 }
--- a/node/src/main/java/tulipshed/management/ManagementSession.java
+++ b/node/src/main/java/tulipshed/management/ManagementSession.java
@@ -3,6 +3,7 @@
 import java.nio.ByteBuffer;
 import org.xnio.StreamConnection;
 import tulipshed.limits.Limits;
+import tulipshed.time.Clock;
 import tulipshed.transport.TcpConnection;
 
 /** One connection of the management server: one request and one response. Confined to the event-loop thread. */
@@ -11,25 +12,27 @@
     private final TcpConnection connection;
     private final HttpRequestParser parser;
     private final ByteBuffer readBuffer;
-    private final int maxReadsPerEvent;
+    private final Clock clock;
+    private final Limits limits;
     private final double startedMs;
-    private boolean responded;
+    /** NaN until the response is written. */
+    private double respondedMs = Double.NaN;
 
     /**
      * Wraps an accepted connection; {@link #start} begins to read it.
      *
      * @param readBuffer the server's buffer, which sessions use in turn
-     * @param nowMs the present time, in milliseconds
      */
     ManagementSession(
-            ManagementServer server, StreamConnection accepted, Limits limits, ByteBuffer readBuffer, double nowMs) {
+            ManagementServer server, StreamConnection accepted, Limits limits, ByteBuffer readBuffer, Clock clock) {
         this.server = server;
         // Not counted by the event loop: these descriptors are reserved, and client connections have no share in them.
         this.connection = new TcpConnection(accepted, this, () -> {});
         this.parser = new HttpRequestParser(limits.management().headBytes());
         this.readBuffer = readBuffer;
-        this.maxReadsPerEvent = limits.sockets().maxReadsPerEvent();
-        this.startedMs = nowMs;
+        this.clock = clock;
+        this.limits = limits;
+        this.startedMs = clock.nowMs();
     }
 
     /** Begins to read, at once with what has arrived. */
@@ -38,14 +41,22 @@
         onReadable(connection);
     }
 
-    /** When the connection was accepted, in milliseconds. */
-    double startedMs() {
-        return startedMs;
+    private boolean hasResponded() {
+        return !Double.isNaN(respondedMs);
+    }
+
+    /**
+     * Whether its time is over, which is counted from its acceptance however often bytes of it arrive; after its response it
+     * stays for a sweep interval at least, or the client might see a reset in place of the response.
+     */
+    boolean isOverdue(double nowMs) {
+        boolean mayStillRead = nowMs - respondedMs < limits.sockets().sweepIntervalMs();
+        return nowMs - startedMs > limits.management().requestTimeoutMs() && !mayStillRead;
     }
 
     @Override
     public void onReadable(TcpConnection from) {
-        for (int reads = 0; reads < maxReadsPerEvent && !connection.isClosed(); reads++) {
+        for (int reads = 0; reads < limits.sockets().maxReadsPerEvent() && !connection.isClosed(); reads++) {
             readBuffer.clear();
             int count = connection.read(readBuffer);
             if (count < 0) {
@@ -54,14 +65,14 @@
             if (count <= 0) {
                 return;
             }
-            if (!responded) {
+            if (!hasResponded()) {
                 parse(readBuffer.flip());
             }
         }
     }
 
     private void endOfInput() {
-        if (!responded || connection.queuedBytes() == 0) {
+        if (!hasResponded() || connection.queuedBytes() == 0) {
             close();
         } else {
             connection.setReading(false);
@@ -78,17 +89,19 @@
         }
     }
 
-    /** The request was not complete in time, or its response was not read in time. */
-    void onTimeout() {
-        if (responded) {
-            close();
-        } else {
-            respond(HttpResponse.text(408, "Request Timeout", "no whole call in time"));
-        }
+    /** The request was not complete in time. */
+    void onRequestTimeout() {
+        respond(HttpResponse.text(408, "Request Timeout", "no whole call in time"));
+    }
+
+    /** Closes once what has arrived is read: a close over unread bytes is a reset. */
+    void closeAfterRead() {
+        onReadable(connection);
+        close();
     }
 
     private void respond(HttpResponse response) {
-        responded = true;
+        respondedMs = clock.nowMs();
         server.onResponded(this);
         connection.write(response.bytes());
         connection.shutdownOutput();
--- /dev/null
+++ b/node/src/test/java/tulipshed/cli/StalledClientTest.java
@@ -0,0 +1,194 @@
+package tulipshed.cli;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static tulipshed.testing.LoopbackSockets.connect;
+import static tulipshed.testing.LoopbackSockets.listen;
+import static tulipshed.testing.LoopbackSockets.reader;
+import static tulipshed.testing.LoopbackSockets.send;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import tulipshed.config.NodeConfig;
+import tulipshed.limits.Limits;
+import tulipshed.logging.NodeLog;
+import tulipshed.operators.OperatorsFile;
+import tulipshed.testing.NodeConfigFile;
+import tulipshed.time.SystemClock;
+
+/** Clients that stop in the middle of a request and stay, and requests that have hardly any time left. */
+@Timeout(60)
+class StalledClientTest {
+    /** Bad clients are owed an error or the end of their connection within this time. */
+    private static final long OWED_WITHIN_MS = 3_000;
+
+    private static final int MAX_ATTEMPTS = 6;
+
+    @TempDir
+    private Path directory;
+
+    private final ExecutorService threads = Executors.newCachedThreadPool();
+    private final AtomicInteger upstreams = new AtomicInteger();
+    private final ServerSocket endpoint = listen(200);
+    private Node node;
+
+    StalledClientTest() throws IOException {}
+
+    @AfterEach
+    void stop() throws IOException {
+        endpoint.close();
+        threads.shutdownNow();
+    }
+
+    private void startNode() throws IOException {
+        Path config = NodeConfigFile.fromTemplate()
+                .listenPort(0)
+                .endpointPort(endpoint.getLocalPort())
+                .replace("\"MaxAttempts\": 6", "\"MaxAttempts\": " + MAX_ATTEMPTS)
+                .writeTo(directory);
+        Map<String, String> environment = Map.of("PROXY_CONFIG", config.toString(), "PROXY_MANAGEMENT", "127.0.0.1:0");
+        node = Node.start(NodeOptions.withoutHotRestart(
+                NodeConfig.load(environment),
+                OperatorsFile.EMPTY,
+                Limits.forDescriptors(1024),
+                new SystemClock(),
+                NodeLog.silent()));
+    }
+
+    /** What a client reads up to the end of its connection, and when that came. */
+    private record Ending(String text, long tookMs) {}
+
+    /** Sends the bytes of a text, one at a time with a pause or all at once, and then stays until the node ends it. */
+    private Future<Ending> stall(InetSocketAddress address, String text, boolean oneByteAtATime) {
+        return threads.submit(() -> {
+            long startNs = System.nanoTime();
+            try (Socket socket = connect(address)) {
+                socket.setSoTimeout(10_000);
+                CompletableFuture<String> heard = new CompletableFuture<>();
+                threads.execute(() -> heard.complete(readToEnd(socket)));
+                for (int i = 0; i < text.length() && oneByteAtATime && !heard.isDone(); i++) {
+                    send(socket, text.substring(i, i + 1));
+                    Thread.sleep(50);
+                }
+                if (!oneByteAtATime) {
+                    send(socket, text);
+                }
+                String all = heard.get(10, TimeUnit.SECONDS);
+                return new Ending(all, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs));
+            }
+        });
+    }
+
+    private static String readToEnd(Socket socket) {
+        try {
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        } catch (IOException e) {
+            return e.toString();
+        }
+    }
+
+    private static void assertEndsInTime(String expected, Future<Ending> client) throws Exception {
+        Ending ending = client.get(20, TimeUnit.SECONDS);
+        assertTrue(ending.text().startsWith(expected), ending.toString());
+        assertTrue(ending.tookMs() < OWED_WITHIN_MS, ending.toString());
+    }
+
+    /** A time that each byte began anew would let such a client stay for as long as it likes. */
+    @Test
+    void clientsThatStopInTheMiddleOfARequestGetTheirErrorAndTheEndInTime() throws Exception {
+        startNode();
+        InetSocketAddress management = node.managementAddress().orElseThrow();
+        String openCommand = "OPEN 9b1 " + "k".repeat(200) + " c=slot-board,t=melnik-terminal,d=4000\r\n";
+        String get = "GET /status HTTP/1.1\r\nHost: " + "n".repeat(200) + "\r\n\r\n";
+        List<Future<Ending>> clients = new ArrayList<>();
+        clients.add(stall(node.address(), openCommand.substring(0, 40), false));
+        clients.add(stall(node.address(), openCommand, true));
+        clients.add(stall(node.address(), "", false));
+        List<Future<Ending>> managementClients = new ArrayList<>();
+        managementClients.add(stall(management, get.substring(0, 40), false));
+        managementClients.add(stall(management, get, true));
+        managementClients.add(stall(management, "", false));
+        for (Future<Ending> client : clients) {
+            assertEndsInTime("ERR\r\n", client);
+        }
+        for (Future<Ending> client : managementClients) {
+            assertEndsInTime("HTTP/1.1 408 ", client);
+        }
+        // Beside them others are served as ever.
+        threads.execute(() -> acceptUpstreams("UP r\r\n"));
+        assertEquals("UP r", finalLine("9b2", 2_000).line());
+    }
+
+    /** Accepts connections of the node until the test is over; answers each with a line, or resets it for none. */
+    private void acceptUpstreams(String response) {
+        try {
+            while (true) {
+                Socket upstream = endpoint.accept();
+                upstreams.incrementAndGet();
+                if (response.isEmpty()) {
+                    upstream.setSoLinger(true, 0);
+                    upstream.close();
+                } else {
+                    send(upstream, response);
+                }
+            }
+        } catch (IOException closed) {
+            // The test is over.
+        }
+    }
+
+    /** The response to a request, and when it came. */
+    private record Response(String line, long tookMs) {}
+
+    private Response finalLine(String id, long timeoutMs) throws IOException {
+        long startNs = System.nanoTime();
+        try (Socket client = connect(node.address())) {
+            send(client, "OPEN " + id + " k c=slot-board,t=melnik-terminal,d=" + timeoutMs + "\r\n");
+            BufferedReader in = reader(client);
+            String line = in.readLine();
+            return new Response(line, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs));
+        }
+    }
+
+    @Test
+    void retriesThatFailAtOnceAreBoundedAndTheClientIsAnswered() throws Exception {
+        startNode();
+        threads.execute(() -> acceptUpstreams(""));
+        int requests = 20;
+        for (int i = 0; i < requests; i++) {
+            Response response = finalLine("9c" + i, 1_000);
+            assertTrue(response.line() != null && response.line().matches("BUSY.*|ERR"), response.toString());
+            assertTrue(response.tookMs() < 1_500, response.toString());
+        }
+        assertTrue(upstreams.get() <= requests * MAX_ATTEMPTS, upstreams + " connections");
+    }
+
+    /** Less time than the node needs to answer in time, and a little more: each request gets its answer all the same. */
+    @Test
+    void requestsWithHardlyAnyTimeLeftAreAnsweredAtOnce() throws Exception {
+        startNode();
+        for (int timeoutMs : new int[] {1, 2, 5, 10, 20, 39, 40, 41, 45, 50}) {
+            Response response = finalLine("9d" + timeoutMs, timeoutMs);
+            assertTrue(response.line() != null && response.line().matches("BUSY.*|ERR"), timeoutMs + ": " + response);
+            assertTrue(response.tookMs() < timeoutMs + 500, timeoutMs + ": " + response);
+        }
+    }
+}
--- a/node/src/test/java/tulipshed/management/ManagementServerTest.java
+++ b/node/src/test/java/tulipshed/management/ManagementServerTest.java
@@ -1,5 +1,6 @@
 package tulipshed.management;
 
+import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -135,4 +136,27 @@
             socket.close();
         }
     }
+
+    /**
+     * Its time is counted from its acceptance. After the response the server goes on reading for a moment: a close over bytes
+     * that are under way is a reset, which may overtake the response.
+     */
+    @Test
+    void clientThatSendsOneByteAtATimeGetsItsTimeoutAndNoReset() throws Exception {
+        long startNs = System.nanoTime();
+        try (Socket socket = connect("")) {
+            while (socket.getInputStream().available() == 0) {
+                socket.getOutputStream().write('G');
+                Thread.sleep(5);
+            }
+            long respondedNs = System.nanoTime();
+            assertTrue(readToEnd(socket).startsWith("HTTP/1.1 408 "));
+            assertTrue(
+                    respondedNs - startNs > 1_900_000_000L && respondedNs - startNs < 3_000_000_000L,
+                    "after " + (respondedNs - startNs) + " ns");
+            while (System.nanoTime() - respondedNs < 50_000_000L) {
+                assertDoesNotThrow(() -> socket.getOutputStream().write('G'));
+            }
+        }
+    }
 }
