--- a/node/src/main/java/tulipshed/quic/ConnectionMachine.java
+++ b/node/src/main/java/tulipshed/quic/ConnectionMachine.java
@@ -62,6 +62,7 @@
     private final Limits.Quic limits;
     private List<byte[]> first = new ArrayList<>(2);
     private final ConnectionId clientId;
+    private final ConnectionId firstKeyedBy;
     private ConnectionId keyedBy;
     private ConnectionId current;
     private Stage stage = Stage.OWED;
@@ -77,6 +78,7 @@
 
     private ConnectionMachine(Limits.Quic limits, ConnectionId destination, ConnectionId clientId, double nowMs) {
         this.limits = limits;
+        this.firstKeyedBy = destination;
         this.keyedBy = destination;
         this.current = destination;
         this.clientId = clientId;
@@ -138,7 +140,7 @@
 
     private Step later(byte[] datagram, List<Packet> packets) {
         Packet p = packets.get(0);
-        if (stage == Stage.OWED && leaves(p)) {
+        if (stage == Stage.OWED && packets.stream().anyMatch(this::closes)) {
             return Step.TAKEN_BACK;
         }
         if (p.type() == Packet.Type.INITIAL) {
@@ -183,13 +185,19 @@
         return first.size() >= limits.retainedFirstDatagrams() ? Step.NEVER_WHOLE : Step.HOLD;
     }
 
-    /** Whether this is the Initial of a client that takes its wish back. */
-    private boolean leaves(Packet p) {
+    /**
+     * Whether this is the Initial of a client that takes its wish back. Its keys follow from the first id, or from the one that
+     * a Retry gave it; one that has not seen the Retry yet closes with the former.
+     */
+    private boolean closes(Packet p) {
+        return p.type() == Packet.Type.INITIAL
+                && (closes(p, keyedBy) || (!keyedBy.equals(firstKeyedBy) && closes(p, firstKeyedBy)));
+    }
+
+    private static boolean closes(Packet p, ConnectionId keyedBy) {
         try {
-            return p.type() == Packet.Type.INITIAL
-                    && InitialFrames.read(InitialKeys.client(Version.of(p.version()), keyedBy)
-                                    .open(p))
-                            .closes();
+            byte[] frames = InitialKeys.client(Version.of(p.version()), keyedBy).open(p);
+            return InitialFrames.read(frames).closes();
         } catch (BadPacket e) {
             return false;
         }
--- a/node/src/main/java/tulipshed/quic/QuicFront.java
+++ b/node/src/main/java/tulipshed/quic/QuicFront.java
@@ -104,13 +104,24 @@
 
     private void listen(InetSocketAddress at) throws IOException {
         UdpSocket[] own = new UdpSocket[1];
-        own[0] = loop.bindUdp(at, scratch, (from, datagram) -> {
-            counted.count(Figure.DATAGRAMS);
-            received(own[0], from, datagram);
-        });
+        try {
+            own[0] = loop.bindUdp(at, scratch, (from, datagram) -> {
+                counted.count(Figure.DATAGRAMS);
+                received(own[0], from, datagram);
+            });
+        } catch (IOException e) {
+            // What is bound already is given back: the front is not open, and may be opened again.
+            close();
+            throw new IOException("cannot listen on " + at + ": " + e.getMessage(), e);
+        }
         listeners.add(own[0]);
     }
 
+    /** Reads what has arrived from clients and was not notified yet, as much as one event reads. */
+    void receiveAvailable() {
+        List.copyOf(listeners).forEach(UdpSocket::receiveBatch);
+    }
+
     /** Where this front listens. */
     public InetSocketAddress address() {
         return listeners.get(0).address();
--- a/node/src/main/java/tulipshed/quic/QuicSession.java
+++ b/node/src/main/java/tulipshed/quic/QuicSession.java
@@ -282,6 +282,12 @@
     @Override
     public void open(Attempt opened) {
         flow = opened;
+        // A close of the client may have arrived and not have been read yet.
+        front.receiveAvailable();
+        if (machine.stage() == ConnectionMachine.Stage.ANSWERED) {
+            // The client has gone; the core has just been notified, and abandons the attempt.
+            return;
+        }
         ClientPath path = current;
         FlowSide side = FlowSide.open(front, opened, d -> fromMember(path, d));
         path.side(side);
--- a/node/src/main/java/tulipshed/transport/UdpSocket.java
+++ b/node/src/main/java/tulipshed/transport/UdpSocket.java
@@ -36,7 +36,7 @@
     }
 
     /** Reads a batch; the rest waits for the loop's next iteration, so that a flooded socket does not starve the others. */
-    private void receiveBatch() {
+    public void receiveBatch() {
         for (int i = 0; i < batchSize && !closed; i++) {
             scratch.clear();
             try {
--- a/node/src/test/java/tulipshed/quic/ConnectionMachineTest.java
+++ b/node/src/test/java/tulipshed/quic/ConnectionMachineTest.java
@@ -118,6 +118,25 @@
         assertEquals(Step.TAKEN_BACK, client(opens(whole()), close));
     }
 
+    /** A close behind another packet of its datagram, and one under the keys that the client had before it saw a Retry. */
+    @Test
+    void aWishTakenBackIsFoundInAnyPacketAndUnderTheKeysBeforeARetry() {
+        byte[] close = initial(InitialFrames.close(0, "never mind"));
+        byte[] acknowledgement =
+                InitialKeys.client(Version.V1, FIRST).seal(FIRST, CLIENT, 1, new byte[] {2, 0, 0, 0, 0});
+        byte[] both = Arrays.copyOf(acknowledgement, acknowledgement.length + close.length);
+        System.arraycopy(close, 0, both, acknowledgement.length, close.length);
+        assertEquals(Step.PASS, client(opens(whole()), acknowledgement));
+        assertEquals(Step.TAKEN_BACK, client(opens(whole()), both));
+        ConnectionMachine retried = opens(whole());
+        assertEquals(
+                Step.RETRIED, member(retried, RetryPacket.make(Version.V1, CLIENT, SERVER, FIRST, new byte[10], 3)));
+        byte[] laterClose = InitialKeys.client(Version.V1, SERVER)
+                .seal(SERVER, CLIENT, 1, Arrays.copyOf(InitialFrames.close(0, ""), 1160));
+        assertEquals(Step.TAKEN_BACK, client(retried, laterClose));
+        assertEquals(Step.TAKEN_BACK, client(retried, close), "sent before the Retry arrived");
+    }
+
     /**
      * Whatever comes in whatever order: one arrival at most, three times the bytes of an address at most until it is proved,
      * and after the answer nothing but the answer.
--- a/node/src/test/java/tulipshed/quic/EndsTest.java
+++ b/node/src/test/java/tulipshed/quic/EndsTest.java
@@ -288,4 +288,60 @@
         flood.forEach(Client::close);
         standing.forEach(Client::close);
     }
+
+    private static byte[] close(Client client) {
+        return InitialKeys.client(Version.V1, client.first)
+                .seal(client.first, client.own, 1, Arrays.copyOf(InitialFrames.close(0, "never mind"), 1180));
+    }
+
+    /** Sends what opens a connection and then its close, so that the loop has read only the former when it may forward. */
+    private void openAndCloseInOneTurn(Client client) {
+        onLoop(() -> {
+            client.send(client.initial());
+            long read = front.counted.get(Figure.DATAGRAMS);
+            while (front.counted.get(Figure.DATAGRAMS) == read) {
+                front.receiveAvailable();
+            }
+            client.send(close(client));
+            return null;
+        });
+    }
+
+    /** The client's own sign of an end may have arrived without being read when its attempt is due. */
+    @Test
+    void opensNoAttemptForAClientWhoseCloseHasArrived() throws IOException {
+        front(Manner.SERVES);
+        try (Client gone = new Client(front.address(), 1);
+                Client stays = new Client(front.address(), 2)) {
+            openAndCloseInOneTurn(gone);
+            taken(2);
+            assertEquals(0, (int) onLoop(() -> core.metrics().activeRequests()));
+            assertEquals(0L, (long) onLoop(() -> core.metrics().forwardedAttempts()), "nothing of it was forwarded");
+            assertEquals("served", open(stays).what());
+            assertEquals(1, servers.get(0).initials.get(), "that of the other client");
+        }
+    }
+
+    /** The same between two attempts: the first member refuses while the client closes. */
+    @Test
+    void opensNoRetryForAClientWhoseCloseHasArrived() throws IOException {
+        front(Manner.SILENT, Manner.SILENT);
+        try (Client client = new Client(front.address(), 1)) {
+            client.send(client.initial());
+            while (servers.get(0).initials.get() + servers.get(1).initials.get() == 0) {
+                Thread.onSpinWait();
+            }
+            onLoop(() -> {
+                client.send(close(client));
+                // Its attempt fails in the turn in which the close is still unread.
+                QuicSession session = front.table.path(client.first).session();
+                core.attemptEnded(session.flow(), tulipshed.decision.BalancerApi.Outcome.FULL);
+                session.abandon(session.flow());
+                return null;
+            });
+            taken(2);
+            assertEquals(0, (int) onLoop(() -> core.metrics().activeRequests()));
+            assertEquals(1L, (long) onLoop(() -> core.metrics().forwardedAttempts()), "the first attempt only");
+        }
+    }
 }
