--- a/node/src/main/java/tulipshed/cli/NodeStartup.java
+++ b/node/src/main/java/tulipshed/cli/NodeStartup.java
@@ -1,10 +1,10 @@
 package tulipshed.cli;
 
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import org.jboss.logging.Logger;
+import tulipshed.config.MalformedInputException;
 import tulipshed.config.NodeConfig;
 import tulipshed.quic.QuicConfig;
 import tulipshed.transport.HotRestartState;
@@ -38,7 +38,8 @@
     /**
      * Starts a node and waits until it accepts clients.
      *
-     * @throws IOException when an address cannot be bound, or when the calling thread is interrupted
+     * @throws IOException when the clients' address cannot be bound, or when the calling thread is interrupted
+     * @throws MalformedInputException when another address cannot be bound
      */
     static NodeComponents start(NodeOptions options) throws IOException {
         QuicConfig quicConfig = options.operators().quic() == null
@@ -65,7 +66,7 @@
 
     private void begin(QuicConfig quicConfig) {
         try {
-            components = new NodeAssembly(options, loop).assemble(quicConfig);
+            components = assemble(quicConfig);
             if (hotRestart.isPeerServing()) {
                 // What discovery has notified the other process of binds this one too, so it catches up before it
                 // serves.
@@ -75,11 +76,21 @@
                 serve();
             }
             components.watch().setPushed(!config.settings().polledDiscovery());
-        } catch (IOException | RuntimeException e) {
+        } catch (RuntimeException e) {
             started.completeExceptionally(e);
         }
     }
 
+    private NodeComponents assemble(QuicConfig quicConfig) {
+        try {
+            return new NodeAssembly(options, loop).assemble(quicConfig);
+        } catch (IOException e) {
+            // The management server is the only component that binds an address here.
+            throw new MalformedInputException(
+                    "management server cannot listen on " + config.management() + ": " + e.getMessage());
+        }
+    }
+
     private void takeOver(double deadlineMs) {
         if (components.core().endpointListReceived() || options.clock().nowMs() >= deadlineMs) {
             serve();
@@ -95,9 +106,8 @@
             new HotRestartMonitor(options, components).check();
             log.info(config.name() + " serves on " + config.listen()
                     + (hotRestart.hasPeer() ? ", alongside another process" : ""));
+            components.quic().nodeStarted();
             started.complete(components);
-        } catch (UncheckedIOException e) {
-            started.completeExceptionally(e.getCause());
         } catch (IOException | RuntimeException e) {
             started.completeExceptionally(e);
         }
--- a/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
+++ b/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
@@ -1,8 +1,8 @@
 package tulipshed.cli;
 
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import org.jboss.logging.Logger;
+import tulipshed.config.MalformedInputException;
 import tulipshed.config.NameIndex;
 import tulipshed.operators.OperatorsFile;
 import tulipshed.proxy.ProxyCore;
@@ -25,6 +25,11 @@
     /** Null until the frontend is open. */
     private QuicFront frontend;
 
+    private boolean nodeStarted;
+
+    /** Why it could not be opened the last time; empty before. */
+    private String openFailure = "";
+
     /**
      * Creates a closed frontend.
      *
@@ -42,7 +47,8 @@
     /**
      * Opens the frontend where it is configured and not open yet.
      *
-     * @throws UncheckedIOException when the configured address cannot be bound
+     * @throws MalformedInputException when a configured address cannot be bound while the node starts; later, once the
+     *     other process of a hot restart has gone, the failure is logged and each call tries again
      */
     void openIfConfigured() {
         if (frontend != null || configAtStart == null) {
@@ -53,10 +59,25 @@
                     new QuicFront(options.clock(), options.limits(), configAtStart, names, loop, core, options.log());
             log.info("QUIC frontend listens on " + frontend.address());
         } catch (IOException e) {
-            throw new UncheckedIOException("QUIC: " + e.getMessage(), e);
+            openFailed("QUIC frontend " + e.getMessage());
+        }
+    }
+
+    private void openFailed(String reason) {
+        if (!nodeStarted) {
+            throw new MalformedInputException(reason);
+        }
+        if (!reason.equals(openFailure)) {
+            openFailure = reason;
+            log.warn(reason);
         }
     }
 
+    /** The node serves: from now on a frontend that cannot be opened is no reason to end it. */
+    void nodeStarted() {
+        nodeStarted = true;
+    }
+
     /** Applies changed names and, to an open frontend, the operators' file; a file without QUIC keeps what there is. */
     void reconfigure(NameIndex changedNames, OperatorsFile operators) {
         names = changedNames;
--- a/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
+++ b/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static tulipshed.testing.LoopbackSockets.connect;
 import static tulipshed.testing.LoopbackSockets.listen;
@@ -11,6 +12,8 @@
 
 import java.io.BufferedReader;
 import java.io.IOException;
+import java.net.DatagramSocket;
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -26,6 +29,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.yaml.snakeyaml.Yaml;
 import tulipshed.config.JsonValues;
+import tulipshed.config.MalformedInputException;
 import tulipshed.config.NodeConfig;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
@@ -66,14 +70,17 @@
     }
 
     private void startNode(Limits limits, OperatorsFile operators) throws IOException {
+        node = Node.start(NodeOptions.withoutHotRestart(
+                loadConfig(), operators, limits, new SystemClock(), NodeLog.to(log::add)));
+    }
+
+    private NodeConfig loadConfig() throws IOException {
         Path config = NodeConfigFile.fromTemplate()
                 .listenPort(0)
                 .endpointPort(endpoint.getLocalPort())
                 .replaceAll("(\"HardLimitS\": )[34]", "$1" + longestDeadlineS)
                 .writeTo(directory);
-        Map<String, String> environment = Map.of("PROXY_CONFIG", config.toString(), "PROXY_MANAGEMENT", "127.0.0.1:0");
-        node = Node.start(NodeOptions.withoutHotRestart(
-                NodeConfig.load(environment), operators, limits, new SystemClock(), NodeLog.to(log::add)));
+        return NodeConfig.load(Map.of("PROXY_CONFIG", config.toString(), "PROXY_MANAGEMENT", "127.0.0.1:0"));
     }
 
     private Socket connectClient(String firstLines) throws IOException {
@@ -238,6 +245,34 @@
         }
     }
 
+    /** Signals that arrive together are handled in any order, and whoever sends SIGKILL may count by either deadline. */
+    @Test
+    void reloadThatCrossesTheSignalOrFollowsItDoesNotLengthenTheShutdown() throws Exception {
+        for (boolean reloadFirst : new boolean[] {true, false}) {
+            longestDeadlineS = 1;
+            startNode(1024);
+            longestDeadlineS = 4;
+            NodeConfig longer = loadConfig();
+            long sinceNs = System.nanoTime();
+            if (reloadFirst) {
+                node.reload(longer, OperatorsFile.EMPTY);
+                node.shutDown();
+            } else {
+                Thread shutdown = new Thread(node::shutDown);
+                shutdown.start();
+                while (!node.isShuttingDown()) {
+                    Thread.onSpinWait();
+                }
+                node.reload(longer, OperatorsFile.EMPTY);
+                shutdown.join();
+            }
+            // The longest deadline was 1.8 s; by the new one it would be 3.2 s at least.
+            assertTrue(System.nanoTime() - sinceNs < 2_500_000_000L, "the reload first: " + reloadFirst);
+            assertTrue(log.stream().anyMatch(line -> line.startsWith("INFO node: configuration reloaded")));
+            log.clear();
+        }
+    }
+
     @Test
     void quicFrontendListensOnlyWhereTheOperatorsFileConfiguresIt() throws IOException {
         Path file = directory.resolve("tulipshed.sexp");
@@ -255,6 +290,35 @@
         assertFalse(log.stream().anyMatch(line -> line.contains("QUIC")), log.toString());
     }
 
+    private String startFailure(OperatorsFile operators, String managementAddress) throws IOException {
+        Path config = NodeConfigFile.fromTemplate().listenPort(0).writeTo(directory);
+        NodeConfig loaded =
+                NodeConfig.load(Map.of("PROXY_CONFIG", config.toString(), "PROXY_MANAGEMENT", managementAddress));
+        return assertThrows(
+                        MalformedInputException.class,
+                        () -> Node.start(NodeOptions.withoutHotRestart(
+                                loaded, operators, Limits.forDescriptors(1024), new SystemClock(), NodeLog.silent())))
+                .getMessage();
+    }
+
+    /** Otherwise staff look for what uses the clients' address. */
+    @Test
+    void addressThatCannotBeBoundIsNamed() throws IOException {
+        String taken = ":" + endpoint.getLocalPort();
+        String management = startFailure(OperatorsFile.EMPTY, "127.0.0.1" + taken);
+        assertTrue(management.startsWith("management server cannot listen on /127.0.0.1" + taken + ": "), management);
+        try (DatagramSocket udp = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            String port = ":" + udp.getLocalPort();
+            Path file = directory.resolve("tulipshed.sexp");
+            Files.writeString(
+                    file, Files.readString(Path.of("../example/tulipshed.sexp")).replace(":4433", port));
+            var names = NodeConfig.load(Map.of("PROXY_CONFIG", "src/test/resources/node.json"))
+                    .nameIndex();
+            String quic = startFailure(OperatorsFile.load(file, names), "127.0.0.1:0");
+            assertTrue(quic.startsWith("QUIC frontend cannot listen on /127.0.0.1" + port + ": "), quic);
+        }
+    }
+
     /** Otherwise a node at its limit would accept clients that it cannot connect upstream, or accept none. */
     @Test
     void rejectsClientsWithoutDescriptorsAndRecovers() throws IOException {
