--- a/node/src/main/java/tulipshed/cli/NodeStartup.java
+++ b/node/src/main/java/tulipshed/cli/NodeStartup.java
@@ -7,6 +7,7 @@
 import tulipshed.config.MalformedInputException;
 import tulipshed.config.NodeConfig;
 import tulipshed.quic.QuicConfig;
+import tulipshed.time.SystemWallClock;
 import tulipshed.transport.HotRestartState;
 import tulipshed.transport.XnioEventLoop;
 
@@ -44,7 +45,7 @@
     static NodeComponents start(NodeOptions options) throws IOException {
         QuicConfig quicConfig = options.operators().quic() == null
                 ? null
-                : QuicConfig.of(options.operators().quic());
+                : QuicConfig.of(options.operators().quic(), options.limits(), new SystemWallClock());
         XnioEventLoop loop = new XnioEventLoop(options.limits(), options.hotRestart(), options.log());
         NodeStartup startup = new NodeStartup(options, loop);
         loop.execute(() -> startup.begin(quicConfig));
--- a/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
+++ b/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
@@ -8,6 +8,7 @@
 import tulipshed.proxy.ProxyCore;
 import tulipshed.quic.QuicConfig;
 import tulipshed.quic.QuicFront;
+import tulipshed.time.SystemWallClock;
 import tulipshed.transport.XnioEventLoop;
 
 /**
@@ -86,7 +87,7 @@
         }
         frontend.reconfigure(names);
         if (operators.quic() != null) {
-            frontend.reconfigure(QuicConfig.of(operators.quic()));
+            frontend.reconfigure(QuicConfig.of(operators.quic(), options.limits(), new SystemWallClock()));
         }
     }
 
--- a/node/src/main/java/tulipshed/limits/DefaultLimits.java
+++ b/node/src/main/java/tulipshed/limits/DefaultLimits.java
@@ -147,6 +147,7 @@
         double unknownDatagramSliceMs = 1;
         int maxUnconfirmedConnections = 512;
         int receiveBufferBytes = 4 * MEBIBYTE;
+        double tokenClockToleranceMs = 2 * 3_600_000;
         return new Limits.Quic(
                 datagramBytes,
                 maxConnections,
@@ -166,7 +167,8 @@
                 maxUnknownDatagrams,
                 unknownDatagramSliceMs,
                 maxUnconfirmedConnections,
-                receiveBufferBytes);
+                receiveBufferBytes,
+                tokenClockToleranceMs);
     }
 
     private static Limits.HealthChecks healthChecks() {
--- a/node/src/main/java/tulipshed/limits/Limits.java
+++ b/node/src/main/java/tulipshed/limits/Limits.java
@@ -167,6 +167,7 @@
      * @param maxUnconfirmedConnections the connections adopted by their ID alone that no endpoint has confirmed; the
      *     oldest is evicted
      * @param receiveBufferBytes the kernel's receive buffer of a socket, if the kernel allows that much
+     * @param tokenClockToleranceMs how far the wall clock of a node that sealed a Retry token may be from this node's
      */
     public record Quic(
             int datagramBytes,
@@ -187,7 +188,8 @@
             int maxUnknownDatagrams,
             double unknownDatagramSliceMs,
             int maxUnconfirmedConnections,
-            int receiveBufferBytes) {}
+            int receiveBufferBytes,
+            double tokenClockToleranceMs) {}
 
     /**
      * Health checks of endpoints.
--- a/node/src/main/java/tulipshed/quic/QuicConfig.java
+++ b/node/src/main/java/tulipshed/quic/QuicConfig.java
@@ -3,7 +3,9 @@
 import java.net.InetSocketAddress;
 import tulipshed.connectionid.ServerIds;
 import tulipshed.connectionid.StatelessReset;
+import tulipshed.limits.Limits;
 import tulipshed.operators.QuicSection;
+import tulipshed.time.WallClock;
 
 /**
  * What the second front works with: where it listens, and besides where servers may tell clients to go (null
@@ -23,7 +25,7 @@
         RetryPolicy policy) {
 
     /** From what the operators' file says, which has been checked. */
-    public static QuicConfig of(QuicSection s) {
+    public static QuicConfig of(QuicSection s, Limits limits, WallClock wallClock) {
         IdConfigurations ids = new IdConfigurations();
         for (QuicSection.Ids i : s.ids()) {
             ids = ids.with(
@@ -39,7 +41,10 @@
                 s.deadlineMs(),
                 ids,
                 new StatelessReset(s.resetKey()),
-                r == null ? null : new RetryTokens(r.keys(), r.use(), r.expiresMs()),
+                r == null
+                        ? null
+                        : new RetryTokens(
+                                r.keys(), r.use(), r.expiresMs(), limits.quic().tokenClockToleranceMs(), wallClock),
                 r == null ? null : new RetryPolicy(r.on(), r.off(), r.stayMs()));
     }
 }
--- a/node/src/main/java/tulipshed/quic/QuicFront.java
+++ b/node/src/main/java/tulipshed/quic/QuicFront.java
@@ -422,7 +422,7 @@
         byte[] id = new byte[RETRY_ID];
         random.nextBytes(id);
         ConnectionId given = new ConnectionId(id);
-        byte[] token = config.tokens().seal(to, initial.destination(), given, clock.nowMs(), random);
+        byte[] token = config.tokens().seal(to, initial.destination(), given, clock.nowMs());
         counted.count(Figure.RETRY_SENT);
         listener.send(to, RetryPacket.make(version, initial.source(), given, initial.destination(), token, random));
     }
