--- a/node/src/main/java/tulipshed/limits/DefaultLimits.java
+++ b/node/src/main/java/tulipshed/limits/DefaultLimits.java
@@ -96,11 +96,28 @@
         double acceptMs = 500;
         double migrateAfterMs = 1_500;
         double maxDeadlineMs = 3_000;
-        double endMarginMs = 200;
+        double killAfterDeadlineMs = 700;
+        double holdUpMs = 150;
+        double exitMs = 50;
+        double signalOrderMs = 500;
+        double lingerMs = 300;
+        double responseLingerMs = 100;
+        double minLingerMs = 50;
         double takeoverListTimeoutMs = 1_500;
         int sharedIds = 4096;
         return new Limits.Shutdown(
-                acceptMs, migrateAfterMs, maxDeadlineMs, endMarginMs, takeoverListTimeoutMs, sharedIds);
+                acceptMs,
+                migrateAfterMs,
+                maxDeadlineMs,
+                killAfterDeadlineMs,
+                holdUpMs,
+                exitMs,
+                signalOrderMs,
+                lingerMs,
+                responseLingerMs,
+                minLingerMs,
+                takeoverListTimeoutMs,
+                sharedIds);
     }
 
     private static Limits.Management management() {
@@ -130,6 +147,7 @@
         double unknownDatagramSliceMs = 1;
         int maxUnconfirmedConnections = 512;
         int receiveBufferBytes = 4 * MEBIBYTE;
+        double tokenClockToleranceMs = 2 * 3_600_000;
         return new Limits.Quic(
                 datagramBytes,
                 maxConnections,
@@ -149,7 +167,8 @@
                 maxUnknownDatagrams,
                 unknownDatagramSliceMs,
                 maxUnconfirmedConnections,
-                receiveBufferBytes);
+                receiveBufferBytes,
+                tokenClockToleranceMs);
     }
 
     private static Limits.HealthChecks healthChecks() {
