--- a/node/src/main/java/tulipshed/proxy/AttemptManager.java
+++ b/node/src/main/java/tulipshed/proxy/AttemptManager.java
@@ -97,7 +97,9 @@
     /** See {@link ProxyCore#mayForward}. */
     boolean mayForward(Attempt attempt) {
         Request request = attempt.request();
-        if (!attempt.isEnded() && !request.mayForward(clock.nowMs())) {
+        double nowMs = clock.nowMs();
+        boolean isInTime = attempt.remainingWaitMs(nowMs) > 0 && request.mayForward(nowMs);
+        if (!attempt.isEnded() && !isInTime) {
             ended(attempt, Outcome.UNUSED, LoadReport.NONE);
             return false;
         }
--- a/node/src/main/java/tulipshed/proxy/ProxyCore.java
+++ b/node/src/main/java/tulipshed/proxy/ProxyCore.java
@@ -147,8 +147,9 @@
 
     /**
      * Whether the attempt's first byte may be sent; to be asked once its connection is up. Not so where the endpoint has
-     * started to drain or was removed while the connection was made, and where the deduplication window of a retry has
-     * passed meanwhile. The latter ends the attempt as unused, which does not count against the endpoint.
+     * started to drain or was removed while the connection was made, and where the time of the attempt or the deduplication
+     * window of a retry has passed meanwhile. The latter two end the attempt as unused, which does not count against the
+     * endpoint.
      */
     public boolean mayForward(Attempt attempt) {
         return attempts.mayForward(attempt);
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
@@ -298,13 +298,13 @@
             assertEquals("ERR", client.readLine());
             assertNull(client.readLine());
         }
-        // An endpoint saw one line of the client's at most, and that attempt has ended.
+        // An endpoint saw one line of the client's at most, and the one attempt that was decided on has ended.
         endpointListener.setSoTimeout(300);
         try (LineSocket server = acceptUpstream()) {
             String first = server.readLine();
             assertTrue(first == null || server.readLine() == null);
         } catch (java.net.SocketTimeoutException none) {
-            assertTrue(outcomes.isEmpty());
+            assertEquals(List.of(BalancerApi.Outcome.UNUSED), List.copyOf(outcomes));
         }
     }
 
--- a/node/src/test/java/tulipshed/proxy/AttemptManagerTest.java
+++ b/node/src/test/java/tulipshed/proxy/AttemptManagerTest.java
@@ -34,6 +34,15 @@
                 fixture.takeRecorded());
     }
 
+    /** The event loop was busy when the attempt's time ended, so that its timer comes after its connection. */
+    @Test
+    void doesNotForwardAttemptWhoseTimeHasPassed() {
+        Attempt attempt = fixture.startAttempt(2000);
+        fixture.clock.advance(1961);
+        assertFalse(fixture.core.mayForward(attempt));
+        assertEquals("finished 0 UNUSED", fixture.takeRecorded().get(0), "before the request is found to be undecided");
+    }
+
     /** The decision came in time, but the request would be sent too late. */
     @Test
     void doesNotForwardRetryAfterDeduplicationWindow() {
--- a/node/src/test/java/tulipshed/proxy/RequestLifecycleTest.java
+++ b/node/src/test/java/tulipshed/proxy/RequestLifecycleTest.java
@@ -6,6 +6,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.decision.BalancerApi.Outcome;
 
 /** The one final response of each request. */
@@ -41,6 +43,38 @@
         assertFalse(fixture.core.attemptEstablished(attempt));
     }
 
+    /** Otherwise the decision module would count the attempt at its endpoint for ever. */
+    @Test
+    void reportsAttemptAsUnusedWhenClientDisconnectedBeforeItsStart() {
+        Request request = fixture.requestArrives(2000);
+        fixture.core.clientDisconnected(request);
+        fixture.decisions.startAttempt(1, "s-1", 0);
+        fixture.core.runBatch();
+        assertEquals(List.of("request 2000", "abandoned", "finished 0 UNUSED concluded"), fixture.takeRecorded());
+    }
+
+    /** The last attempt ends just as a missing decision would be noticed. */
+    @Test
+    void failsRequestWithoutDecisionAfterItsLastAttempt() {
+        assertTrue(fixture.core.mayForward(fixture.startAttempt(300)));
+        fixture.advance(299);
+        assertEquals(List.of("give up", "finished 0 TIMEOUT"), fixture.takeRecorded());
+        fixture.advance(1);
+        assertEquals("client: fail", fixture.takeRecorded().get(1));
+    }
+
+    /** The margin for the response leaves no time for an attempt, but the decision module still says what to answer. */
+    @ParameterizedTest
+    @ValueSource(doubles = {1, 20, 40})
+    void leavesResponseToDecisionModuleWhenNoAttemptIsPossible(double timeoutMs) {
+        fixture.requestArrives(timeoutMs);
+        fixture.decisions.startAttempt(1, "s-1", 0);
+        fixture.core.runBatch();
+        assertEquals(List.of("request " + (int) timeoutMs, "finished 0 UNUSED"), fixture.takeRecorded());
+        fixture.advance(timeoutMs);
+        assertEquals("client: fail", fixture.takeRecorded().get(1), "at its deadline at the latest");
+    }
+
     @Test
     void shutdownMigratesEstablishedAndRejectsPending() {
         fixture.core.attemptEstablished(fixture.startAttempt(2000));
