--- a/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
@@ -1,5 +1,6 @@
 package tulipshed.lineprotocol;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import org.xnio.StreamConnection;
@@ -73,8 +74,11 @@
     }
 
     private void connect() {
-        pendingConnection =
-                context.eventLoop().connect(address, this::onConnected, reason -> end(Outcome.CONNECT_FAILED));
+        pendingConnection = context.eventLoop().connect(address, this::onConnected, this::onConnectFailed);
+    }
+
+    private void onConnectFailed(IOException reason) {
+        end(ConnectFailures.isLocal(reason) ? Outcome.UNUSED : Outcome.CONNECT_FAILED);
     }
 
     private void onConnected(StreamConnection connected) {
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
@@ -1,6 +1,8 @@
 package tulipshed.lineprotocol;
 
+import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.util.OptionalDouble;
 import org.xnio.StreamConnection;
 import tulipshed.decision.BalancerApi.Outcome;
 import tulipshed.proxy.Attempt;
@@ -30,6 +32,7 @@
     private final CrlfDecoder decoder;
     private final EndpointReports reports;
     private final InactivityDetector inactivityDetector;
+    private final RedialBackoff redialBackoff = new RedialBackoff();
     private final StreamReader.Receiver endpointInput = new EndpointInput();
     private State state = State.CONNECTING;
     private XnioEventLoop.PendingConnection pendingConnection;
@@ -62,8 +65,29 @@
             end(Outcome.UNUSED);
             return;
         }
-        pendingConnection = context.eventLoop()
-                .connect(attempt.endpoint().address(), this::onConnected, reason -> end(Outcome.CONNECT_FAILED));
+        pendingConnection =
+                context.eventLoop().connect(attempt.endpoint().address(), this::onConnected, this::onConnectFailed);
+    }
+
+    private void onConnectFailed(IOException reason) {
+        if (!ConnectFailures.isLocal(reason)) {
+            end(Outcome.CONNECT_FAILED);
+            return;
+        }
+        OptionalDouble delayMs = redialBackoff.nextDelayMs(attempt.remainingWaitMs(nowMs()));
+        if (delayMs.isPresent()) {
+            context.eventLoop().schedule(delayMs.getAsDouble(), this::redial);
+        } else {
+            end(Outcome.UNUSED);
+        }
+    }
+
+    /** Connects again for the same attempt, unless it was abandoned or its client has gone. */
+    private void redial() {
+        client.readAvailableInput();
+        if (state == State.CONNECTING && attempt.request().isPending()) {
+            connect();
+        }
     }
 
     private void onConnected(StreamConnection connected) {
@@ -82,10 +106,13 @@
     }
 
     private double remainingWaitMs() {
-        double nowMs = context.clock().nowMs();
         return client.openCommand().isAdopted()
-                ? attempt.request().deadlineMs() - nowMs
-                : attempt.remainingWaitMs(nowMs);
+                ? attempt.request().deadlineMs() - nowMs()
+                : attempt.remainingWaitMs(nowMs());
+    }
+
+    private double nowMs() {
+        return context.clock().nowMs();
     }
 
     // ---- Closing ----
@@ -118,6 +145,10 @@
 
     @Override
     public void onReadable(TcpConnection from) {
+        if (state == State.AWAITING_RESPONSE) {
+            // A client that has gone is not established, and what it sent early goes nowhere.
+            client.readAvailableInput();
+        }
         StreamReader.read(connection, context.readBuffer(), StreamReader.UNLIMITED_READS, endpointInput);
     }
 
@@ -166,20 +197,18 @@
 
     private void handleLine(byte[] line) {
         EndpointMessage message = EndpointMessage.parse(line);
+        OptionalDouble value = reports.received(message);
         if (state == State.ESTABLISHED) {
+            value.ifPresent(this::reportValue);
+            // Last, as it ends this attempt where the client's connection breaks.
             client.sendFromEndpoint(line);
-        }
-        reports.received(message).ifPresent(this::reportValue);
-        if (state != State.ESTABLISHED) {
+        } else {
             handleResponse(message, line);
         }
     }
 
     /** One message has two meanings: where the settings say that endpoints report latency, its value is milliseconds. */
     private void reportValue(double value) {
-        if (state != State.ESTABLISHED) {
-            return;
-        }
         if (frontend.loadReportsLatency()) {
             context.core().latencyReported(attempt, value);
         } else {
@@ -241,7 +270,7 @@
 
     /** Passes bytes of the client on. */
     void sendFromClient(byte[] bytes) {
-        inactivityDetector.requestSent(context.clock().nowMs());
+        inactivityDetector.requestSent(nowMs());
         connection.write(bytes);
     }
 
--- a/node/src/test/java/tulipshed/lineprotocol/HealthCheckConnectionsTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/HealthCheckConnectionsTest.java
@@ -126,6 +126,14 @@
         assertEquals(Outcome.CONNECT_FAILED, nextResult().outcome());
     }
 
+    /** This machine cannot begin to connect, which says nothing of the endpoint. */
+    @Test
+    void reportsLocalConnectFailureAsUnused() throws Exception {
+        loop.execute(() -> listFirstEndpointAt(UNREACHABLE));
+        startHealthCheck();
+        assertEquals(Outcome.UNUSED, nextResult().outcome());
+    }
+
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFixture.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFixture.java
@@ -39,6 +39,9 @@
  */
 abstract class LineProtocolFixture {
     static final String OPEN_COMMAND = "OPEN 9b1f k c=slot-board,t=melnik-terminal,d=4000\r\n";
+    /** The broadcast address of the loopback network: the kernel refuses at once to connect, with ENETUNREACH. */
+    static final InetSocketAddress UNREACHABLE = new InetSocketAddress("127.255.255.255", 9);
+
     final BlockingQueue<Double> latencies = new LinkedBlockingQueue<>();
     final BlockingQueue<Double> loads = new LinkedBlockingQueue<>();
     final BlockingQueue<BalancerApi.Outcome> outcomes = new LinkedBlockingQueue<>();
@@ -170,6 +173,13 @@
                 listener.getLocalSocketAddress());
     }
 
+    /** On the event loop: the endpoint list now names the first endpoint as serving at this address. */
+    void listFirstEndpointAt(InetSocketAddress address) {
+        EndpointInfo info =
+                endpointEntry("s-1", EndpointStatus.SERVING, endpointListener).info();
+        core.endpointsChanged(EndpointListKind.CHANGES, List.of(new EndpointListEntry(info, address)));
+    }
+
     /** Adds the second endpoint to the list, serving. */
     void addSecondEndpoint() throws Exception {
         CountDownLatch notified = new CountDownLatch(1);
--- a/node/src/test/java/tulipshed/lineprotocol/RaceConditionFixture.java
+++ b/node/src/test/java/tulipshed/lineprotocol/RaceConditionFixture.java
@@ -1,5 +1,6 @@
 package tulipshed.lineprotocol;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
@@ -7,6 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
 import tulipshed.decision.BalancerApi.EndpointListKind;
 import tulipshed.decision.BalancerApi.EndpointStatus;
 
@@ -53,6 +55,34 @@
         core.endpointsChanged(EndpointListKind.CHANGES, List.of(endpointEntry("s-1", status, endpointListener)));
     }
 
+    /** The node's side of a client that is connected and has sent no open command. */
+    final ClientSession sessionOf(LineSocket client) throws Exception {
+        client.send("PING\r\n");
+        assertEquals("PONG", client.readLine());
+        return onLoop(() -> frontend.unservedConnections().opening().get(0));
+    }
+
+    /** Returns once the task has run on the event loop, and throws what it threw. */
+    final void runOnLoop(Runnable task) throws Exception {
+        onLoop(() -> {
+            task.run();
+            return null;
+        });
+    }
+
+    /** What the query yields on the event loop. */
+    final <T> T onLoop(Supplier<T> query) throws Exception {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        loop.execute(() -> {
+            try {
+                result.complete(query.get());
+            } catch (RuntimeException | AssertionError e) {
+                result.completeExceptionally(e);
+            }
+        });
+        return result.get(10, TimeUnit.SECONDS);
+    }
+
     /** The next request that reaches an endpoint is another client's: none was sent for the client that has gone. */
     void assertNextRequestIsAnotherClients() throws IOException {
         try (LineSocket other = connectClient()) {
