--- a/node/src/main/java/tulipshed/lineprotocol/ClientSession.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientSession.java
@@ -64,6 +64,11 @@
         return isInputEnded;
     }
 
+    /** The connection of the latest attempt; null before the first one, and once it was abandoned. */
+    UpstreamConnection upstream() {
+        return upstream;
+    }
+
     /** When the connection was taken over. */
     double acceptedAtMs() {
         return acceptedAtMs;
@@ -78,19 +83,59 @@
 
     @Override
     public void onReadable(TcpConnection from) {
-        if (state == State.RELAYING) {
-            StreamReader.read(connection, context.readBuffer(), StreamReader.UNLIMITED_READS, relay);
-        } else {
-            // A client that sends without end must not keep the event loop to itself; the rest is notified again.
-            int maxReads = context.limits().sockets().maxReadsPerEvent();
-            StreamReader.read(connection, context.readBuffer(), maxReads, requestReader);
+        try {
+            if (state == State.RELAYING) {
+                StreamReader.read(connection, context.readBuffer(), StreamReader.UNLIMITED_READS, relay);
+            } else {
+                readSome();
+            }
+        } catch (RuntimeException e) {
+            onDefect(e);
         }
     }
 
-    /** Reads what has arrived and was not notified yet: the client's end, or its open command. */
+    /**
+     * Reads all that has arrived and was not notified yet: the client's end, or its open command. What a client may send
+     * before its response is bounded, so that this ends; what comes after the response is not, and is left to the next event.
+     */
     void readAvailableInput() {
-        if (state != State.RELAYING && !connection.isClosed()) {
-            onReadable(connection);
+        if (state == State.RELAYING || connection.isClosed()) {
+            return;
+        }
+        try {
+            boolean mayHaveMore = true;
+            while (mayHaveMore) {
+                mayHaveMore = readSome() && state != State.CLOSING;
+            }
+        } catch (RuntimeException e) {
+            onDefect(e);
+        }
+    }
+
+    /**
+     * Reads outside of a relay; returns whether there may be more. A client that sends without end must not keep the event
+     * loop to itself.
+     */
+    private boolean readSome() {
+        int maxReads = context.limits().sockets().maxReadsPerEvent();
+        return StreamReader.read(connection, context.readBuffer(), maxReads, requestReader);
+    }
+
+    /** Ends this connection alone after a defect of this program, with a response where one is owed. */
+    private void onDefect(RuntimeException defect) {
+        context.recordDefect(defect);
+        switch (state) {
+            case OPENING, PENDING -> {
+                if (request != null) {
+                    context.core().clientDisconnected(request);
+                }
+                fail();
+            }
+            case RELAYING -> {
+                upstream.onClientBroken();
+                onUpstreamBroken();
+            }
+            default -> close();
         }
     }
 
@@ -107,7 +152,7 @@
         }
         state = State.PENDING;
         frontend.unservedConnections().openCommandReceived(this);
-        request = new Request(
+        Request arrived = new Request(
                 this,
                 this,
                 command.attributes(),
@@ -115,10 +160,11 @@
                 context.clock().nowMs(),
                 command.isAdopted());
         if (command.isAdopted()) {
-            context.core().adoptConnection(request, command.adoptedFrom());
+            context.core().adoptConnection(arrived, command.adoptedFrom());
         } else {
-            context.core().requestArrived(request);
+            context.core().requestArrived(arrived);
         }
+        request = arrived;
     }
 
     /** Fails a client that does not follow the protocol, and cancels its pending request. */
@@ -144,10 +190,18 @@
                 fail();
             }
             case RELAYING -> upstream.onClientEndOfStream();
+            case CLOSING -> closeOnceWritten();
             default -> close();
         }
     }
 
+    /** Nothing more comes from the client, but it may not have read all that is queued for it. */
+    private void closeOnceWritten() {
+        if (connection.queuedBytes() == 0) {
+            close();
+        }
+    }
+
     @Override
     public void onBroken(TcpConnection from) {
         switch (state) {
--- a/node/src/main/java/tulipshed/lineprotocol/FrontendContext.java
+++ b/node/src/main/java/tulipshed/lineprotocol/FrontendContext.java
@@ -13,6 +13,7 @@
  * @param readBuffer used by whichever connection reads; holds nothing between two notifications
  * @param clientErrors counts clients that are rejected for malformed input
  * @param upstreamErrors counts malformed lines of endpoints
+ * @param defects counts connections that were ended because of a defect of this program
  */
 record FrontendContext(
         Clock clock,
@@ -21,4 +22,13 @@
         ProxyCore core,
         ByteBuffer readBuffer,
         ProtocolErrorLog clientErrors,
-        ProtocolErrorLog upstreamErrors) {}
+        ProtocolErrorLog upstreamErrors,
+        ProtocolErrorLog defects) {
+
+    /** Counts a defect of this program that was met while one connection was served; quotes no input. */
+    void recordDefect(RuntimeException defect) {
+        StackTraceElement[] trace = defect.getStackTrace();
+        String location = trace.length > 0 ? trace[0].toString() : "unknown location";
+        defects.record(defect.getClass().getName() + " at " + location);
+    }
+}
--- a/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
+++ b/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
@@ -56,7 +56,8 @@
                 core,
                 ByteBuffer.allocateDirect(limits.sockets().readBytes()),
                 new ProtocolErrorLog("client", "clients rejected for malformed input", limits, log),
-                new ProtocolErrorLog("upstream", "malformed upstream lines ignored", limits, log));
+                new ProtocolErrorLog("upstream", "malformed upstream lines ignored", limits, log),
+                new ProtocolErrorLog("client", "connections ended by a defect", limits, log));
         openRequestIds = new OpenRequestIds(eventLoop.hotRestartState());
         unservedConnections = new UnservedConnections(limits);
         healthCheckConnections = new HealthCheckConnections(context);
@@ -212,12 +213,14 @@
     }
 
     private void sweep() {
+        // First, so that a defect met in one sweep does not end all later ones.
+        scheduleSweep();
         double nowMs = context.clock().nowMs();
         List.copyOf(establishedUpstreams).forEach(upstream -> upstream.checkInactivity(nowMs));
         unservedConnections.overdue(nowMs).forEach(ClientSession::onOpenTimeout);
         context.clientErrors().flush(nowMs);
         context.upstreamErrors().flush(nowMs);
+        context.defects().flush(nowMs);
         healthCheckConnections.closeIdle(nowMs);
-        scheduleSweep();
     }
 }
--- a/node/src/main/java/tulipshed/lineprotocol/StreamReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/StreamReader.java
@@ -28,13 +28,15 @@
     /**
      * Reads until the connection has nothing more now, the receiver wants no more, or {@code maxReads} reads are done. A
      * break of the connection is notified to the connection's own listener.
+     *
+     * @return whether it ended for the number of reads alone, so that there may be more to read
      */
-    static void read(TcpConnection connection, ByteBuffer buffer, int maxReads, Receiver receiver) {
+    static boolean read(TcpConnection connection, ByteBuffer buffer, int maxReads, Receiver receiver) {
         for (int reads = 0; reads < maxReads && receiver.isReading(); reads++) {
             int capacityBytes = receiver.capacityBytes();
             if (capacityBytes <= 0) {
                 connection.setReading(false);
-                return;
+                return false;
             }
             buffer.clear().limit(Math.min(capacityBytes, buffer.capacity()));
             int readBytes = connection.read(buffer);
@@ -42,9 +44,10 @@
                 receiver.onEndOfStream();
             }
             if (readBytes <= 0) {
-                return;
+                return false;
             }
             receiver.onBytes(buffer.flip());
         }
+        return receiver.isReading();
     }
 }
--- a/node/src/main/java/tulipshed/lineprotocol/UnservedConnections.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UnservedConnections.java
@@ -2,7 +2,10 @@
 
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
+import java.util.function.Function;
+import java.util.stream.Stream;
 import tulipshed.limits.Limits;
 
 /**
@@ -44,13 +47,19 @@
         lingering.remove(session);
     }
 
-    /** Evicts the oldest connection, lingering ones first; false if there is none. */
+    /** Evicts one connection; false if there is none. */
     boolean evictOne() {
-        if (lingering.isEmpty() && opening.isEmpty()) {
-            return false;
-        }
-        oldest(lingering.isEmpty() ? opening : lingering).evict();
-        return true;
+        Optional<ClientSession> next = nextToEvict();
+        next.ifPresent(ClientSession::evict);
+        return next.isPresent();
+    }
+
+    /** The oldest of those to which all has been written, then of those that open, then of those that still read. */
+    private Optional<ClientSession> nextToEvict() {
+        Stream<ClientSession> drained = lingering.stream().filter(session -> session.queuedBytes() == 0);
+        return Stream.of(drained, opening.stream(), lingering.stream())
+                .flatMap(Function.identity())
+                .findFirst();
     }
 
     /** Copy of the sessions whose open command is awaited, oldest first. */
--- a/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
+import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
@@ -14,6 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.decision.BalancerApi.EndpointStatus;
 import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.limits.Limits;
 
 /** A client that leaves just as its request is about to be attempted, retried or forwarded. */
 class ClientDisconnectRaceTest extends RaceConditionFixture {
@@ -44,6 +46,88 @@
         assertNextRequestIsAnotherClients();
     }
 
+    /** Each read takes but a piece of the early data, so that the end is many reads away. */
+    @Test
+    void detectsEndOfStreamBehindManyReadsBeforeFirstAttempt() throws Exception {
+        stop();
+        start(withReadBytes(16));
+        beforeRequestArrived = this::holdLoop;
+        LineSocket client = connectClient();
+        client.send(OPEN_COMMAND);
+        await(loopHeld);
+        client.send("M 1 " + "x".repeat(1_000) + "\r\n");
+        client.close();
+        otherEventHappened.countDown();
+        assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
+        assertNextRequestIsAnotherClients();
+    }
+
+    private static Limits withReadBytes(int readBytes) {
+        Limits defaults = Limits.forDescriptors(1024);
+        Limits.Sockets sockets = defaults.sockets();
+        return defaults.with(new Limits.Sockets(
+                sockets.relayBytes(),
+                readBytes,
+                sockets.descriptors(),
+                sockets.reservedDescriptors(),
+                sockets.backlog(),
+                sockets.maxReadsPerEvent(),
+                sockets.maxAcceptsPerEvent(),
+                sockets.lingerTimeoutMs(),
+                sockets.sweepIntervalMs(),
+                sockets.overloadRetryAfterMs()));
+    }
+
+    /** The decision module is notified of both at once; the attempt that it still decides on must end for it too. */
+    @Test
+    void reportsAttemptAsUnusedWhenClientEndsBehindItsOpenCommand() throws Exception {
+        holdLoopThenRun(() -> {});
+        LineSocket client = connectClient();
+        client.send(OPEN_COMMAND);
+        client.close();
+        releaseLoopAndAwaitDecision();
+        assertEquals(Outcome.UNUSED, outcomes.poll(5, TimeUnit.SECONDS));
+        assertNextRequestIsAnotherClients();
+    }
+
+    @Test
+    void forwardsNoEarlyDataForClientGoneBeforeResponse() throws Exception {
+        LineSocket client = connectClient();
+        ClientSession session = sessionOf(client);
+        client.send(OPEN_COMMAND);
+        try (LineSocket server = acceptUpstream()) {
+            server.readLine();
+            client.send("M 1 early\r\n");
+            holdLoopThenRun(() -> session.upstream().onReadable(null));
+            client.close();
+            server.send("UP r1\r\n");
+            releaseLoopAndAwaitDecision();
+            assertNull(server.readLine());
+            assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
+        }
+    }
+
+    /** Regression: the line after which the client's connection broke was counted as an unexpected response. */
+    @Test
+    void countsNoLineAsMalformedWhenClientBreaks() throws Exception {
+        LineSocket client = connectClient();
+        ClientSession session = sessionOf(client);
+        client.send(OPEN_COMMAND);
+        try (LineSocket server = acceptUpstream()) {
+            server.send("UP r1\r\n");
+            assertEquals("UP r1", client.readLine());
+            holdLoopThenRun(() -> {
+                session.upstream().onReadable(null);
+                frontend.context().upstreamErrors().flush(Double.MAX_VALUE);
+            });
+            server.send("LOAD 1\r\nLOAD 2\r\n");
+            disconnect(client, "RST");
+            releaseLoopAndAwaitDecision();
+            assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
+            assertEquals(List.of(), logLines);
+        }
+    }
+
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
     void doesNotRetryForClientGoneBetweenAttempts(String how) throws Exception {
