--- a/node/src/main/java/tulipshed/proxy/EndpointRegistry.java
+++ b/node/src/main/java/tulipshed/proxy/EndpointRegistry.java
@@ -1,8 +1,9 @@
 package tulipshed.proxy;
 
 import java.util.Collection;
-import java.util.HashMap;
 import java.util.HashSet;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -14,7 +15,16 @@
  * event-loop thread.
  */
 final class EndpointRegistry {
-    private final Map<String, Endpoint> endpointsById = new HashMap<>();
+    /** So many endpoints may be remembered, listed or removed, however short the list is. */
+    private static final int MIN_REMEMBERED = 64;
+
+    /** Listed and removed endpoints may be remembered in this proportion to the listed ones. */
+    private static final int REMEMBERED_PER_LISTED = 2;
+
+    /** Oldest first. */
+    private final Map<String, Endpoint> endpointsById = new LinkedHashMap<>();
+
+    private int maxRemembered = MIN_REMEMBERED;
     private boolean listReceived;
 
     /** Applies an update of the list. */
@@ -27,6 +37,21 @@
             Endpoint endpoint = getOrCreate(entry.info().id());
             endpoint.update(entry.info(), entry.address() == null ? endpoint.address() : entry.address());
         }
+        forgetOldestRemoved();
+    }
+
+    /** Releases replace endpoints by others with new ids; connections that are still open hold their endpoint themselves. */
+    private void forgetOldestRemoved() {
+        if (endpointsById.size() <= maxRemembered) {
+            return;
+        }
+        maxRemembered = Math.max(MIN_REMEMBERED, REMEMBERED_PER_LISTED * (int) listedCount());
+        Iterator<Endpoint> oldestFirst = endpointsById.values().iterator();
+        while (endpointsById.size() > maxRemembered && oldestFirst.hasNext()) {
+            if (!oldestFirst.next().isListed()) {
+                oldestFirst.remove();
+            }
+        }
     }
 
     private void removeUnlisted(List<EndpointListEntry> entries) {
@@ -53,6 +78,11 @@
         return endpoint != null && endpoint.isAvailable();
     }
 
+    /** How many endpoints are remembered; for tests. */
+    int rememberedCount() {
+        return endpointsById.size();
+    }
+
     /** Whether discovery has delivered a list since the start, other than the cached one. */
     boolean isListReceived() {
         return listReceived;
--- a/node/src/test/java/tulipshed/proxy/EndpointRegistryTest.java
+++ b/node/src/test/java/tulipshed/proxy/EndpointRegistryTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import tulipshed.decision.BalancerApi.EndpointInfo;
 import tulipshed.decision.BalancerApi.EndpointListKind;
@@ -50,4 +51,23 @@
         assertFalse(endpoints.isAvailable("s-1"));
         assertFalse(endpoints.isAvailable("s-9"));
     }
+
+    /** A release gives each endpoint a new id; a process lives through many. */
+    @Test
+    void remembersBoundedNumberOfRemovedEndpoints() {
+        int endpointsPerRelease = 100;
+        for (int release = 0; release < 50; release++) {
+            endpoints.update(EndpointListKind.COMPLETE, release(release, endpointsPerRelease));
+        }
+        assertEquals(endpointsPerRelease, endpoints.listedCount());
+        assertTrue(endpoints.rememberedCount() <= 2 * endpointsPerRelease, "remembered " + endpoints.rememberedCount());
+        assertTrue(endpoints.find("s-49-0").isListed());
+        assertFalse(endpoints.isAvailable("s-0-0"));
+    }
+
+    private static List<EndpointListEntry> release(int number, int size) {
+        return IntStream.range(0, size)
+                .mapToObj(index -> serving("s-" + number + "-" + index))
+                .toList();
+    }
 }
