--- a/lab/src/main/java/tulipshed/lab/gate/DayDraw.java
+++ b/lab/src/main/java/tulipshed/lab/gate/DayDraw.java
@@ -22,6 +22,7 @@
     private final DayKind kind;
     private final UniformRandomProvider random;
     private final StringBuilder text = new StringBuilder();
+    private final Beside beside;
     private final int sites;
     private final int nodes;
     private final int members;
@@ -29,29 +30,41 @@
     /** How large days are: about that many nodes and members. */
     public record Size(int nodes, int members) {}
 
-    private DayDraw(DayKind kind, long seed, Size size) {
+    /** What every day has beside its own: a quiet time before all troubles, which is not judged, and more of a scenario. */
+    public record Beside(int quietS, String forms) {
+        /** Days as they are drawn. */
+        public static final Beside NOTHING = new Beside(0, "");
+    }
+
+    private DayDraw(DayKind kind, long seed, Size size, Beside beside) {
         this.kind = kind;
+        this.beside = beside;
         // One number, which the source spreads over its state: seeds that follow on each other draw nothing alike.
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * DayKind.values().length + kind.ordinal());
         // One site in six days has no zones.
         sites = random.nextInt(6) == 0 ? 1 : 3 + random.nextInt(3);
-        nodes = (int) Math.max(2, Math.round(size.nodes * between(0.92, 1.08)));
+        nodes = (int) Math.max(1, Math.round(size.nodes * between(0.92, 1.08)));
         members = (int) Math.max(4, Math.round(size.members * between(0.92, 1.08)));
     }
 
     /** The text of the day. */
     public static String text(DayKind kind, long seed, Size size) {
-        DayDraw d = new DayDraw(kind, seed, size);
+        return text(kind, seed, size, Beside.NOTHING);
+    }
+
+    /** The text of the day with more beside it. */
+    public static String text(DayKind kind, long seed, Size size, Beside beside) {
+        DayDraw d = new DayDraw(kind, seed, size, beside);
         d.site();
         d.day();
-        d.beside();
-        return d.text.toString();
+        d.oneOfTheSite();
+        return d.text + beside.forms + (beside.forms.isEmpty() ? "" : "\n");
     }
 
     /** The day, played by that policy. */
-    static Scenario scenario(DayKind kind, long seed, Size size, Overrides overrides) {
+    static Scenario scenario(DayKind kind, long seed, Size size, Beside beside, Overrides overrides) {
         return ScenarioReader.read(
-                kind.word() + "-" + seed, text(kind, seed, size).getBytes(StandardCharsets.UTF_8), overrides);
+                kind.word() + "-" + seed, text(kind, seed, size, beside).getBytes(StandardCharsets.UTF_8), overrides);
     }
 
     private double between(double from, double to) {
@@ -66,7 +79,7 @@
 
     private void site() {
         say("; A day of the standing test: %s.", kind.word());
-        say("(seconds %d)\n(settle-s %d)", LENGTH_S, SETTLE_S);
+        say("(seconds %d)\n(settle-s %d)", beside.quietS + LENGTH_S, beside.quietS + SETTLE_S);
         say(
                 "(network (sites %d) (within-ms %.2f) (between-ms %.2f) (jitter-ms 0.3))",
                 sites, between(0.2, 0.5), between(5.8, 10));
@@ -138,7 +151,7 @@
     // ---- What happens ----
 
     private void trouble(String name, double atS, String format, Object... values) {
-        say("(trouble %s (at-s %.1f) %s)", name, atS, String.format(Locale.ROOT, format, values));
+        say("(trouble %s (at-s %.1f) %s)", name, beside.quietS + atS, String.format(Locale.ROOT, format, values));
     }
 
     private int zone() {
@@ -218,7 +231,7 @@
     }
 
     /** One of the site's own troubles comes beside each day's. */
-    private void beside() {
+    private void oneOfTheSite() {
         double at = between(25, 31);
         switch (random.nextInt(kind == DayKind.CALM ? 2 : 5)) {
             case 0 -> {
--- a/lab/src/main/java/tulipshed/lab/gate/Gate.java
+++ b/lab/src/main/java/tulipshed/lab/gate/Gate.java
@@ -22,6 +22,7 @@
     private final DayDraw.Size size;
     private final String policy;
     private final Map<String, String> set;
+    private final DayDraw.Beside beside;
 
     /**
      * A gate for nodes whose decisions are those of a policy.
@@ -29,7 +30,13 @@
      * @param set figures that replace those of the days, by path
      */
     public Gate(DayDraw.Size size, String policy, Map<String, String> set) {
+        this(size, DayDraw.Beside.NOTHING, policy, set);
+    }
+
+    /** A gate of days with more beside what is drawn. */
+    public Gate(DayDraw.Size size, DayDraw.Beside beside, String policy, Map<String, String> set) {
         this.size = size;
+        this.beside = beside;
         this.policy = policy;
         this.set = set;
     }
@@ -48,7 +55,7 @@
     private Outcome run(DayKind kind, long seed, String by) {
         Map<String, String> figures = new TreeMap<>(set);
         figures.put("policy", by);
-        return new World(DayDraw.scenario(kind, seed, size, new Overrides(figures)), seed, 1).run();
+        return new World(DayDraw.scenario(kind, seed, size, beside, new Overrides(figures)), seed, 1).run();
     }
 
     /**
--- a/lab/src/main/java/tulipshed/lab/gate/Verdict.java
+++ b/lab/src/main/java/tulipshed/lab/gate/Verdict.java
@@ -8,7 +8,8 @@
 
 /**
  * What came of one day: the share of its worth that was served, what others served on the same day, what the gate wants,
- * how far the class that came off worst lies above what the gate wants of it, and why the gate is missed, or null.
+ * how far the class that came off worst lies above what the gate wants of it, how near the nodes came to pushing a cold
+ * member over by the operators' formula and by the stricter rule here, and why the gate is missed, or null.
  */
 public record Verdict(
         DayKind kind,
@@ -22,6 +23,8 @@
         double classMargin,
         double attempts,
         double refused,
+        double strain,
+        double ownStrain,
         String fault) {
     /** Half of what one serves that sees true states late. */
     private static final double PART = 0.5;
@@ -29,10 +32,14 @@
     private static final double PLAIN_LESS = 0.05;
 
     private static final double LATE_LESS = 0.1;
-    /** The half holds as well for each class with at least this part of what is asked. */
+    /** The half holds as well for each class with at least this part of what is asked, or of the worth. */
     private static final double CLASS_ASKED = 0.05;
     /** A class of which the late-seeing one serves less than this is left out. */
     private static final double CLASS_SERVED = 0.3;
+    /** A tenant with at least this part of the worth inside shares is served that part of what the late-seeing one serves it. */
+    private static final double TENANT_SHARE = 0.05;
+
+    private static final double TENANT_PART = 1.0 / 3;
 
     static double wants(DayKind kind, double seesLate, double plainest) {
         double half = PART * seesLate;
@@ -43,12 +50,11 @@
     public static Verdict of(DayKind kind, long seed, Outcome node, Outcome late, Outcome plain) {
         double served = node.figure("service");
         double wants = wants(kind, late.figure("service"), plain.figure("service"));
-        double classMargin = Double.POSITIVE_INFINITY;
         Scenario.ClassOf worst = null;
+        double classMargin = Double.POSITIVE_INFINITY;
         for (Scenario.ClassOf c : node.scenario().classes()) {
-            double lateServed = late.figure(Outcome.served(c));
-            double above = node.figure(Outcome.served(c)) - PART * lateServed;
-            if (node.figure(Outcome.asked(c)) >= CLASS_ASKED && lateServed >= CLASS_SERVED && above < classMargin) {
+            double above = node.figure(Outcome.served(c)) - PART * late.figure(Outcome.served(c));
+            if (counts(c, node, late) && above < classMargin) {
                 classMargin = above;
                 worst = c;
             }
@@ -68,6 +74,7 @@
                     node.figure(Outcome.served(worst)),
                     PART * late.figure(Outcome.served(worst)));
         }
+        fault = fault == null ? tenantBelow(node, late) : fault;
         return new Verdict(
                 kind,
                 seed,
@@ -80,13 +87,45 @@
                 classMargin,
                 node.figure("attempts_per_ask"),
                 node.figure("refused_per_ask"),
+                node.figure("slow_start_strain"),
+                node.figure("cold_strain"),
                 fault);
     }
 
+    /** Whether a class is judged by itself: it is asked for or worth enough, and can be served. */
+    private static boolean counts(Scenario.ClassOf c, Outcome node, Outcome late) {
+        double worth = 0;
+        for (Scenario.ClassOf other : node.scenario().classes()) {
+            worth += node.figure(Outcome.asked(other)) * other.worth();
+        }
+        double asked = node.figure(Outcome.asked(c));
+        return (asked >= CLASS_ASKED || asked * c.worth() >= CLASS_ASKED * worth)
+                && late.figure(Outcome.served(c)) >= CLASS_SERVED;
+    }
+
+    /** What is wrong where a tenant with enough of the worth inside shares gets too little; null where none does. */
+    private static String tenantBelow(Outcome node, Outcome late) {
+        for (Scenario.TenantOf t : node.scenario().tenants()) {
+            if (node.scenario().tenants().size() > 1 && t.share() >= TENANT_SHARE) {
+                double wants = TENANT_PART * late.figure(Outcome.served(t));
+                if (node.figure(Outcome.served(t)) < wants) {
+                    return String.format(
+                            Locale.ROOT,
+                            "tenant %s was served %.3f of its worth, the gate wants %.3f",
+                            t.name(),
+                            node.figure(Outcome.served(t)),
+                            wants);
+                }
+            }
+        }
+        return null;
+    }
+
     /** A day on which the node's own code threw. */
     static Verdict crashed(DayKind kind, long seed, Throwable why) {
         StackTraceElement at = why.getStackTrace().length > 0 ? why.getStackTrace()[0] : null;
-        return new Verdict(kind, seed, 0, 0, 0, 0, 0, 0, 0, 0, 0, "crash: " + why + (at == null ? "" : " at " + at));
+        return new Verdict(
+                kind, seed, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, "crash: " + why + (at == null ? "" : " at " + at));
     }
 
     private static String broken(RuleReport rules) {
--- a/lab/src/main/java/tulipshed/lab/model/MemberPart.java
+++ b/lab/src/main/java/tulipshed/lab/model/MemberPart.java
@@ -316,7 +316,7 @@
         // heavy one would push a member over that was sent two in as many seconds.
         double work = world.scenario.classes().get(from.requestClass).load();
         cold.pushed(nowMs, work, able, from.believedStartMs >= startedMs - 1);
-        tally().coldStrain = Math.max(tally().coldStrain, Math.round(cold.strain() * 1000));
+        tally().strained(cold.strain(), cold.toldStrain());
         if (cold.falls()) {
             say(nowMs, "pushed over " + Math.round(nowMs - startedMs) + " ms after its start");
             tally().felt++;
--- a/lab/src/main/java/tulipshed/lab/model/Outcome.java
+++ b/lab/src/main/java/tulipshed/lab/model/Outcome.java
@@ -29,10 +29,7 @@
         double tookS) {
 
     static Outcome of(World w, double tookS) {
-        Tally t = new Tally(w.scenario);
-        for (Tally other : w.tallies) {
-            t.add(other);
-        }
+        Tally t = Tally.sum(w);
         Map<String, Double> f = new LinkedHashMap<>();
         List<Scenario.ClassOf> classes = w.scenario.classes();
         double wanted = 0;
@@ -70,16 +67,15 @@
         f.put("standing_mean", establishedMs / (w.scenario.lengthMs() - w.scenario.settleMs()));
         f.put("cold_fell", (double) t.felt);
         f.put("cold_strain", t.coldStrain / 1000.0);
+        f.put("slow_start_strain", t.slowStartStrain / 1000.0);
         f.put("load_spread", spread(w));
         f.put("list_calls", (double) w.discovery.calls);
         f.put("list_calls_failed", (double) w.discovery.failedCalls);
-        for (Rule r : Rule.values()) {
-            f.put("broken_" + r.name().toLowerCase(java.util.Locale.ROOT), (double) t.rules.broken(r));
-        }
+        putBroken(f, t.rules);
         f.put("setup_p50_ms", t.setupUs.getValueAtPercentile(50) / 1000.0);
         f.put("setup_p99_ms", t.setupUs.getValueAtPercentile(99) / 1000.0);
         for (int i = 0; i < t.tenantWantedUs.length && t.tenantWantedUs.length > 1; i++) {
-            f.put("tenant_" + w.scenario.tenants().get(i).name(), part(t.tenantGoodUs[i], t.tenantWantedUs[i]));
+            f.put(served(w.scenario.tenants().get(i)), part(t.tenantGoodUs[i], t.tenantWantedUs[i]));
         }
         Map<String, long[]> s = new LinkedHashMap<>();
         s.put("wanted", t.secondWanted);
@@ -92,7 +88,7 @@
         s.put("moves", t.moves);
         float[][] loads = new float[w.members.length][];
         for (int m = 0; m < loads.length; m++) {
-            loads[m] = w.members[m].loadBySecond;
+            loads[m] = w.members[m].loadBySecond.clone();
         }
         return new Outcome(
                 w.scenario,
@@ -114,6 +110,11 @@
         return "class_" + c.name();
     }
 
+    /** Name of the figure that tells how much of a tenant's worth was served, of 1; there where tenants are several. */
+    public static String served(Scenario.TenantOf t) {
+        return "tenant_" + t.name();
+    }
+
     /** Name of the figure that tells a class's part of all that was asked for, of 1. */
     public static String asked(Scenario.ClassOf c) {
         return "asked_" + c.name();
@@ -168,6 +169,20 @@
         return counted == 0 ? 0 : sum / counted;
     }
 
+    private static void putBroken(Map<String, Double> figures, RuleReport rules) {
+        for (Rule r : Rule.values()) {
+            figures.put("broken_" + r.name().toLowerCase(java.util.Locale.ROOT), (double) rules.broken(r));
+        }
+    }
+
+    /** The same with what the rules found in the end. */
+    Outcome with(RuleReport inTheEnd) {
+        Map<String, Double> all = new LinkedHashMap<>(figures);
+        putBroken(all, inTheEnd);
+        return new Outcome(
+                scenario, seed, all, seconds, loads, setupUs, waitUs, queue, inTheEnd, messages, trace, tookS);
+    }
+
     /** The same under another name of who decided. */
     public Outcome as(String policy) {
         Scenario s = scenario;
--- a/lab/src/main/java/tulipshed/lab/model/Tally.java
+++ b/lab/src/main/java/tulipshed/lab/model/Tally.java
@@ -47,6 +47,8 @@
     long felt;
     /** Highest strain on a cold member, in thousandths of the bound. */
     long coldStrain;
+    /** The same by the operators' formula, of what nodes sent that had been told of the start. */
+    long slowStartStrain;
 
     final Histogram setupUs = new Histogram(1, LONGEST_US, 3);
     final Histogram waitUs = new Histogram(1, LONGEST_US, 3);
@@ -78,6 +80,15 @@
         came = new long[seconds];
     }
 
+    /** What all threads of a world have counted. */
+    static Tally sum(World world) {
+        Tally sum = new Tally(world.scenario);
+        for (Tally t : world.tallies) {
+            sum.add(t);
+        }
+        return sum;
+    }
+
     public void at(long[] bySecond, double nowMs) {
         bySecond[Math.min(seconds - 1, (int) (nowMs / 1000))]++;
     }
@@ -110,6 +121,12 @@
         }
     }
 
+    /** New work strains a cold member so much: by the rule here, and by the operators' formula. */
+    void strained(double strain, double toldStrain) {
+        coldStrain = Math.max(coldStrain, Math.round(strain * 1000));
+        slowStartStrain = Math.max(slowStartStrain, Math.round(toldStrain * 1000));
+    }
+
     private static void add(long[] to, long[] from) {
         for (int i = 0; i < to.length; i++) {
             to[i] += from[i];
@@ -126,6 +143,7 @@
         left += o.left;
         felt += o.felt;
         coldStrain = Math.max(coldStrain, o.coldStrain);
+        slowStartStrain = Math.max(slowStartStrain, o.slowStartStrain);
         setupUs.add(o.setupUs);
         waitUs.add(o.waitUs);
         rules.add(o.rules);
--- a/lab/src/main/java/tulipshed/lab/rules/ColdRule.java
+++ b/lab/src/main/java/tulipshed/lab/rules/ColdRule.java
@@ -1,23 +1,29 @@
 package tulipshed.lab.rules;
 
+import java.util.ArrayDeque;
+import java.util.Deque;
+
 /**
- * Holds all nodes together to the rule of cold members, for one member: the work that reached it in a sliding window
- * against what it could have done in that time. Beyond a budget of N requests only 2 x root of N + 2 are chance, and never
- * more than three, which was the whole of it before: both bounds hold, however many nodes there are.
+ * Holds all nodes together to the rule of slow start, for one member: the work that reached it within any window of the
+ * stated length against what it could have done in that time, its budget of N requests, and what is left to chance.
+ *
+ * <p>The operators leave 2 x root of N + 2 requests to chance, and 3 x root of N + 3 where N is under 30. This rule is
+ * stricter in two ways: never more than three requests are chance, however large the budget, and the budget is that of the
+ * lowest capacity that the member had when any of the counted work arrived, not that of the present one.
  */
 public final class ColdRule {
-    private static final int SLOTS = 30; // of the window; so it counts up to a thirtieth short
     private static final double TOLD = 2.0 / 3; // of the work, from nodes that knew, makes it a breach
     private static final double MOST_CHANCE = 3; // requests
+    private static final double SMALL_BUDGET = 30; // requests, below which the operators leave more to chance
 
     private final int member;
     private final double factor;
     private final double request;
-    private final double slotMs;
-    private final double[] work = new double[SLOTS];
-    private final double[] told = new double[SLOTS];
-    private final double[] able = new double[SLOTS];
-    private long slot = -1;
+    private final double windowMs;
+    private final Deque<Arrival> window = new ArrayDeque<>();
+
+    /** Work that reached the member, what it could take of it in a millisecond then, and whether its sender knew. */
+    private record Arrival(double atMs, double amount, double capacity, boolean known) {}
 
     /**
      * The rule for one member: more than {@code factor} times its capacity over {@code windowMs} pushes it over.
@@ -28,15 +34,12 @@
         this.member = member;
         this.request = request;
         this.factor = factor;
-        this.slotMs = windowMs / SLOTS;
+        this.windowMs = windowMs;
     }
 
     /** A new process: what reached the old one does not count. */
     public void restart() {
-        slot = -1;
-        java.util.Arrays.fill(work, 0);
-        java.util.Arrays.fill(told, 0);
-        java.util.Arrays.fill(able, 0);
+        window.clear();
     }
 
     /**
@@ -47,27 +50,28 @@
      * @param known whether the node that sent it had been told of the member's start
      */
     public void pushed(double atMs, double amount, double capacity, boolean known) {
-        long now = (long) (atMs / slotMs);
-        if (slot < 0) {
-            slot = now - SLOTS;
+        while (!window.isEmpty() && window.peekFirst().atMs() < atMs - windowMs) {
+            window.removeFirst();
         }
-        for (long s = Math.max(slot + 1, now - SLOTS + 1); s <= now; s++) {
-            int i = (int) (s % SLOTS);
-            work[i] = told[i] = 0;
-            able[i] = capacity * slotMs;
-        }
-        slot = Math.max(slot, now);
-        int i = (int) (now % SLOTS);
-        work[i] += amount;
-        told[i] += known ? amount : 0;
+        window.addLast(new Arrival(atMs, amount, capacity, known));
     }
 
-    private static double sum(double[] of) {
-        double s = 0;
-        for (double x : of) {
-            s += x;
-        }
-        return s;
+    private double work() {
+        return window.stream().mapToDouble(Arrival::amount).sum();
+    }
+
+    private boolean isTold() {
+        double told = window.stream()
+                .filter(Arrival::known)
+                .mapToDouble(Arrival::amount)
+                .sum();
+        return told >= TOLD * work();
+    }
+
+    /** What the member could do within the window. */
+    private double budget() {
+        double lowest = window.stream().mapToDouble(Arrival::capacity).min().orElse(0);
+        return factor * lowest * windowMs;
     }
 
     /** Whether the member falls over now. */
@@ -75,11 +79,22 @@
         return strain() > 1;
     }
 
-    /** How near it is to falling; 1 is the bound. */
+    /** How near it is to falling; 1 is the bound of this rule. */
     public double strain() {
-        double budget = factor * sum(able);
-        double most = budget + (request > 0 ? request * chance(budget / request) : 0);
-        return most > 0 ? sum(work) / most : 0;
+        return request > 0 ? strain(request * chance(budget() / request)) : strain(0);
+    }
+
+    /** How near it is to a breach by the operators' formula; 0 where most came from nodes that had not been told. */
+    public double toldStrain() {
+        if (!isTold()) {
+            return 0;
+        }
+        return request > 0 ? strain(request * operatorsChance(budget() / request)) : strain(0);
+    }
+
+    private double strain(double chance) {
+        double most = budget() + chance;
+        return most > 0 ? work() / most : 0;
     }
 
     /** What is left to chance beyond a budget of so many requests. */
@@ -87,15 +102,21 @@
         return Math.min(MOST_CHANCE, 2 * Math.sqrt(budget) + 2);
     }
 
+    /** The same by the operators' formula. */
+    static double operatorsChance(double budget) {
+        double root = Math.sqrt(budget);
+        return budget < SMALL_BUDGET ? 3 * root + 3 : 2 * root + 2;
+    }
+
     /** It fell: a breach where those who pushed it knew that it was cold. */
     public void fell(double atMs, RuleReport report, double ageMs) {
-        if (sum(told) >= TOLD * sum(work)) {
+        if (isTold()) {
             report.broken(
                     Rule.COLD,
                     atMs,
                     member,
                     "member " + member + ", " + Math.round(ageMs) + " ms old, was sent "
-                            + Math.round(sum(work) / Math.max(1e-12, sum(able)) * 10) / 10.0
+                            + Math.round(work() / Math.max(1e-12, budget() / factor) * 10) / 10.0
                             + " times what it could take");
         }
     }
--- a/lab/src/main/java/tulipshed/lab/tool/GateCommand.java
+++ b/lab/src/main/java/tulipshed/lab/tool/GateCommand.java
@@ -62,22 +62,37 @@
     @Option(names = "--set", paramLabel = "PATH=VALUE", description = "Replaces a figure of every day.")
     Map<String, String> set = new LinkedHashMap<>();
 
+    @Option(
+            names = "--quiet-s",
+            defaultValue = "0",
+            description =
+                    "Seconds without any trouble before each day, which are not judged (default ${DEFAULT-VALUE}).")
+    int quietS;
+
+    @Option(
+            names = "--with",
+            paramLabel = "FORM",
+            description = "More for the scenario of every day, such as '(trouble reload (at-s 14))'.")
+    List<String> forms = new ArrayList<>();
+
     @Option(names = "--print", description = "Prints the days as scenarios in place of playing them.")
     boolean print;
 
     @Override
     public Integer call() {
-        if (seeds < 1 || threads < 1 || nodes < 1 || members < 1) {
-            throw new IllegalArgumentException("--seeds, --threads, --nodes and --members are 1 or more");
+        if (seeds < 1 || threads < 1 || nodes < 1 || members < 1 || quietS < 0) {
+            throw new IllegalArgumentException(
+                    "--seeds, --threads, --nodes and --members are 1 or more, --quiet-s 0 or more");
         }
         List<DayKind> kinds = (days.isEmpty() ? DayKind.words() : days)
                 .stream().map(DayKind::of).distinct().toList();
         DayDraw.Size size = new DayDraw.Size(nodes, members);
+        DayDraw.Beside beside = new DayDraw.Beside(quietS, String.join("\n", forms));
         PrintWriter w = spec.commandLine().getOut();
         if (print) {
             kinds.forEach(k -> {
                 for (long s = first; s < first + seeds; s++) {
-                    w.print(DayDraw.text(k, s, size));
+                    w.print(DayDraw.text(k, s, size, beside));
                 }
             });
             w.flush();
@@ -85,7 +100,7 @@
         }
         w.printf(
                 Locale.ROOT,
-                "%-6s %5s  %5s x %-7s %7s %10s %9s %6s %7s %9s %8s%n",
+                "%-6s %5s  %5s x %-7s %7s %10s %9s %6s %7s %9s %8s %7s%n",
                 "day",
                 "seed",
                 "nodes",
@@ -96,12 +111,13 @@
                 "wants",
                 "margin",
                 "attempts",
-                "refused");
+                "refused",
+                "strain");
         long began = System.nanoTime();
-        List<Verdict> all = new Gate(size, policy, set).play(kinds, first, seeds, threads, v -> {
+        List<Verdict> all = new Gate(size, beside, policy, set).play(kinds, first, seeds, threads, v -> {
             w.printf(
                     Locale.ROOT,
-                    "%-6s %5d  %5d x %-7d %7.3f %10.3f %9.3f %6.3f %7.3f %9.2f %8.2f%s%n",
+                    "%-6s %5d  %5d x %-7d %7.3f %10.3f %9.3f %6.3f %7.3f %9.2f %8.2f %7.3f%s%n",
                     v.kind().word(),
                     v.seed(),
                     v.nodes(),
@@ -113,6 +129,7 @@
                     v.margin(),
                     v.attempts(),
                     v.refused(),
+                    v.strain(),
                     v.passed() ? "" : "  FAILED");
             w.flush();
         });
@@ -122,6 +139,11 @@
                 all.size(),
                 (System.nanoTime() - began) / 1e9,
                 all.stream().mapToDouble(Verdict::margin).min().orElse(0));
+        w.printf(
+                Locale.ROOT,
+                "highest strain of slow start %.3f by the operators' formula, %.3f by the rule here%n",
+                all.stream().mapToDouble(Verdict::strain).max().orElse(0),
+                all.stream().mapToDouble(Verdict::ownStrain).max().orElse(0));
         all.stream()
                 .filter(v -> v.passed() && v.margin() < (v.kind() == DayKind.CALM ? NEAR_CALM : NEAR))
                 .forEach(v -> w.printf(Locale.ROOT, "near: %s, margin %.3f%n", v.day(), v.margin()));
