--- a/lab/src/main/java/tulipshed/lab/gate/DayDraw.java
+++ b/lab/src/main/java/tulipshed/lab/gate/DayDraw.java
@@ -58,6 +58,7 @@
         d.site();
         d.day();
         d.oneOfTheSite();
+        d.holdUps();
         return d.text + beside.forms + (beside.forms.isEmpty() ? "" : "\n");
     }
 
@@ -230,6 +231,13 @@
         }
     }
 
+    /** On half of the days nodes are held up now and then between reading their clocks and writing. */
+    private void holdUps() {
+        if (random.nextBoolean()) {
+            trouble("hold-up-nodes", between(2, 8), "(share %.2f) (over-s %.1f)", between(0.3, 1), between(10, 40));
+        }
+    }
+
     /** One of the site's own troubles comes beside each day's. */
     private void oneOfTheSite() {
         double at = between(25, 31);
--- a/lab/src/main/java/tulipshed/lab/model/Kinds.java
+++ b/lab/src/main/java/tulipshed/lab/model/Kinds.java
@@ -24,6 +24,10 @@
     public static final int RELOAD = 19; // the configuration is read again, discovery is elsewhere
     public static final int EARLY = 20; // that part of the clients leave before they are answered
     public static final int SAYS = 21; // its own, a client's connection: it sends a line
+    public static final int LEFT = 22; // its own, process: the time that a node that leaves has is over
+    public static final int HOLD_UPS = 23; // now and then a turn takes long, for so long
+    public static final int RESUME = 24; // its own: a turn that took long is over
+    public static final int HOT_RESTART = 25; // another process starts beside the old one, which hands over
     // To members.
     public static final int DIAL = 30; // Flow
     public static final int DROP = 31; // Flow: the node's side is closed
--- a/lab/src/main/java/tulipshed/lab/model/NodeSide.java
+++ b/lab/src/main/java/tulipshed/lab/model/NodeSide.java
@@ -86,7 +86,12 @@
 
     protected final void sendToMember(int member, int kind, Object what, double value) {
         MemberPart m = world.members[member];
-        send(world.cuts.backMs(site, m, nowMs) + world.wayMs(site, m.site, random), m, kind, what, value);
+        send(world.cuts.backMs(site, m, sendMs()) + world.wayMs(site, m.site, random), m, kind, what, value);
+    }
+
+    /** When what this side sends now goes out. */
+    protected double sendMs() {
+        return nowMs;
     }
 
     final void remindSelf(double atMs, int kind, Object what) {
--- a/lab/src/main/java/tulipshed/lab/model/Troubles.java
+++ b/lab/src/main/java/tulipshed/lab/model/Troubles.java
@@ -214,6 +214,16 @@
                     planner.plan(within(t), n, Kinds.RELOAD, null, 0);
                 }
             }
+            case "hot-restart-nodes" -> {
+                for (int n : chosen(t, world.nodes.length)) {
+                    planner.plan(within(t), world.nodes[n], Kinds.HOT_RESTART, null, 0);
+                }
+            }
+            case "hold-up-nodes" -> {
+                for (int n : chosen(t, world.nodes.length)) {
+                    planner.plan(t.atMs(), world.nodes[n], Kinds.HOLD_UPS, null, t.overMs());
+                }
+            }
             case "late-list" -> {
                 planner.plan(t.atMs(), world.discovery, Kinds.LATE, null, 1000 * t.factor());
                 planner.plan(t.atMs() + t.overMs(), world.discovery, Kinds.LATE, null, 0);
--- a/lab/src/main/java/tulipshed/lab/model/World.java
+++ b/lab/src/main/java/tulipshed/lab/model/World.java
@@ -22,6 +22,7 @@
     private static final int DISCOVERY = 1;
     private static final int FIRST_NODE = 1_000;
     private static final int FIRST_MEMBER = 1_000_000;
+    private static final double AWAITED_MS = 1000; // after the longest wait of a client; by then its answer is lost
 
     final Scenario scenario;
     final long seed;
@@ -316,10 +317,19 @@
         return engine;
     }
 
-    /** Runs the day and tells what came of it. */
+    /**
+     * Runs the day and tells what came of it. What was asked on its last seconds is waited for, and the rules hold until
+     * then; nothing else is counted of that time.
+     */
     public Outcome run() {
         long began = System.nanoTime();
         engine.run(scenario.lengthMs());
-        return finish((System.nanoTime() - began) / 1e9);
+        Outcome day = finish((System.nanoTime() - began) / 1e9);
+        double longest = scenario.classes().stream()
+                .mapToDouble(Scenario.ClassOf::deadlineMs)
+                .max()
+                .orElse(0);
+        engine.run(scenario.lengthMs() + longest + AWAITED_MS);
+        return day.with(Tally.sum(this).rules);
     }
 }
--- a/lab/src/main/java/tulipshed/lab/policy/AttemptingPolicy.java
+++ b/lab/src/main/java/tulipshed/lab/policy/AttemptingPolicy.java
@@ -1,5 +1,6 @@
 package tulipshed.lab.policy;
 
+import java.util.List;
 import tulipshed.decision.BalancerApi.Outcome;
 
 /**
@@ -83,6 +84,16 @@
         finished(f, !f.of.owed, outcome);
     }
 
+    @Override
+    public final void shutDown(List<Try> pending) {
+        for (Try t : pending) {
+            if (t.owed) {
+                left(t);
+                host.fail(t);
+            }
+        }
+    }
+
     @Override
     public final void left(Try t) {
         t.owed = false;
--- a/lab/src/main/java/tulipshed/lab/policy/CorePolicy.java
+++ b/lab/src/main/java/tulipshed/lab/policy/CorePolicy.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.IdentityHashMap;
+import java.util.List;
 import java.util.Map;
 import tulipshed.decision.Balancer;
 import tulipshed.decision.BalancerApi.Outcome;
@@ -119,6 +120,17 @@
         host.watch();
     }
 
+    @Override
+    public void quotaShare(double share) {
+        core.quotaShare(share);
+    }
+
+    @Override
+    public void shutDown(List<Try> pending) {
+        core.rejectAllPending();
+        settle();
+    }
+
     // ---- The connector ----
 
     @Override
--- /dev/null
+++ b/lab/src/main/java/tulipshed/lab/policy/HotRestart.java
@@ -0,0 +1,178 @@
+package tulipshed.lab.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Function;
+import tulipshed.decision.BalancerApi.Outcome;
+
+/**
+ * The processes of one node around a hot restart. The older and the younger serve side by side for a moment, each with half
+ * of the node's quota and deciding for its own requests; then the older has none of it, sends its clients away and ends.
+ */
+public final class HotRestart implements Policy {
+    private static final double SIDE_BY_SIDE_MS = 1000;
+    private static final double HALF = 0.5;
+
+    private final Host host;
+    private final Function<Host, Policy> policies;
+    private int started;
+    private NodeProcess serving;
+    /** The one that hands over, or null. */
+    private NodeProcess older;
+
+    private boolean isOlderServing;
+
+    /** A node with one process. */
+    public HotRestart(Host host, Function<Host, Policy> policies) {
+        this.host = host;
+        this.policies = policies;
+        serving = new NodeProcess();
+    }
+
+    /** One process: what it started ends with it. */
+    private final class NodeProcess extends ForwardingHost {
+        private final long seed;
+        private final List<Try> tries = new ArrayList<>();
+        private final Policy policy;
+        private boolean isOver;
+
+        NodeProcess() {
+            super(HotRestart.this.host);
+            seed = host.seed() + started++;
+            policy = policies.apply(this);
+        }
+
+        @Override
+        public long seed() {
+            return seed;
+        }
+
+        @Override
+        public void after(double ms, Runnable what) {
+            host.after(ms, () -> {
+                if (!isOver) {
+                    what.run();
+                }
+            });
+        }
+
+        void takes(Try t) {
+            t.process = this;
+            tries.add(t);
+        }
+
+        /** Those of its requests and connections that are not over. */
+        List<Try> held() {
+            tries.removeIf(t -> t.place < 0);
+            return List.copyOf(tries);
+        }
+    }
+
+    private static Policy of(Try t) {
+        return ((NodeProcess) t.process).policy;
+    }
+
+    private List<NodeProcess> running() {
+        return older == null ? List.of(serving) : List.of(older, serving);
+    }
+
+    // ---- The hand-over ----
+
+    /** Another process starts with the list that the node last had; without effect while one hands over. */
+    public void begin(MemberNews.Batch list) {
+        if (older != null) {
+            return;
+        }
+        older = serving;
+        isOlderServing = true;
+        serving = new NodeProcess();
+        older.policy.quotaShare(HALF);
+        serving.policy.quotaShare(HALF);
+        serving.policy.list(list);
+        host.watch();
+        host.after(SIDE_BY_SIDE_MS, this::leave);
+    }
+
+    private void leave() {
+        isOlderServing = false;
+        older.policy.quotaShare(0);
+        serving.policy.quotaShare(1);
+        double leaveMs = host.scenario().nodes().leaveMs();
+        List<Try> held = older.held();
+        for (int i = 0; i < held.size(); i++) {
+            Try t = held.get(i);
+            host.after(leaveMs * i / held.size(), () -> host.move(t));
+        }
+        host.after(leaveMs, this::end);
+    }
+
+    private void end() {
+        older.policy.shutDown(older.held());
+        older.held().forEach(host::move);
+        older.isOver = true;
+        older = null;
+    }
+
+    // ---- What the world does to either ----
+
+    @Override
+    public void list(MemberNews.Batch news) {
+        running().forEach(p -> p.policy.list(news));
+    }
+
+    @Override
+    public void arrived(Try t) {
+        // Both listen on one address; the system deals out what comes.
+        NodeProcess to = isOlderServing && t.id % 2 == 0 ? older : serving;
+        to.takes(t);
+        to.policy.arrived(t);
+    }
+
+    @Override
+    public void alreadyOpen(Try t, Flow f) {
+        serving.takes(t);
+        serving.policy.alreadyOpen(t, f);
+    }
+
+    @Override
+    public boolean up(Flow f) {
+        return of(f.of).up(f);
+    }
+
+    @Override
+    public void ended(Flow f, Outcome outcome) {
+        of(f.of).ended(f, outcome);
+    }
+
+    @Override
+    public void left(Try t) {
+        of(t).left(t);
+    }
+
+    @Override
+    public void delayed(Flow f, double delayMs) {
+        of(f.of).delayed(f, delayMs);
+    }
+
+    @Override
+    public void loadChanged(Flow f) {
+        of(f.of).loadChanged(f);
+    }
+
+    @Override
+    public void reload() {
+        running().forEach(p -> p.policy.reload());
+    }
+
+    @Override
+    public void shutDown(List<Try> pending) {
+        running()
+                .forEach(p -> p.policy.shutDown(
+                        pending.stream().filter(t -> t.process == p).toList()));
+    }
+
+    @Override
+    public void settle() {
+        running().forEach(p -> p.policy.settle());
+    }
+}
--- a/lab/src/main/java/tulipshed/lab/policy/ModulePolicy.java
+++ b/lab/src/main/java/tulipshed/lab/policy/ModulePolicy.java
@@ -61,6 +61,11 @@
         host.watch();
     }
 
+    @Override
+    public void quotaShare(double share) {
+        module.quotaShareChanged(now(), share);
+    }
+
     @Override
     void ask(Try t) {
         tries.put(t.id, t);
--- a/lab/src/main/java/tulipshed/lab/policy/Policy.java
+++ b/lab/src/main/java/tulipshed/lab/policy/Policy.java
@@ -1,5 +1,6 @@
 package tulipshed.lab.policy;
 
+import java.util.List;
 import tulipshed.decision.BalancerApi.Outcome;
 
 /** What decides in an emulated node, from what a node of the real world would be told. */
@@ -31,6 +32,12 @@
     /** The configuration is read again: discovery is elsewhere from now on and must be asked anew. */
     default void reload() {}
 
+    /** From now on the process may use that share of the node's quotas, as another one serves as well. */
+    default void quotaShare(double share) {}
+
+    /** The process ends in good order: each of these requests that is still owed its answer gets it now. */
+    void shutDown(List<Try> pending);
+
     /** Runs what became ready with the last event; called after each. */
     default void settle() {}
 }
--- a/lab/src/main/java/tulipshed/lab/policy/PolicyFactory.java
+++ b/lab/src/main/java/tulipshed/lab/policy/PolicyFactory.java
@@ -41,6 +41,8 @@
             case "core-drained-member" -> h -> new Faulty(h, numbers, Faulty.Fault.DRAINED_MEMBER);
             case "core-cold-member" -> h -> new Faulty(h, numbers, Faulty.Fault.COLD_MEMBER);
             case "core-silence" -> h -> new Faulty(h, numbers, Faulty.Fault.SILENCE);
+            case "core-whole-grace" -> h -> new Faulty(h, numbers, Faulty.Fault.WHOLE_GRACE);
+            case "core-no-last-answers" -> h -> new Faulty(h, numbers, Faulty.Fault.NO_LAST_ANSWERS);
             default -> throw new IllegalArgumentException("no policy is called " + name);
         };
     }
--- a/lab/src/main/java/tulipshed/lab/policy/Try.java
+++ b/lab/src/main/java/tulipshed/lab/policy/Try.java
@@ -12,6 +12,9 @@
     /** Whether its final answer is still owed. */
     public boolean owed = true;
 
+    /** Whether the process has read it. */
+    public boolean arrived;
+
     public boolean standing;
     /** Whether its client has waited in vain and gone on. */
     public boolean gone;
@@ -21,6 +24,8 @@
     public int attempts;
     /** Its place among what the node holds. */
     public int place = -1;
+    /** The process that decides of it, where a node has several. */
+    Object process;
     /** What the policy keeps with it. */
     public Object kept;
 
--- a/lab/src/main/java/tulipshed/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/tulipshed/lab/scenario/ScenarioReader.java
@@ -49,6 +49,8 @@
             "roll-nodes",
             "reload",
             "late-list",
+            "hold-up-nodes",
+            "hot-restart-nodes",
             "lose-answers",
             "spoil-answers",
             "reset-requests",
--- a/lab/src/test/java/tulipshed/lab/ColdFleetTest.java
+++ b/lab/src/test/java/tulipshed/lab/ColdFleetTest.java
@@ -34,6 +34,11 @@
                 .run();
     }
 
+    /** Two processes of each node share one quota, and both have just started to know who is cold. */
+    private static final String ALL_HAND_OVER_AND_RELOAD =
+            "(trouble hot-restart-nodes (at-s 10) (share 1) (over-s 6)) (trouble reload (at-s 13) (over-s 2))"
+                    + "(trouble impatient (at-s 10) (over-s 15))";
+
     @ParameterizedTest
     @CsvSource({"1, 8", "5, 16", "30, 30", "100, 30"})
     void noColdMemberIsPushedOverByAnyNumberOfNodes(int nodes, int members) {
@@ -48,6 +53,18 @@
         assertTrue(most > 0.2, "cold members were sent something: " + most);
     }
 
+    @ParameterizedTest
+    @CsvSource({"1, 8", "5, 16", "30, 30"})
+    void noneIsPushedOverByNodesThatHandOverAndReload(int nodes, int members) {
+        for (DayKind kind : new DayKind[] {DayKind.ROLL, DayKind.HERD, DayKind.JOIN}) {
+            for (long seed = 1; seed <= 2; seed++) {
+                Outcome o = play(kind, seed, nodes, members, ALL_HAND_OVER_AND_RELOAD);
+                assertEquals(0, o.rules().broken(), kind + " " + seed + ": " + o.rules());
+                assertTrue(o.figure("slow_start_strain") < 1, kind + " " + seed);
+            }
+        }
+    }
+
     /** Restarted at one moment, and told late and at different times: who had been told keeps the ramp. */
     @ParameterizedTest
     @CsvSource({"1, 8", "5, 16", "30, 30", "100, 30"})
--- a/lab/src/test/java/tulipshed/lab/RulesTest.java
+++ b/lab/src/test/java/tulipshed/lab/RulesTest.java
@@ -101,6 +101,62 @@
         }
     }
 
+    /** The operators leave 3 x root of N + 3 to chance under 30 requests, and 2 x root of N + 2 from there on. */
+    @ParameterizedTest
+    @CsvSource({"0.25, 4.75", "9, 21", "25, 43", "30, 42.9545", "100, 122"})
+    void strainOfSlowStartIsToldByTheOperatorsFormula(double budget, double bound) {
+        for (double request : new double[] {1, 0.02}) {
+            ColdRule rule = new ColdRule(3, 4, 1500, request);
+            ColdRule untold = new ColdRule(3, 4, 1500, request);
+            double able = budget * request / 4 / 1500;
+            rule.pushed(10_000, bound * request, able, true);
+            untold.pushed(10_000, bound * request, able, false);
+            assertEquals(1, rule.toldStrain(), 1e-4);
+            assertTrue(rule.falls(), "the rule here is stricter");
+            assertEquals(0, untold.toldStrain());
+        }
+    }
+
+    /** Before, what lay between a thirtieth less and the whole of the window apart was not added up. */
+    @Test
+    void theWindowOfAColdMemberIsCountedToItsEndAndAtItsLowestCapacity() {
+        ColdRule rule = new ColdRule(3, 4, 1500, 0);
+        rule.pushed(10_049, 3.1, 0.001, true);
+        rule.pushed(11_549, 3.1, 0.002, true);
+        assertEquals(6.2 / 6, rule.strain(), 1e-9, "the budget is that of the older");
+        rule.pushed(11_550, 0, 0.002, true);
+        assertEquals(3.1 / 12, rule.strain(), 1e-9, "the first is out of the window");
+    }
+
+    @Test
+    void aConnectionClosedWithNoAnswerIsLostUnlessItsClientLeft() {
+        var closed = rules.asked(0, 1, 1000);
+        rules.closed(10, closed);
+        rules.waited(1501, closed);
+        assertEquals(1, report.broken(Rule.ONE_ANSWER), "once");
+        var left = rules.asked(0, 2, 1000);
+        rules.left(left);
+        rules.closed(10, left);
+        var answered = rules.asked(0, 3, 1000);
+        rules.answered(9, answered, "failed");
+        rules.closed(10, answered);
+        assertEquals(1, report.broken());
+    }
+
+    /** A hold-up makes answers later, and nothing else. */
+    @Test
+    void aNodeThatIsHeldUpMayAnswerSoMuchLaterAndStillMustNotSendToADrainedMember() {
+        rules.heldUp(5000, 150);
+        rules.answered(1165, rules.asked(0, 1, 1000), "served");
+        assertEquals(0, report.broken());
+        rules.answered(1171, rules.asked(0, 2, 1000), "served");
+        rules.answered(6021, rules.asked(5500, 3, 6000), "served");
+        assertEquals(2, report.broken(Rule.IN_TIME));
+        rules.told(2000, 7, false);
+        rules.sent(2301, rules.asked(2100, 4, 4000), 7);
+        assertEquals(1, report.broken(Rule.DRAIN));
+    }
+
     /** The module and the whole core keep answers, flows and drains through every kind of trouble. */
     @ParameterizedTest
     @CsvSource({
