--- a/lab/src/main/java/tulipshed/lab/rules/ColdRule.java
+++ b/lab/src/main/java/tulipshed/lab/rules/ColdRule.java
@@ -9,7 +9,7 @@
  *
  * <p>The operators leave 2 x root of N + 2 requests to chance, and 3 x root of N + 3 where N is under 30. This rule is
  * stricter in two ways: never more than three requests are chance, however large the budget, and the budget is that of the
- * lowest capacity that the member had when any of the counted work arrived, not that of the present one.
+ * capacity that the member had over the window, which rises, not that of the present one.
  */
 public final class ColdRule {
     private static final double TOLD = 2.0 / 3; // of the work, from nodes that knew, makes it a breach
@@ -68,10 +68,15 @@
         return told >= TOLD * work();
     }
 
-    /** What the member could do within the window. */
+    /** What the member could do within the window; until each arrival with the capacity that it had then. */
     private double budget() {
-        double lowest = window.stream().mapToDouble(Arrival::capacity).min().orElse(0);
-        return factor * lowest * windowMs;
+        double able = 0;
+        double sinceMs = window.isEmpty() ? 0 : window.peekLast().atMs() - windowMs;
+        for (Arrival a : window) {
+            able += a.capacity() * (a.atMs() - sinceMs);
+            sinceMs = a.atMs();
+        }
+        return factor * able;
     }
 
     /** Whether the member falls over now. */
