--- a/lab/src/main/java/tulipshed/lab/gate/DayDraw.java
+++ b/lab/src/main/java/tulipshed/lab/gate/DayDraw.java
@@ -59,6 +59,7 @@
         d.day();
         d.oneOfTheSite();
         d.holdUps();
+        d.clocks();
         return d.text + beside.forms + (beside.forms.isEmpty() ? "" : "\n");
     }
 
@@ -238,6 +239,19 @@
         }
     }
 
+    /** On a third of the days clocks of members are off by little or much, and those of nodes began at other times. */
+    private void clocks() {
+        if (random.nextInt(3) == 0) {
+            trouble(
+                    random.nextBoolean() ? "clocks-ahead" : "clocks-behind",
+                    between(0, 30),
+                    "(share %.2f) (factor %d)",
+                    random.nextBoolean() ? between(0.1, 0.5) : 1,
+                    random.nextBoolean() ? 3 : 3600);
+            trouble("node-clocks", 0, "(share 0.5) (factor 7200)");
+        }
+    }
+
     /** One of the site's own troubles comes beside each day's. */
     private void oneOfTheSite() {
         double at = between(25, 31);
--- a/lab/src/main/java/tulipshed/lab/model/DiscoveryPart.java
+++ b/lab/src/main/java/tulipshed/lab/model/DiscoveryPart.java
@@ -24,6 +24,7 @@
 
     private final World world;
     private final MemberNews[] now;
+    private final double[] clockOffMs;
     private final List<MemberNews> changes = new ArrayList<>();
     private final BitSet watching = new BitSet();
     /** How many of the changes have had their time to become known. */
@@ -42,6 +43,7 @@
         super(id);
         this.world = world;
         now = new MemberNews[world.members.length];
+        clockOffMs = new double[world.members.length];
         for (int m = 0; m < world.listedAtStart; m++) {
             now[m] = news(m, EndpointStatus.SERVING, 0);
         }
@@ -69,7 +71,8 @@
                 new EndpointListEntry(
                         new EndpointInfo(
                                 m.name, state, m.site, 0, m.kind.name(), m.kind.share(), Math.round(startedMs * 1000)),
-                        NOWHERE));
+                        NOWHERE),
+                clockOffMs[member]);
     }
 
     @Override
@@ -80,6 +83,7 @@
                 change(nowMs, what[0], EndpointStatus.values()[what[1]], message.value);
             }
             case Kinds.FELL -> remind(nowMs + world.scenario.discovery().detectMs(), Kinds.STATE, message.what, 0);
+            case Kinds.CLOCK -> stepClock(nowMs, (Integer) message.what, message.value);
             case Kinds.LATE -> laterMs = message.value;
             case Kinds.TELL -> tell(nowMs, (Integer) message.what);
             case Kinds.ANSWER -> answer(nowMs, (NodeSide) message.what, (int) message.value);
@@ -112,6 +116,15 @@
         remind(lastDueMs, Kinds.TELL, changes.size() - 1, 0);
     }
 
+    /** A member's clock is so much ahead from now on; when it started is told anew, as that clock shows it. */
+    private void stepClock(double nowMs, int member, double offMs) {
+        clockOffMs[member] = offMs;
+        if (now[member] != null && now[member].listed().info().startedUs() > 0) {
+            EndpointInfo info = now[member].listed().info();
+            change(nowMs, member, info.status(), info.startedUs() / 1000.0);
+        }
+    }
+
     private void tell(double nowMs, int change) {
         if (world.scenario.discovery().pushed() && nowMs < darkUntilMs) {
             remind(darkUntilMs, Kinds.TELL, change, 0);
--- a/lab/src/main/java/tulipshed/lab/model/Kinds.java
+++ b/lab/src/main/java/tulipshed/lab/model/Kinds.java
@@ -50,5 +50,7 @@
     public static final int ANSWER = 55; // its own, NodePart, version: a call's turn has come
     public static final int LATE = 56; // what is known comes so much later
 
+    public static final int CLOCK = 57; // a member, milliseconds: its clock is so much ahead from now on
+
     private Kinds() {}
 }
--- a/lab/src/main/java/tulipshed/lab/model/NodePart.java
+++ b/lab/src/main/java/tulipshed/lab/model/NodePart.java
@@ -506,6 +506,11 @@
         return nowMs;
     }
 
+    @Override
+    public double clockMs() {
+        return nowMs + world.nodeClockOffMs[number];
+    }
+
     @Override
     public Scenario scenario() {
         return world.scenario;
--- a/lab/src/main/java/tulipshed/lab/model/Troubles.java
+++ b/lab/src/main/java/tulipshed/lab/model/Troubles.java
@@ -113,6 +113,18 @@
         }
     }
 
+    /** By how much each node's own clock is ahead of the world's time; its origin is nobody else's affair. */
+    static double[] nodeClocks(World world) {
+        UniformRandomProvider random = Seeds.random(world.seed, 0, 3);
+        double[] off = new double[world.nodes.length];
+        for (Trouble t : world.scenario.troubles()) {
+            if (t.kind().equals("node-clocks")) {
+                chosen(random, t, off.length).forEach(n -> off[n] = 1000 * t.factor());
+            }
+        }
+        return off;
+    }
+
     private static String site(Trouble t, World world) {
         return "s" + t.count() % world.scenario.network().sites();
     }
@@ -214,6 +226,18 @@
                     planner.plan(within(t), n, Kinds.RELOAD, null, 0);
                 }
             }
+            case "clocks-ahead", "clocks-behind" -> {
+                double off = 1000 * t.factor() * (t.kind().equals("clocks-ahead") ? 1 : -1);
+                for (int m : chosen(t, world.members.length)) {
+                    planner.plan(t.atMs(), world.discovery, Kinds.CLOCK, m, off);
+                    if (t.overMs() > 0) {
+                        planner.plan(t.atMs() + t.overMs(), world.discovery, Kinds.CLOCK, m, 0);
+                    }
+                }
+            }
+            case "node-clocks" -> {
+                // Known to each process before it starts.
+            }
             case "hot-restart-nodes" -> {
                 for (int n : chosen(t, world.nodes.length)) {
                     planner.plan(within(t), world.nodes[n], Kinds.HOT_RESTART, null, 0);
--- a/lab/src/main/java/tulipshed/lab/model/World.java
+++ b/lab/src/main/java/tulipshed/lab/model/World.java
@@ -28,6 +28,7 @@
     final long seed;
     final Tally[] tallies;
     final NodeSide[] nodes;
+    final double[] nodeClockOffMs;
     final MemberPart[] members;
     final DiscoveryPart discovery;
     final Function<Host, Policy> policies;
@@ -97,6 +98,7 @@
         engine.add(discovery);
         atStart = discovery.atStart();
         nodes = new NodeSide[scenario.nodes().count()];
+        nodeClockOffMs = Troubles.nodeClocks(this);
         for (int n = 0; n < nodes.length; n++) {
             nodes[n] = maker.make(FIRST_NODE + n, n, this);
             engine.add(nodes[n]);
--- a/lab/src/main/java/tulipshed/lab/policy/CorePolicy.java
+++ b/lab/src/main/java/tulipshed/lab/policy/CorePolicy.java
@@ -5,16 +5,21 @@
 import java.util.List;
 import java.util.Map;
 import tulipshed.decision.Balancer;
+import tulipshed.decision.BalancerApi.EndpointInfo;
 import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.discovery.EndpointStartTimes;
+import tulipshed.discovery.ListedEndpoint;
 import tulipshed.lab.scenario.Scenario;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.Attempt;
 import tulipshed.proxy.ClientConnection;
+import tulipshed.proxy.EndpointListEntry;
 import tulipshed.proxy.EventLoop;
 import tulipshed.proxy.ProxyCore;
 import tulipshed.proxy.Request;
 import tulipshed.proxy.UpstreamConnector;
+import tulipshed.time.WallTime;
 
 /** The node's whole core, with its timers on the virtual clock; the emulated network is its front and its connector. */
 final class CorePolicy implements Policy, EventLoop, UpstreamConnector {
@@ -29,16 +34,31 @@
         throw new IllegalStateException(line);
     });
 
+    private static final long BEGINNING_EPOCH_MS = 1_700_000_000_000L; // the wall time of the world's beginning
+
     private final ProxyCore core;
+    private final EndpointStartTimes startTimes;
+    private final boolean trustsClocks;
     /** The connection that stood before, while the core takes it. */
     private Flow standing;
 
     CorePolicy(Host host, Map<String, Integer> numbers) {
+        this(host, numbers, false);
+    }
+
+    /**
+     * A core with a fault or without.
+     *
+     * @param trustsClocks whether it takes the starts in lists as if all machines read its own clock
+     */
+    CorePolicy(Host host, Map<String, Integer> numbers, boolean trustsClocks) {
         this.host = host;
         this.numbers = numbers;
+        this.trustsClocks = trustsClocks;
+        startTimes = new EndpointStartTimes(host::clockMs);
         Scenario s = host.scenario();
         core = new ProxyCore(
-                host::nowMs,
+                host::clockMs,
                 Limits.forDescriptors(DESCRIPTORS),
                 SettingsOf.of(s, host.node()),
                 host.seed(),
@@ -69,7 +89,7 @@
                             s.clients().hints() ? w.usualLoad * 1e6 : 0,
                             w.tries > 1,
                             w.returning),
-                    host.nowMs(),
+                    host.clockMs(),
                     stoodBefore);
         }
 
@@ -174,8 +194,45 @@
 
     @Override
     public void list(MemberNews.Batch batch) {
-        core.endpointsChanged(
-                batch.kind(), batch.news().stream().map(MemberNews::listed).toList());
+        List<EndpointListEntry> entries = trustsClocks
+                ? batch.news().stream().map(CorePolicy::asStamped).toList()
+                : startTimes.translate(
+                        batch.kind(),
+                        batch.news().stream().map(CorePolicy::asListed).toList());
+        core.endpointsChanged(batch.kind(), entries);
+    }
+
+    /** What discovery says of a member: its start is a wall time, on the clock of the member's machine. */
+    private static ListedEndpoint asListed(MemberNews news) {
+        EndpointInfo info = news.listed().info();
+        WallTime started = info.startedUs() == 0
+                ? ListedEndpoint.LONG_AGO
+                : new WallTime(BEGINNING_EPOCH_MS + Math.round(info.startedUs() / 1000.0 + news.clockOffMs()));
+        return new ListedEndpoint(
+                info.id(),
+                info.status(),
+                info.zone(),
+                info.cell(),
+                info.machineType(),
+                info.weight(),
+                started,
+                news.listed().address());
+    }
+
+    /** The same as a node would take it that held all clocks for one. */
+    private static EndpointListEntry asStamped(MemberNews news) {
+        EndpointInfo info = news.listed().info();
+        long startedUs = info.startedUs() == 0 ? 0 : info.startedUs() + SettingsOf.us(news.clockOffMs());
+        return new EndpointListEntry(
+                new EndpointInfo(
+                        info.id(),
+                        info.status(),
+                        info.zone(),
+                        info.cell(),
+                        info.machineType(),
+                        info.weight(),
+                        startedUs),
+                news.listed().address());
     }
 
     @Override
--- a/lab/src/main/java/tulipshed/lab/policy/Faulty.java
+++ b/lab/src/main/java/tulipshed/lab/policy/Faulty.java
@@ -17,7 +17,9 @@
         /** Sends to a drained member for as long as the grace lasts by its own clock. */
         WHOLE_GRACE,
         /** Ends in good order without the answers that are still owed. */
-        NO_LAST_ANSWERS
+        NO_LAST_ANSWERS,
+        /** Takes the starts in lists as if all machines read one clock. */
+        TRUSTS_CLOCKS
     }
 
     private static final int EVERY = 10; // of the chances to do it wrong
@@ -33,7 +35,7 @@
     Faulty(Host host, Map<String, Integer> numbers, Fault fault) {
         super(host);
         this.fault = fault;
-        core = new CorePolicy(this, numbers);
+        core = new CorePolicy(this, numbers, fault == Fault.TRUSTS_CLOCKS);
     }
 
     private boolean strikes(Fault f) {
--- a/lab/src/main/java/tulipshed/lab/policy/ForwardingHost.java
+++ b/lab/src/main/java/tulipshed/lab/policy/ForwardingHost.java
@@ -16,6 +16,11 @@
         return host.nowMs();
     }
 
+    @Override
+    public double clockMs() {
+        return host.clockMs();
+    }
+
     @Override
     public Scenario scenario() {
         return host.scenario();
--- a/lab/src/main/java/tulipshed/lab/policy/Host.java
+++ b/lab/src/main/java/tulipshed/lab/policy/Host.java
@@ -6,6 +6,9 @@
 public interface Host {
     double nowMs();
 
+    /** What the node's own clock shows: it never steps, and its origin is that of no other clock. */
+    double clockMs();
+
     Scenario scenario();
 
     int node();
--- a/lab/src/main/java/tulipshed/lab/policy/MemberNews.java
+++ b/lab/src/main/java/tulipshed/lab/policy/MemberNews.java
@@ -4,8 +4,13 @@
 import tulipshed.decision.BalancerApi.EndpointListKind;
 import tulipshed.proxy.EndpointListEntry;
 
-/** What discovery tells of one member, by number; the entry is shared by all nodes. */
-public record MemberNews(int member, EndpointListEntry listed) {
+/**
+ * What discovery tells of one member, by number; the entry is shared by all nodes.
+ *
+ * @param listed with the time at which the member really started
+ * @param clockOffMs by how much the clock that stamped that time is ahead
+ */
+public record MemberNews(int member, EndpointListEntry listed, double clockOffMs) {
     /** A list, or a change to one. */
     public record Batch(EndpointListKind kind, List<MemberNews> news) {}
 
--- a/lab/src/main/java/tulipshed/lab/policy/PolicyFactory.java
+++ b/lab/src/main/java/tulipshed/lab/policy/PolicyFactory.java
@@ -43,6 +43,7 @@
             case "core-silence" -> h -> new Faulty(h, numbers, Faulty.Fault.SILENCE);
             case "core-whole-grace" -> h -> new Faulty(h, numbers, Faulty.Fault.WHOLE_GRACE);
             case "core-no-last-answers" -> h -> new Faulty(h, numbers, Faulty.Fault.NO_LAST_ANSWERS);
+            case "core-trusts-clocks" -> h -> new Faulty(h, numbers, Faulty.Fault.TRUSTS_CLOCKS);
             default -> throw new IllegalArgumentException("no policy is called " + name);
         };
     }
--- a/lab/src/main/java/tulipshed/lab/scenario/Policies.java
+++ b/lab/src/main/java/tulipshed/lab/scenario/Policies.java
@@ -26,7 +26,8 @@
             "core-cold-member",
             "core-silence",
             "core-whole-grace",
-            "core-no-last-answers");
+            "core-no-last-answers",
+            "core-trusts-clocks");
 
     private Policies() {}
 }
--- a/lab/src/test/java/tulipshed/lab/ColdFleetTest.java
+++ b/lab/src/test/java/tulipshed/lab/ColdFleetTest.java
@@ -6,6 +6,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import tulipshed.lab.gate.DayDraw;
@@ -76,4 +78,47 @@
             }
         }
     }
+
+    /**
+     * Clocks that are off by 3 s or an hour, of some members or all, before their starts or after, and nodes whose own clocks
+     * began at other times: what a list says of a start is no moment of the node's.
+     */
+    @ParameterizedTest
+    @CsvSource({
+        "clocks-behind, 3600, 0, 1",
+        "clocks-behind, 3600, 16, 0.5",
+        "clocks-ahead, 3600, 0, 0.5",
+        "clocks-ahead, 3600, 16, 1",
+        "clocks-behind, 3, 14, 0.5",
+        "clocks-ahead, 3, 14, 1"
+    })
+    void noneIsPushedOverWhereClocksAreOff(String kind, double offS, double atS, double share) {
+        String clocks = "(trouble " + kind + " (at-s " + atS + ") (share " + share + ") (factor " + offS + "))"
+                + "(trouble node-clocks (share 0.5) (factor 7200))";
+        for (DayKind day : new DayKind[] {DayKind.ROLL, DayKind.JOIN}) {
+            Outcome o = play(day, 1, 5, 16, clocks + ALL_HAND_OVER_AND_RELOAD);
+            assertEquals(0, o.rules().broken(), day + ": " + o.rules());
+        }
+    }
+
+    /** A node that takes every start for a moment of its own clock is found, as a clock that is behind makes all look warm. */
+    @Test
+    void aNodeThatTrustsClocksIsFound() {
+        String behind = "(trouble clocks-behind (share 1) (factor 3600))";
+        assertTrue(fallen("core-trusts-clocks", behind) > 0);
+        assertEquals(0, fallen("core-trusts-clocks", ""));
+        assertEquals(0, fallen("core", behind));
+    }
+
+    /** How many members fall on a day of a long burst on which they start as cold as the settings allow. */
+    private static long fallen(String policy, String clocks) {
+        String day = DayDraw.text(DayKind.JOIN, 1, new DayDraw.Size(14, 16))
+                        .lines()
+                        .filter(line -> !line.contains("clocks"))
+                        .collect(Collectors.joining("\n"))
+                + "(trouble burst (at-s 5) (over-s 35) (factor 2))" + clocks;
+        return Worlds.run(Worlds.text(day, "policy=" + policy, "member-model.cold-share=0.12"), 1)
+                .rules()
+                .broken(Rule.COLD);
+    }
 }
--- a/lab/src/test/java/tulipshed/lab/GateTest.java
+++ b/lab/src/test/java/tulipshed/lab/GateTest.java
@@ -107,8 +107,10 @@
     }
 
     @Test
-    void theGateDrawsHoldUps() {
-        assertTrue(gate(0, "calm", "--seeds", "8", "--print").contains("(trouble hold-up-nodes"));
+    void theGateDrawsHoldUpsAndClocksThatAreOff() {
+        String days = gate(0, "calm", "--seeds", "16", "--print");
+        assertTrue(days.contains("(trouble hold-up-nodes") && days.contains("(trouble node-clocks"), days);
+        assertTrue(days.contains("(trouble clocks-ahead") && days.contains("(trouble clocks-behind"), days);
     }
 
     @Test
--- a/lab/src/test/java/tulipshed/lab/TroublesTest.java
+++ b/lab/src/test/java/tulipshed/lab/TroublesTest.java
@@ -184,4 +184,15 @@
             assertTrue(o.figure("moves") > run("").figure("moves") + 50, policy + " " + o.figure("moves"));
         }
     }
+
+    /** What is told anew are the starts that the lists tell; members that have run for long have none. */
+    @Test
+    void clocksThatStepTellStartsAnew() {
+        String day = "(trouble deploy-members (at-s 2) (share 0.4) (over-s 0.1))"
+                + "(trouble clocks-ahead (at-s 15) (share 1) (factor 3600))";
+        Predicate<String> news = l -> l.contains("n-0: list, CHANGES") && l.contains("SERVING");
+        assertEquals(4, told(day, 15_900, 16_500, news).size());
+        assertEquals(0, told(day, 12_000, 15_900, news).size());
+        assertEquals(0, run(day).rules().broken());
+    }
 }
