--- a/lab/src/main/java/tulipshed/lab/scenario/Policies.java
+++ b/lab/src/main/java/tulipshed/lab/scenario/Policies.java
@@ -24,7 +24,10 @@
             "core-second-answer",
             "core-drained-member",
             "core-cold-member",
-            "core-silence");
+            "core-silence",
+            "core-whole-grace",
+            "core-no-last-answers",
+            "core-trusts-clocks");
 
     private Policies() {}
 }
