--- /dev/null
+++ b/lab/scenarios/endpoints-3200.sexp
@@ -0,0 +1,18 @@
+; endpoints-200 with sixteen times the endpoints, each a sixteenth as large: traffic, limits and total capacity are the same.
+(seconds 60)
+(settle-s 10)
+(network (sites 4) (within-ms 0.3) (between-ms 1) (jitter-ms 0.1))
+(nodes (count 4) (restart-ms 300) (max-attempts 6))
+(members std-2c (count 1280) (cores 2) (speed 0.059375))
+(members wide-3c (count 1920) (cores 3) (speed 0.046875))
+(class slot-board (share 51) (aim-ms 800) (deadline-ms 4800) (worth 1) (message-aim-ms 60) (life-s 46) (load 0.03))
+(class gate-status (share 35) (aim-ms 300) (deadline-ms 1200) (worth 1) (message-aim-ms 150) (life-s 46) (load 0.01))
+(class slot-booking (share 14) (aim-ms 500) (deadline-ms 3000) (worth 3) (message-aim-ms 100) (life-s 30) (load 0.01))
+(tenant vltava-kontejner (share 0.4))
+(tenant decinska-doprava (share 0.35))
+(tenant melnik-terminal (share 0.25))
+; A sixteenth, so that set-ups and messages take as long at the smaller speed, and a group asks as much of its endpoint.
+(member-model (setup-ms 0.5) (message-ms 0.25) (group-load 0.00125) (cap 4) (warm-ms 15000) (cold-share 0.2) (drain-ms 3000) (restart-ms 1500) (tells-delay 0))
+(clients (per-second 75) (standing 3200) (come-at-first 1) (groups 60) (grouped 1) (tries 4) (return-ms 485) (load-spread 0.5))
+(discovery (lag-ms 1000) (calls-per-s 1000))
+(trouble deploy-members (at-s 20) (share 0.2) (over-s 15))
--- a/lab/src/main/java/tulipshed/lab/load/LoadRun.java
+++ b/lab/src/main/java/tulipshed/lab/load/LoadRun.java
@@ -39,7 +39,10 @@
     static final int TRIES = 40;
 
     private static final int MOST_NODES = 16;
-    private static final int MOST_MEMBERS = 500;
+    private static final int MOST_MEMBERS = 3200;
+    /** Over links each node has a listener of its own for each member. */
+    private static final int MOST_LINKED_MEMBERS = 500;
+
     private static final int MOST_CLIENTS = 5000;
     private static final double LONGEST_MS = 600_000;
     private static final double START_MS = 30_000;
@@ -69,6 +72,7 @@
     private double latestMs;
     private double behindMs;
     private long strangers;
+    private long accepted;
 
     private record Told(int node, double atMs, Map<String, String> states) {}
 
@@ -117,9 +121,11 @@
             nodes.add(n);
             return n;
         });
-        if (world.memberCount() > MOST_MEMBERS) {
-            throw new IllegalArgumentException("over sockets, at most " + MOST_MEMBERS + " members");
+        int mostMembers = ways == null ? MOST_MEMBERS : MOST_LINKED_MEMBERS;
+        if (world.memberCount() > mostMembers) {
+            throw new IllegalArgumentException("over sockets, at most " + mostMembers + " members");
         }
+        Descriptors.require(s, world.memberCount());
         for (int m = 0; m < world.memberCount(); m++) {
             members.add(new SocketMember(m, this, selector));
             numbers.put(world.nameOf(m), m);
@@ -265,6 +271,16 @@
     /** Starts the nodes, plays the day and tells what came of it. */
     public Outcome run() throws IOException, InterruptedException {
         processes.forEach(NodeProcess::start);
+        UsageSampler sampler =
+                new UsageSampler(processes.stream().map(NodeProcess::usage).toList());
+        try {
+            return play();
+        } finally {
+            sampler.close();
+        }
+    }
+
+    private Outcome play() throws IOException, InterruptedException {
         long waitFrom = System.nanoTime();
         while (!processes.stream().allMatch(NodeProcess::serves)) {
             if ((System.nanoTime() - waitFrom) / 1e6 > START_MS) {
@@ -388,6 +404,20 @@
         return strangers;
     }
 
+    /** What each node used so far; final once the run is over. */
+    public List<NodeUsage> usage() {
+        List<NodeUsage> out = new ArrayList<>();
+        for (int n = 0; n < nodes.size(); n++) {
+            out.add(nodes.get(n).usage(discoveries.get(n).listBytes()));
+        }
+        return out;
+    }
+
+    /** Connections that endpoints accepted, with those on which no request came: health checks, and attempts given up. */
+    public long acceptedConnections() {
+        return accepted;
+    }
+
     // ---- For nodes and members ----
 
     Wire connect(InetSocketAddress to, Wire.Listener listener) throws IOException {
@@ -423,6 +453,10 @@
         return started.getOrDefault(member, Double.NaN);
     }
 
+    void accepted() {
+        accepted++;
+    }
+
     void stranger() {
         strangers++;
     }
--- a/lab/src/main/java/tulipshed/lab/load/NodeProcess.java
+++ b/lab/src/main/java/tulipshed/lab/load/NodeProcess.java
@@ -23,6 +23,7 @@
     private Process process;
     private final InetSocketAddress address;
     private final Deque<Line> said = new ArrayDeque<>();
+    private final ProcessUsage usage = new ProcessUsage();
     private volatile boolean serves;
     private boolean killed;
     private boolean stopped;
@@ -56,7 +57,13 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
+                "-XX:-UsePerfData",
+                "-Xms16m",
                 "-Xmx64m",
+                "-Xss512k",
+                "-XX:MaxMetaspaceSize=40m",
+                "-XX:ReservedCodeCacheSize=24m",
+                "-XX:MaxDirectMemorySize=8m",
                 "-Djava.io.tmpdir=" + temporary,
                 "-jar",
                 jar.toString(),
@@ -68,6 +75,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
+        usage.follow(process.toHandle());
         Process mine = process;
         Thread reader = new Thread(() -> read(mine), "node-log");
         reader.setDaemon(true);
@@ -132,6 +140,11 @@
         return process.isAlive();
     }
 
+    /** What its processes have used so far. */
+    ProcessUsage usage() {
+        return usage;
+    }
+
     InetSocketAddress address() {
         return address;
     }
--- a/lab/src/main/java/tulipshed/lab/load/SocketMember.java
+++ b/lab/src/main/java/tulipshed/lab/load/SocketMember.java
@@ -34,6 +34,7 @@
 
     void accept() throws IOException {
         for (SocketChannel c = listener.accept(); c != null; c = listener.accept()) {
+            run.accepted();
             // Its key in the selector keeps it.
             new Wire(c, selector, new Arriving(), true);
         }
--- a/lab/src/main/java/tulipshed/lab/load/SocketNode.java
+++ b/lab/src/main/java/tulipshed/lab/load/SocketNode.java
@@ -24,6 +24,8 @@
     private static final double HEARS_MS = 600; // a sound connection brings a line back at once
     private NodeRules rules;
     private long lastTry;
+    private long served;
+    private long endpointConnections;
     private final Set<Client> standing = new HashSet<>();
 
     SocketNode(int id, int number, World world, LoadRun run, NodeProcess process) {
@@ -32,6 +34,20 @@
         this.process = process;
     }
 
+    /** What it used so far; {@code listBytes} is what discovery has sent it. */
+    NodeUsage usage(long listBytes) {
+        ProcessUsage used = process.usage();
+        return new NodeUsage(
+                number,
+                used.cpuSeconds(),
+                used.peakMemoryMib(),
+                used.peakDescriptors(),
+                endpointConnections,
+                listBytes,
+                lastTry,
+                served);
+    }
+
     NodeRules rules() {
         return rules;
     }
@@ -91,6 +107,7 @@
                 rules.left(t.watched);
             }
             if (word.equals("UP")) {
+                served++;
                 t.standing = true;
                 standing.add(this);
                 remind(nowMs + SAYS_MS * random.nextDouble(), Kinds.SAYS, this, 0);
@@ -204,6 +221,7 @@
     /** The node's flow for a client has arrived at a member. */
     Flow dialled(Try t, int member, Wire wire) {
         now();
+        endpointConnections++;
         Flow f = new Flow(t, member, nowMs, run.toldStartMs(member), this);
         t.attempts++;
         // One that was held on its way comes after the one that took its place.
--- a/lab/src/main/java/tulipshed/lab/results/Results.java
+++ b/lab/src/main/java/tulipshed/lab/results/Results.java
@@ -19,11 +19,12 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramIterationValue;
+import tulipshed.lab.load.NodeUsage;
 import tulipshed.lab.model.Outcome;
 
 /**
  * A folder of results. Each run leaves three files named by its key: what came of it, its seconds and its histograms.
- * The first is written last and under another name until it is whole, so a run is there entirely or not at all
+ * A run with real nodes leaves a fourth, on what each of them used. The first is written last and under another name until it is whole, so a run is there entirely or not at all
  * (docs/lab.md describes the columns).
  */
 public final class Results implements AutoCloseable {
@@ -131,6 +132,36 @@
         table("seconds", key, columns.toString(), rows);
     }
 
+    /** Keeps what the nodes of a run with real processes used, a row for each. */
+    public synchronized void writeNodes(String key, List<NodeUsage> nodes) {
+        List<Object[]> rows = new ArrayList<>();
+        for (NodeUsage node : nodes) {
+            rows.add(new Object[] {
+                key,
+                node.node(),
+                node.cpuSeconds(),
+                node.peakMemoryMib(),
+                node.peakDescriptors(),
+                node.endpointConnections(),
+                node.listBytes(),
+                node.requests(),
+                node.served()
+            });
+        }
+        try {
+            table(
+                    "nodes",
+                    key,
+                    "run_key VARCHAR, node INTEGER, cpu_s DOUBLE, peak_memory_mib DOUBLE, peak_descriptors INTEGER, "
+                            + "endpoint_connections BIGINT, list_bytes BIGINT, requests BIGINT, served BIGINT",
+                    rows);
+        } catch (SQLException e) {
+            throw new IllegalStateException(e);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
     private void histograms(String key, Outcome o) throws SQLException, IOException {
         List<Object[]> rows = new ArrayList<>();
         histogram(key, "setup", o.setupUs(), rows);
--- a/lab/src/main/java/tulipshed/lab/tool/LoadCommand.java
+++ b/lab/src/main/java/tulipshed/lab/tool/LoadCommand.java
@@ -3,14 +3,18 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
+import java.util.function.Function;
+import java.util.function.ToDoubleFunction;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import tulipshed.lab.load.LoadRun;
+import tulipshed.lab.load.NodeUsage;
 import tulipshed.lab.model.Outcome;
 import tulipshed.lab.results.Results;
 import tulipshed.lab.scenario.Overrides;
@@ -53,13 +57,44 @@
                     run.strangers());
             o.figures().forEach((name, value) -> w.printf(Locale.ROOT, "  %-24s %s%n", name, RunCommand.plain(value)));
             w.print(o.rules());
+            List<NodeUsage> usage = run.usage();
+            printUsage(w, usage, run.acceptedConnections());
             w.flush();
             if (out != null) {
                 try (Results results = new Results(out)) {
-                    results.write(Runs.key(o.scenario(), overrides, options.seed), overrides.values(), o);
+                    String key = Runs.key(o.scenario(), overrides, options.seed);
+                    results.writeNodes(key, usage);
+                    results.write(key, overrides.values(), o);
                 }
             }
             return 0;
         }
     }
+
+    private static void printUsage(PrintWriter w, List<NodeUsage> nodes, long acceptedConnections) {
+        w.printf(
+                "%-6s %8s %11s %12s %12s %11s %9s %7s%n",
+                "node", "cpu s", "memory MiB", "descriptors", "connections", "list bytes", "requests", "served");
+        for (NodeUsage node : nodes) {
+            printUsage(w, Integer.toString(node.node()), figure -> figure.applyAsDouble(node));
+        }
+        printUsage(w, "mean", figure -> NodeUsage.mean(nodes, figure));
+        long withRequest =
+                nodes.stream().mapToLong(NodeUsage::endpointConnections).sum();
+        w.printf("connections to endpoints without a request, all nodes: %d%n", acceptedConnections - withRequest);
+    }
+
+    private static void printUsage(PrintWriter w, String name, Function<ToDoubleFunction<NodeUsage>, Double> value) {
+        w.printf(
+                Locale.ROOT,
+                "%-6s %8.2f %11.1f %12.0f %12.0f %11.0f %9.0f %7.3f%n",
+                name,
+                value.apply(NodeUsage::cpuSeconds),
+                value.apply(NodeUsage::peakMemoryMib),
+                value.apply(NodeUsage::peakDescriptors),
+                value.apply(NodeUsage::endpointConnections),
+                value.apply(NodeUsage::listBytes),
+                value.apply(NodeUsage::requests),
+                value.apply(NodeUsage::servedShare));
+    }
 }
--- a/lab/src/test/java/tulipshed/lab/LoadTest.java
+++ b/lab/src/test/java/tulipshed/lab/LoadTest.java
@@ -6,9 +6,11 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.Test;
 import tulipshed.lab.load.LoadRun;
+import tulipshed.lab.load.NodeUsage;
 import tulipshed.lab.model.Outcome;
 import tulipshed.lab.rules.Rule;
 import tulipshed.lab.scenario.Scenario;
@@ -37,13 +39,30 @@
             assertEquals(0, run.strangers(), "nothing came that no client had sent");
             assertTrue(o.figure("resets") > 0 && o.figure("moves") > 0, () -> "" + o.figures());
             assertTrue(o.figure("service") > 0.5, () -> "" + o.figures());
+            assertUsage(run.usage());
         }
     }
 
+    private static void assertUsage(List<NodeUsage> nodes) {
+        assertEquals(2, nodes.size());
+        long requests = 0;
+        for (NodeUsage node : nodes) {
+            requests += node.requests();
+            assertTrue(node.cpuSeconds() > 0.1 && node.listBytes() > 200, () -> "" + node);
+            assertTrue(node.endpointConnections() >= node.served(), () -> "" + node);
+            assertTrue(node.served() > 20 && node.served() <= node.requests(), () -> "" + node);
+        }
+        assertTrue(requests > 100, () -> "" + nodes);
+    }
+
     @Test
     void whatSocketsCannotDoIsSaidAtOnce() {
         for (String[] too : new String[][] {
-            {"nodes.count=17"}, {"clients.standing=6000"}, {"seconds=601"}, {"clients.come-at-first=0"}
+            {"nodes.count=17"},
+            {"members.std.count=3201"},
+            {"clients.standing=6000"},
+            {"seconds=601"},
+            {"clients.come-at-first=0"}
         }) {
             Scenario s = Worlds.text(DAY, too);
             assertThrows(IllegalArgumentException.class, () -> new LoadRun(s, 1, JAR).close(), too[0]);
--- a/node/src/main/java/tulipshed/demo/StubDiscovery.java
+++ b/node/src/main/java/tulipshed/demo/StubDiscovery.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -37,6 +38,7 @@
     private final Map<String, PublishedEndpoint> endpoints = new LinkedHashMap<>();
     private long version;
     private volatile boolean unavailable;
+    private final AtomicLong listBytes = new AtomicLong();
 
     private Consumer<Map<String, String>> notificationListener = states -> {};
 
@@ -84,6 +86,11 @@
         notifyAll();
     }
 
+    /** Returns the bytes of all lists and changes that were sent, without heads. */
+    public long listBytes() {
+        return listBytes.get();
+    }
+
     /** Sets who is called, on the request's thread, with the states by endpoint ID of each response that was sent. */
     public synchronized void onNotified(Consumer<Map<String, String>> listener) {
         notificationListener = listener;
@@ -110,6 +117,7 @@
         }
         exchange.sendResponseHeaders(OK, body.length);
         exchange.getResponseBody().write(body);
+        listBytes.addAndGet(body.length);
         exchange.close();
         notificationListener().accept(states);
     }
