--- a/node/src/main/java/tulipshed/decision/Balancer.java
+++ b/node/src/main/java/tulipshed/decision/Balancer.java
@@ -54,13 +54,13 @@
 
     @Override
     public int eligibleCount(long now, String poolName) {
-        return parts.outlierEjection.countEligible(now, parts.pools.get(poolName));
+        EndpointPool pool = parts.pools.get(poolName);
+        return pool.ready.size() - parts.outlierEjection.countIneligible(now, pool);
     }
 
     @Override
     public int ineligibleCount(long now) {
-        EndpointPool pool = parts.pools.allEndpoints;
-        return parts.endpoints.countListed(endpoint -> !parts.outlierEjection.isEligible(now, pool, endpoint));
+        return parts.endpoints.listedCount() - eligibleCount(now, null);
     }
 
     @Override
--- a/node/src/main/java/tulipshed/decision/EndpointState.java
+++ b/node/src/main/java/tulipshed/decision/EndpointState.java
@@ -71,6 +71,11 @@
         return info.weight() * machineType.speed;
     }
 
+    /** Whether the endpoint list names it, serving or draining. */
+    boolean isListed() {
+        return info != null && !removed;
+    }
+
     /** Whether the endpoint list says that it serves. */
     boolean isReady() {
         return pools.get(0).ready.has(this);
--- a/node/src/main/java/tulipshed/decision/EndpointTable.java
+++ b/node/src/main/java/tulipshed/decision/EndpointTable.java
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Predicate;
 import tulipshed.decision.BalancerApi.EndpointInfo;
 import tulipshed.decision.BalancerApi.EndpointListKind;
 import tulipshed.decision.BalancerApi.EndpointStatus;
@@ -23,6 +22,7 @@
     private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
     private double largestWeight;
     private double highestSpeed;
+    private int listedCount;
 
     /** Creates an empty table; {@code updater} decides what a list entry says of an endpoint. */
     EndpointTable(EndpointPools pools, EndpointUpdater updater, int initialPendingLimit) {
@@ -70,12 +70,9 @@
         }
     }
 
-    /** Counts the endpoints that are on the list and for which the condition holds. */
-    int countListed(Predicate<EndpointState> condition) {
-        return (int) endpoints.values().stream()
-                .filter(endpoint -> !endpoint.removed && endpoint.info != null)
-                .filter(condition)
-                .count();
+    /** The number of endpoints on the list, serving or draining. */
+    int listedCount() {
+        return listedCount;
     }
 
     /** Takes a complete list, or changes to it. */
@@ -96,7 +93,9 @@
         MachineType machineType = machineTypes.computeIfAbsent(entry.machineType(), name -> new MachineType());
         machineType.largestWeight = Math.max(machineType.largestWeight, entry.weight());
         largestWeight = Math.max(largestWeight, entry.weight());
-        updater.update(now, getOrCreate(entry.id()), machineType, entry);
+        EndpointState endpoint = getOrCreate(entry.id());
+        listedCount += endpoint.isListed() ? 0 : 1;
+        updater.update(now, endpoint, machineType, entry);
     }
 
     private void removeAbsent(List<EndpointInfo> entries) {
@@ -109,6 +108,7 @@
     }
 
     private void remove(EndpointState endpoint) {
+        listedCount -= endpoint.isListed() ? 1 : 0;
         endpoint.markUnready();
         endpoint.removed = true;
         forgetIfUnused(endpoint);
--- a/node/src/main/java/tulipshed/decision/GroupAffinity.java
+++ b/node/src/main/java/tulipshed/decision/GroupAffinity.java
@@ -18,6 +18,7 @@
     private static final double MAX_EVEN_LOADS = 2; // load up to which an endpoint attracts its groups
     private static final int MAX_GROUPS = 4096; // remembered before unused ones are forgotten
     private static final double MIN_ARRIVALS = 0.1; // of a group that is remembered
+    private static final double LOG_BOUND = 1 - 1e-9; // -log(u) is at least 1 - u, but for its rounding
 
     /** The group of a request in its pool, or null if it has none. */
     ConnectionGroup groupOf(long now, RequestState request) {
@@ -73,11 +74,13 @@
             return best;
         }
         double lowestScore = Double.MAX_VALUE;
+        long series = Hashing.series(group.hash, rank);
         for (int i = 0; i < pool.ready.size(); i++) {
             EndpointState endpoint = pool.ready.get(i);
-            double score = -Math.log(Hashing.uniform(group.hash, endpoint.hash, rank)) / endpoint.weight();
-            if (score < lowestScore) {
-                lowestScore = score;
+            double uniform = Hashing.uniform(series, endpoint.hash);
+            double weight = endpoint.weight();
+            if ((1 - uniform) * LOG_BOUND < lowestScore * weight && -Math.log(uniform) / weight < lowestScore) {
+                lowestScore = -Math.log(uniform) / weight;
                 best = endpoint;
             }
         }
--- a/node/src/main/java/tulipshed/decision/Hashing.java
+++ b/node/src/main/java/tulipshed/decision/Hashing.java
@@ -26,6 +26,16 @@
 
     /** The {@code index}-th of a series of independent uniform numbers between 0 and 1 for a pair of hashes. */
     static double uniform(long firstHash, long secondHash, int index) {
-        return ((mix(mix(firstHash + index * GOLDEN_GAMMA) ^ secondHash) >>> 11) + 0.5) * 0x1p-53;
+        return uniform(series(firstHash, index), secondHash);
+    }
+
+    /** The hash of the {@code index}-th series of a first hash, for {@link #uniform(long, long)}. */
+    static long series(long firstHash, int index) {
+        return mix(firstHash + index * GOLDEN_GAMMA);
+    }
+
+    /** The number of a series for a second hash. */
+    static double uniform(long seriesHash, long secondHash) {
+        return ((mix(seriesHash ^ secondHash) >>> 11) + 0.5) * 0x1p-53;
     }
 }
--- a/node/src/main/java/tulipshed/decision/OutlierEjection.java
+++ b/node/src/main/java/tulipshed/decision/OutlierEjection.java
@@ -47,11 +47,11 @@
         return !endpoint.failing && !isLate(now, endpoint);
     }
 
-    /** The number of eligible endpoints of a pool. */
-    int countEligible(long now, EndpointPool pool) {
+    /** The number of ready endpoints of a pool that are not eligible; all of them are ejected. */
+    int countIneligible(long now, EndpointPool pool) {
         int count = 0;
-        for (int i = 0; i < pool.ready.size(); i++) {
-            count += isEligible(now, pool, pool.ready.get(i)) ? 1 : 0;
+        for (int i = 0; i < pool.ejected.size(); i++) {
+            count += isEligible(now, pool, pool.ejected.get(i)) ? 0 : 1;
         }
         return count;
     }
