--- a/node/src/main/java/tulipshed/decision/Balancer.java
+++ b/node/src/main/java/tulipshed/decision/Balancer.java
@@ -217,7 +217,7 @@
     private void recordEnd(long now, RequestState request, EndpointState endpoint, Outcome outcome) {
         parts.connectionReuse.recordEnded(now, endpoint, outcome, request.established);
         PendingLimit.recordOutcome(endpoint, outcome, request.established);
-        parts.outlierEjection.recordOutcome(now, endpoint, outcome);
+        parts.outlierEjection.recordOutcome(now, endpoint, outcome, now - request.sentAtUs);
         if (outcome == Outcome.RESET && request.established && endpoint.isReady()) {
             parts.loadShedder.recordDrop(now);
         }
--- a/node/src/main/java/tulipshed/decision/OutlierEjection.java
+++ b/node/src/main/java/tulipshed/decision/OutlierEjection.java
@@ -72,8 +72,14 @@
         }
     }
 
-    /** Takes the outcome of an attempt; an unreachable or silent endpoint is ejected at the first failure. */
-    void recordOutcome(long now, EndpointState endpoint, Outcome outcome) {
+    /**
+     * Takes the outcome of an attempt that took so long; an unreachable or silent endpoint is ejected at the first failure.
+     * Silence during an attempt too short to be worth its cost says nothing: endpoints may drop what has so little time.
+     */
+    void recordOutcome(long now, EndpointState endpoint, Outcome outcome, long tookUs) {
+        if (outcome == Outcome.TIMEOUT && tookUs < RetryPolicy.MIN_ATTEMPT_US) {
+            return;
+        }
         switch (outcome) {
             case OK -> endpoint.clearFailures();
             case FULL -> eject(now, endpoint, FULL_EJECTION_US);
--- a/node/src/main/java/tulipshed/decision/RetryPolicy.java
+++ b/node/src/main/java/tulipshed/decision/RetryPolicy.java
@@ -6,7 +6,7 @@
 
 /** Whether, where and for how long a request is attempted again, so that its effect never happens twice. */
 record RetryPolicy(ActiveSettings settings, SplittableRandom random) {
-    private static final long MIN_ATTEMPT_US = 60_000; // with less time left an attempt is not worth its cost
+    static final long MIN_ATTEMPT_US = 60_000; // with less time left an attempt is not worth its cost
     private static final double MIN_JITTER = 0.75;
     private static final double JITTER_RANGE = 0.25;
 
--- a/node/src/main/java/tulipshed/proxy/ConnectionAdopter.java
+++ b/node/src/main/java/tulipshed/proxy/ConnectionAdopter.java
@@ -1,5 +1,7 @@
 package tulipshed.proxy;
 
+import java.util.LinkedHashSet;
+import java.util.Set;
 import tulipshed.limits.Limits;
 import tulipshed.time.Clock;
 
@@ -20,6 +22,9 @@
     private final EndpointRegistry endpoints;
     private final AttemptManager attempts;
 
+    /** Requests whose endpoint is waited for; the table does not have them yet. */
+    private final Set<Request> waiting = new LinkedHashSet<>();
+
     ConnectionAdopter(
             CoreContext context,
             RequestTable table,
@@ -48,18 +53,26 @@
     private void resume(Request request, String endpointId, double arrivedMs) {
         Endpoint endpoint = endpoints.find(endpointId);
         double nowMs = clock.nowMs();
+        waiting.remove(request);
         if (!request.isPending()) {
             return;
         }
         if (endpoint != null && endpoint.address() != null) {
             open(request, endpoint, nowMs, arrivedMs + limits.adoptionTimeoutMs());
         } else if (nowMs < arrivedMs + endpointTimeoutMs()) {
+            waiting.add(request);
             events.schedule(nowMs + limits.unknownEndpointPollMs(), () -> resume(request, endpointId, arrivedMs));
         } else {
             responses.fail(request);
         }
     }
 
+    /** Answers the requests whose endpoint is still waited for, before the node exits: they cannot be resumed here. */
+    void failAllWaiting() {
+        waiting.stream().filter(Request::isPending).forEach(responses::fail);
+        waiting.clear();
+    }
+
     private double endpointTimeoutMs() {
         return endpoints.isListReceived() ? limits.unlistedEndpointTimeoutMs() : limits.adoptionTimeoutMs();
     }
--- a/node/src/main/java/tulipshed/proxy/ProxyCore.java
+++ b/node/src/main/java/tulipshed/proxy/ProxyCore.java
@@ -234,6 +234,7 @@
     /** Answers all pending requests before the node exits, with a rejection only where a retry is harmless. */
     public void rejectAllPending() {
         requests.rejectAllPending();
+        adopter.failAllWaiting();
     }
 
     // ---- Queries ----
--- a/node/src/test/java/tulipshed/decision/OutlierEjectionTest.java
+++ b/node/src/test/java/tulipshed/decision/OutlierEjectionTest.java
@@ -55,6 +55,21 @@
         assertEquals(4, used.size());
     }
 
+    /** Endpoints may drop a request that has hardly any time left, without a word. */
+    @Test
+    void silenceTowardsRequestWithHardlyAnyTimeEjectsNothing() {
+        assertFalse(isAvoidedAfterTimeout(50_000));
+        assertTrue(isAvoidedAfterTimeout(60_000));
+    }
+
+    private boolean isAvoidedAfterTimeout(long timeoutUs) {
+        Balancer balancer = setup.balancerWithEndpoints(2);
+        balancer.requestArrived(0, request(1, 0, null, timeoutUs));
+        String silent = recorder.attemptedEndpoint();
+        end(balancer, timeoutUs, 1, 0, true, Outcome.TIMEOUT);
+        return !endpointsOfAttempts(balancer, timeoutUs, 2).contains(silent);
+    }
+
     /** A few unrelated resets would otherwise eject all endpoints of a small pool at once. */
     @Test
     void ejectsAfterTwoConsecutiveResetsButNotAfterOne() {
--- a/node/src/test/java/tulipshed/proxy/ConnectionAdopterTest.java
+++ b/node/src/test/java/tulipshed/proxy/ConnectionAdopterTest.java
@@ -1,6 +1,7 @@
 package tulipshed.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
@@ -53,6 +54,18 @@
         assertEquals(List.of("client: fail"), fixture.takeRecorded());
     }
 
+    /** Otherwise the process would end with no answer to it. */
+    @Test
+    void shutdownFailsAdoptionThatWaitsForItsEndpoint() {
+        Request waiting = fixture.adoptConnection("s-9");
+        fixture.core.rejectAllPending();
+        assertEquals(List.of("client: fail"), fixture.takeRecorded());
+        assertFalse(waiting.isPending());
+        fixture.updateEndpoint("s-9", EndpointStatus.SERVING);
+        fixture.advance(150);
+        assertEquals(List.of("list CHANGES"), fixture.takeRecorded(), "nothing is opened for it any more");
+    }
+
     @Test
     void adoptionFailsAtOnceWhenConnectionIsUnknown() {
         fixture.adoptConnection("s-1");
