--- a/node/src/main/java/tulipshed/cli/ServeCommand.java
+++ b/node/src/main/java/tulipshed/cli/ServeCommand.java
@@ -44,7 +44,7 @@
         Limits limits = Limits.forDescriptors(config.sockets());
         try {
             HotRestartState hotRestart =
-                    joinHotRestart(config, environment.get(SHARED_STATE_DIRECTORY_VARIABLE), limits, log);
+                    joinHotRestart(config, environment.get(SHARED_STATE_DIRECTORY_VARIABLE), limits, nodeLog);
             Node node =
                     Node.start(new NodeOptions(config, operatorsFile, limits, hotRestart, new SystemClock(), nodeLog));
             reloader.nodeStarted(node);
@@ -67,17 +67,15 @@
     }
 
     /** Joins the state that the two processes of a hot restart share, in a file that the listen address names. */
-    private static HotRestartState joinHotRestart(NodeConfig config, String directory, Limits limits, Logger log) {
+    private static HotRestartState joinHotRestart(NodeConfig config, String directory, Limits limits, NodeLog log) {
         if (directory == null || directory.isEmpty()) {
             return new HotRestartState();
         }
         try {
             return new HotRestartState(
                     Path.of(directory, sharedStateFileName(config.listen())),
-                    limits.shutdown().sharedIds());
-        } catch (IOException e) {
-            log.warn("hot restart unavailable, cannot use TMPDIR: " + e);
-            return new HotRestartState();
+                    limits.shutdown().sharedIds(),
+                    log);
         } catch (IllegalStateException e) {
             throw new MalformedInputException(e.getMessage());
         }
--- a/node/src/main/java/tulipshed/transport/ClaimedIds.java
+++ b/node/src/main/java/tulipshed/transport/ClaimedIds.java
@@ -16,25 +16,29 @@
     /** 0 marks a free entry, so an id never has that hash. */
     private static final long HASH_IN_PLACE_OF_ZERO = 1;
 
-    private final HotRestartSlot own;
-    private final HotRestartSlot peer;
+    private final OwnHotRestartSlot own;
     private final Map<String, Integer> entries = new HashMap<>();
     private final ArrayDeque<Integer> freeEntries = new ArrayDeque<>();
 
-    /** No ids claimed; claims are written to {@code own} and checked against {@code peer}. */
-    ClaimedIds(HotRestartSlot own, HotRestartSlot peer) {
+    /** Whether the other process has claimed an id. */
+    interface PeerClaims {
+        /** Whether the other process has claimed an id with this hash. */
+        boolean contains(long hash);
+    }
+
+    /** No ids claimed; claims are written to {@code own}. */
+    ClaimedIds(OwnHotRestartSlot own) {
         this.own = own;
-        this.peer = peer;
     }
 
-    /** Claims an id; false where {@code hasPeer} and the other process has claimed it. An id without a free entry is not shared. */
-    boolean claim(String id, boolean hasPeer) {
+    /** Claims an id; false where the other process has claimed it. An id without a free entry is not shared. */
+    boolean claim(String id, PeerClaims peer) {
         long hash = hash(id);
         publish(id, hash);
         // Each process writes its own claim before it reads the other's: of two at the same moment at least one is
         // seen.
         VarHandle.fullFence();
-        if (hasPeer && peer.containsIdHash(hash)) {
+        if (peer.contains(hash)) {
             release(id);
             return false;
         }
@@ -52,14 +56,15 @@
 
     private void publish(String id, long hash) {
         int used = own.idCount();
-        if (freeEntries.isEmpty() && used < own.capacity()) {
-            freeEntries.add(used);
-            own.setIdCount(used + 1);
+        if (freeEntries.isEmpty() && used == own.capacity()) {
+            return;
         }
-        if (!freeEntries.isEmpty()) {
-            int entry = freeEntries.poll();
-            entries.put(id, entry);
-            own.putIdHash(entry, hash);
+        int entry = freeEntries.isEmpty() ? used : freeEntries.poll();
+        entries.put(id, entry);
+        own.putIdHash(entry, hash);
+        // The other process must not read an entry before its content.
+        if (entry == used) {
+            own.setIdCount(used + 1);
         }
     }
 
--- a/node/src/main/java/tulipshed/transport/DescriptorBudget.java
+++ b/node/src/main/java/tulipshed/transport/DescriptorBudget.java
@@ -58,7 +58,7 @@
         if (!hotRestartState.hasPeer()) {
             return 0;
         }
-        return hotRestartState.peerOpenConnections()
+        return hotRestartState.peerOpenConnections(limits.sockets().descriptors())
                 + limits.sockets().reservedDescriptors()
                 + DESCRIPTORS_PER_MANAGEMENT_CONNECTION * limits.management().connections();
     }
--- /dev/null
+++ b/node/src/main/java/tulipshed/transport/HotRestartLayout.java
@@ -0,0 +1,80 @@
+package tulipshed.transport;
+
+import java.nio.charset.StandardCharsets;
+import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
+
+/**
+ * The layout of the bytes that one process publishes in its slot of the file that the two processes of a node share.
+ *
+ * <p>Processes of different versions share the file, so the layout must not change. Numbers are big-endian. With a
+ * capacity of {@code n} ids and {@code n} connections a slot holds:
+ *
+ * <pre>
+ *  offset       size  content
+ *  0               4  state of the process, see ProcessState
+ *  4               4  open connections of the process
+ *  8               4  number of id entries ever used
+ *  12              4  number of connection records ever used
+ *  16             8n  id entries: the hash of a claimed request id, or 0
+ *  16 + 8n       96n  connection records
+ *
+ *  in a record:
+ *  0               8  1 where a connection is established, else 0
+ *  8               8  load hint, a double in µs/s
+ *  16         1 + 39  endpoint id: its length in bytes, then UTF-8
+ *  56         1 + 39  group: its length in bytes, 0 for none, then UTF-8
+ * </pre>
+ *
+ * <p>Only the process that holds the slot's lock writes it; the other one reads it at any moment. A record is written before
+ * its mark is set, and an entry or a record before the number of those that are used: what is half-written is not read.
+ */
+final class HotRestartLayout {
+    /** Processes of one node at a time. */
+    static final int SLOT_COUNT = 2;
+
+    static final int STATE_OFFSET = 0;
+    static final int OPEN_CONNECTIONS_OFFSET = 4;
+    static final int ID_COUNT_OFFSET = 8;
+    static final int CONNECTION_COUNT_OFFSET = 12;
+    static final int HEADER_BYTES = 16;
+    static final int ID_ENTRY_BYTES = Long.BYTES;
+    static final int CONNECTION_RECORD_BYTES = 96;
+
+    static final int ESTABLISHED_OFFSET = 0;
+    static final int LOAD_HINT_OFFSET = 8;
+    static final int ENDPOINT_ID_OFFSET = 16;
+    static final int GROUP_OFFSET = 56;
+    static final int MAX_TEXT_BYTES = 39;
+
+    static final long ESTABLISHED = 1;
+    static final long NOT_ESTABLISHED = 0;
+    static final long NO_ID = 0;
+
+    private HotRestartLayout() {}
+
+    /** Bytes of a slot with entries for that many ids and connections. */
+    static int slotBytes(int capacity) {
+        return HEADER_BYTES + capacity * (ID_ENTRY_BYTES + CONNECTION_RECORD_BYTES);
+    }
+
+    /** The offset of an id entry. */
+    static int idOffset(int entry) {
+        return HEADER_BYTES + entry * ID_ENTRY_BYTES;
+    }
+
+    /** The offset of a connection record in a slot with that capacity. */
+    static int connectionOffset(int capacity, int record) {
+        return idOffset(capacity) + record * CONNECTION_RECORD_BYTES;
+    }
+
+    /** Whether the texts of a connection fit into a record. */
+    static boolean fits(EstablishedConnection connection) {
+        return encode(connection.endpointId()).length <= MAX_TEXT_BYTES
+                && encode(connection.group()).length <= MAX_TEXT_BYTES;
+    }
+
+    /** The bytes of a text; none for null. */
+    static byte[] encode(String textOrNull) {
+        return textOrNull == null ? new byte[0] : textOrNull.getBytes(StandardCharsets.UTF_8);
+    }
+}
--- a/node/src/main/java/tulipshed/transport/ProcessState.java
+++ b/node/src/main/java/tulipshed/transport/ProcessState.java
@@ -9,7 +9,9 @@
     /** The process accepts clients. */
     SERVING,
     /** The process is shutting down. */
-    LEAVING;
+    LEAVING,
+    /** What the slot holds is none of the numbers above; never written. */
+    UNKNOWN;
 
     private static final ProcessState[] BY_CODE = values();
 
@@ -18,8 +20,8 @@
         return ordinal();
     }
 
-    /** The state with that number in the shared file. */
+    /** The state with that number in the shared file, or {@link #UNKNOWN}. */
     static ProcessState ofCode(int code) {
-        return BY_CODE[code];
+        return code < 0 || code >= BY_CODE.length ? UNKNOWN : BY_CODE[code];
     }
 }
--- a/node/src/main/java/tulipshed/transport/PublishedConnections.java
+++ b/node/src/main/java/tulipshed/transport/PublishedConnections.java
@@ -8,23 +8,25 @@
     /** In place of the number of a record, where a connection cannot be published. */
     static final int NOT_PUBLISHED = -1;
 
-    private final HotRestartSlot own;
+    private final OwnHotRestartSlot own;
     private final ArrayDeque<Integer> freeRecords = new ArrayDeque<>();
 
     /** No connections published; those to come are written to {@code own}. */
-    PublishedConnections(HotRestartSlot own) {
+    PublishedConnections(OwnHotRestartSlot own) {
         this.own = own;
     }
 
     /** Publishes a connection; the number of its record, or {@link #NOT_PUBLISHED} where there is no room for it. */
     int publish(EstablishedConnection connection) {
         int used = own.connectionCount();
-        if (!HotRestartSlot.fits(connection) || (freeRecords.isEmpty() && used == own.capacity())) {
+        if (!HotRestartLayout.fits(connection) || (freeRecords.isEmpty() && used == own.capacity())) {
             return NOT_PUBLISHED;
         }
         int record = freeRecords.isEmpty() ? used : freeRecords.poll();
         own.putConnection(record, connection);
-        own.setConnectionCount(Math.max(used, record + 1));
+        if (record == used) {
+            own.setConnectionCount(used + 1);
+        }
         return record;
     }
 
--- a/node/src/test/java/tulipshed/transport/HotRestartLayoutTest.java
+++ b/node/src/test/java/tulipshed/transport/HotRestartLayoutTest.java
@@ -198,7 +198,7 @@
             assertNotNull(lock);
             state.refresh();
             assertTrue(state.isPeerServing());
-            assertEquals(17, state.peerOpenConnections());
+            assertEquals(17, state.peerOpenConnections(1024));
             assertFalse(state.claimId("a"));
             assertTrue(state.claimId("b"));
             assertEquals(Map.of(1, new EstablishedConnection("s-9", "dock2", 2.5)), state.peerConnections());
--- a/node/src/test/java/tulipshed/transport/HotRestartStateTest.java
+++ b/node/src/test/java/tulipshed/transport/HotRestartStateTest.java
@@ -91,7 +91,7 @@
         HotRestartState second = new HotRestartState(file, 8);
         assertFalse(second.hasPeer() || second.isPeerServing());
         assertTrue(second.claimId("a"));
-        assertEquals(0, second.peerOpenConnections());
+        assertEquals(0, second.peerOpenConnections(1024));
     }
 
     @Test
