--- a/node/src/main/java/tulipshed/transport/DescriptorBudget.java
+++ b/node/src/main/java/tulipshed/transport/DescriptorBudget.java
@@ -4,7 +4,8 @@
 
 /**
  * Counts the descriptors of open sockets against what the node may use, together with those of the other process of a hot
- * restart. Confined to the event-loop thread.
+ * restart, and holds some in reserve. Where the kernel refuses descriptors earlier, clients have no more capacity than what
+ * was open then, until the reserve is whole again. Confined to the event-loop thread.
  */
 final class DescriptorBudget {
     /** A client's connection, and the upstream connection of its attempt. */
@@ -15,12 +16,35 @@
 
     private final Limits limits;
     private final HotRestartState hotRestartState;
+    private final DescriptorReserve reserve;
     private int openCount;
 
+    /** The sockets that were open when the kernel refused a descriptor. */
+    private int observedLimit = Integer.MAX_VALUE;
+
     /** A budget of which nothing is used; the count is published in {@code hotRestartState}. */
-    DescriptorBudget(Limits limits, HotRestartState hotRestartState) {
+    DescriptorBudget(Limits limits, HotRestartState hotRestartState, DescriptorReserve reserve) {
         this.limits = limits;
         this.hotRestartState = hotRestartState;
+        this.reserve = reserve;
+    }
+
+    /** Gives up a reserved descriptor, as the kernel refuses others; false where there is none. */
+    boolean releaseReserved() {
+        boolean released = reserve.release();
+        if (released) {
+            observedLimit = Math.min(observedLimit, openCount);
+        }
+        return released;
+    }
+
+    /** Takes back what was given up of the reserve; true once all is back, and descriptors are not short any more. */
+    boolean refillReserve() {
+        boolean whole = reserve.refill();
+        if (whole) {
+            observedLimit = Integer.MAX_VALUE;
+        }
+        return whole;
     }
 
     /** A socket was opened. */
@@ -40,7 +64,8 @@
 
     /** Whether there are descriptors for a client's connection and its upstream connection. */
     boolean hasCapacityForClient() {
-        return openCount + usedByPeer() + DESCRIPTORS_PER_CLIENT <= limits.connectionDescriptors();
+        return openCount + usedByPeer() + DESCRIPTORS_PER_CLIENT <= limits.connectionDescriptors()
+                && openCount + DESCRIPTORS_PER_CLIENT <= observedLimit;
     }
 
     /** Whether there is a descriptor for an upstream connection. */
--- a/node/src/main/java/tulipshed/transport/UdpSocket.java
+++ b/node/src/main/java/tulipshed/transport/UdpSocket.java
@@ -6,9 +6,14 @@
 import org.xnio.IoUtils;
 import org.xnio.channels.MulticastMessageChannel;
 import org.xnio.channels.SocketAddressBuffer;
+import tulipshed.proxy.EventLoop;
 
 /** One UDP socket. A datagram that cannot be sent at once is dropped. Confined to the event-loop thread. */
 public final class UdpSocket {
+    /** How long a socket is not read of which a whole batch of reads has failed. */
+    private static final double FAILURE_PAUSE_MS = 5;
+
+    private final EventLoop loop;
     private final MulticastMessageChannel channel;
     private final ByteBuffer scratch;
     private final int batchSize;
@@ -25,7 +30,13 @@
 
     /** A socket that reads at most {@code batchSize} datagrams each time it is readable. */
     UdpSocket(
-            MulticastMessageChannel channel, ByteBuffer scratch, int batchSize, Receiver receiver, Runnable onClosed) {
+            EventLoop loop,
+            MulticastMessageChannel channel,
+            ByteBuffer scratch,
+            int batchSize,
+            Receiver receiver,
+            Runnable onClosed) {
+        this.loop = loop;
         this.channel = channel;
         this.scratch = scratch;
         this.batchSize = batchSize;
@@ -37,6 +48,7 @@
 
     /** Reads a batch; the rest waits for the loop's next iteration, so that a flooded socket does not starve the others. */
     private void receiveBatch() {
+        int failures = 0;
         for (int i = 0; i < batchSize && !closed; i++) {
             scratch.clear();
             try {
@@ -46,12 +58,26 @@
                 }
             } catch (IOException e) {
                 // An error that the network reported for an earlier datagram; the socket still works.
-                return;
+                failures++;
+                continue;
             }
             byte[] datagram = new byte[scratch.flip().remaining()];
             scratch.get(datagram);
             receiver.onDatagram((InetSocketAddress) addresses.getSourceAddress(), datagram);
         }
+        if (failures == batchSize) {
+            pauseReads();
+        }
+    }
+
+    /** Else the loop would spin for as long as the failure lasts. */
+    private void pauseReads() {
+        channel.suspendReads();
+        loop.schedule(FAILURE_PAUSE_MS, () -> {
+            if (!closed) {
+                channel.resumeReads();
+            }
+        });
     }
 
     /** Sends a datagram, or drops it where the kernel does not accept it now. */
--- a/node/src/main/java/tulipshed/transport/XnioEventLoop.java
+++ b/node/src/main/java/tulipshed/transport/XnioEventLoop.java
@@ -7,7 +7,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.logging.Level;
-import org.jboss.logging.Logger;
 import org.xnio.IoFuture;
 import org.xnio.OptionMap;
 import org.xnio.Options;
@@ -37,7 +36,7 @@
     private final Limits limits;
     private final HotRestartState hotRestartState;
     private final DescriptorBudget descriptors;
-    private final Logger log;
+    private final FailureLog acceptFailures;
     private volatile boolean stopped;
 
     /** The loop of a process that has no peer in a hot restart, and that logs nothing. */
@@ -49,8 +48,10 @@
     public XnioEventLoop(Limits limits, HotRestartState hotRestartState, NodeLog log) throws IOException {
         this.limits = limits;
         this.hotRestartState = hotRestartState;
-        this.log = log.logger("transport");
-        descriptors = new DescriptorBudget(limits, hotRestartState);
+        descriptors = new DescriptorBudget(
+                limits, hotRestartState, new DescriptorReserve(limits.sockets().maxAcceptsPerEvent()));
+        acceptFailures = new FailureLog(
+                this, limits.lineProtocol().protocolErrorLogMs(), log.logger("transport")::warn, "accepting failed");
         // XNIO and its threads log a line each at the start, whose formatting alone takes a tenth of the start.
         LIBRARY_LOGGERS.forEach(logger -> logger.setLevel(Level.WARNING));
         Xnio xnio = Xnio.getInstance("nio", XnioEventLoop.class.getClassLoader());
@@ -101,23 +102,16 @@
 
     /**
      * Listens for TCP connections at an address. At most {@code maxConnections} of them hold descriptors: further ones wait
-     * in the kernel's backlog, as XNIO accepts ahead of the loop.
+     * in the kernel's backlog.
      *
      * @param handler takes each connection, on the I/O thread
      */
     public Acceptor listen(InetSocketAddress address, int maxConnections, Consumer<StreamConnection> handler)
             throws IOException {
-        Acceptor acceptor = new Acceptor(this, log, limits.sockets().maxAcceptsPerEvent(), handler);
-        acceptor.start(worker.createStreamConnectionServer(
-                address,
-                acceptor::onAcceptable,
-                OptionMap.builder()
-                        .set(Options.BACKLOG, limits.sockets().backlog())
-                        .set(Options.REUSE_ADDRESSES, true)
-                        .set(Options.CONNECTION_HIGH_WATER, maxConnections)
-                        .set(Options.CONNECTION_LOW_WATER, maxConnections)
-                        .set(Options.TCP_NODELAY, true)
-                        .getMap()));
+        Acceptor acceptor = new Acceptor(
+                this, descriptors, acceptFailures, limits.sockets().maxAcceptsPerEvent(), maxConnections, handler);
+        descriptors.refillReserve();
+        acceptor.start(new XnioListeningSocket(worker, address, limits.sockets().backlog(), acceptor::onAcceptable));
         return acceptor;
     }
 
@@ -137,7 +131,7 @@
                 limits.quic().receiveBufferBytes());
         MulticastMessageChannel channel = worker.createUdpServer(address, options);
         descriptors.opened();
-        return new UdpSocket(channel, scratch, limits.quic().maxReadsPerEvent(), receiver, descriptors::closed);
+        return new UdpSocket(this, channel, scratch, limits.quic().maxReadsPerEvent(), receiver, descriptors::closed);
     }
 
     /** Ends the I/O thread; for tests and for programs that embed a node. */
--- /dev/null
+++ b/node/src/main/java/tulipshed/transport/XnioInternals.java
@@ -0,0 +1,92 @@
+package tulipshed.transport;
+
+import java.io.IOException;
+import java.lang.reflect.AccessibleObject;
+import java.lang.reflect.Constructor;
+import java.lang.reflect.InvocationTargetException;
+import java.lang.reflect.Method;
+import java.nio.channels.SelectionKey;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.nio.channels.spi.AbstractSelectableChannel;
+import org.xnio.OptionMap;
+import org.xnio.StreamConnection;
+import org.xnio.XnioIoThread;
+import org.xnio.XnioWorker;
+import org.xnio.channels.AcceptingChannel;
+
+/**
+ * The three members of XNIO that are not public and that {@link XnioListeningSocket} needs. XNIO itself accepts on a thread
+ * of its own and, where that fails, pauses for 250 ms and more, with no option for either; its public interface has no way
+ * to take over a socket that was accepted otherwise.
+ *
+ * <p>They are those of the version that the build pins; with a version that lacks them this class does not load, and no
+ * listener opens.
+ */
+final class XnioInternals {
+    private static final String PACKAGE = "org.xnio.nio.";
+
+    /** Creates a listener of a channel whose readiness is notified on the I/O thread. */
+    private static final Constructor<?> NEW_SERVER;
+
+    /** Registers a channel with the selector of an I/O thread. */
+    private static final Method REGISTER_CHANNEL;
+
+    /** Creates a connection of a channel that is registered. */
+    private static final Constructor<?> NEW_CONNECTION;
+
+    /** Says that readiness is notified on the I/O threads, not on the accept thread. */
+    private static final boolean ON_IO_THREADS = false;
+
+    static {
+        try {
+            Class<?> thread = Class.forName(PACKAGE + "WorkerThread");
+            NEW_SERVER = Class.forName(PACKAGE + "NioTcpServer")
+                    .getDeclaredConstructor(
+                            Class.forName(PACKAGE + "NioXnioWorker"),
+                            ServerSocketChannel.class,
+                            OptionMap.class,
+                            boolean.class);
+            REGISTER_CHANNEL = thread.getDeclaredMethod("registerChannel", AbstractSelectableChannel.class);
+            NEW_CONNECTION = Class.forName(PACKAGE + "NioSocketStreamConnection")
+                    .getDeclaredConstructor(thread, SelectionKey.class, Class.forName(PACKAGE + "ChannelClosed"));
+            AccessibleObject.setAccessible(new AccessibleObject[] {NEW_SERVER, REGISTER_CHANNEL, NEW_CONNECTION}, true);
+        } catch (ReflectiveOperationException e) {
+            throw new ExceptionInInitializerError(e);
+        }
+    }
+
+    private XnioInternals() {}
+
+    /** A listener for a channel that is bound and non-blocking; its accept listener runs on the worker's I/O thread. */
+    @SuppressWarnings("unchecked") // the type that XNIO's own class implements
+    static AcceptingChannel<StreamConnection> newServer(XnioWorker worker, ServerSocketChannel channel)
+            throws IOException {
+        return (AcceptingChannel<StreamConnection>)
+                call(() -> NEW_SERVER.newInstance(worker, channel, OptionMap.EMPTY, ON_IO_THREADS));
+    }
+
+    /** A connection over a channel that is connected and non-blocking. */
+    static StreamConnection newConnection(XnioIoThread thread, SocketChannel channel) throws IOException {
+        Object key = call(() -> REGISTER_CHANNEL.invoke(thread, channel));
+        Object nobodyToNotify = null;
+        return (StreamConnection) call(() -> NEW_CONNECTION.newInstance(thread, key, nobodyToNotify));
+    }
+
+    private interface ReflectiveCall {
+        Object run() throws ReflectiveOperationException;
+    }
+
+    private static Object call(ReflectiveCall reflective) throws IOException {
+        try {
+            return reflective.run();
+        } catch (InvocationTargetException e) {
+            if (e.getCause() instanceof IOException failure) {
+                throw failure;
+            }
+            throw new IllegalStateException(e.getCause());
+        } catch (ReflectiveOperationException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+}
--- a/node/src/test/java/tulipshed/transport/UdpSocketTest.java
+++ b/node/src/test/java/tulipshed/transport/UdpSocketTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.lang.reflect.Proxy;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -15,8 +16,12 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
+import org.xnio.ChannelListener;
+import org.xnio.channels.MulticastMessageChannel;
 import tulipshed.limits.Limits;
+import tulipshed.proxy.EventLoop;
 
 /** UDP sockets of the event loop, on the loopback interface. */
 class UdpSocketTest {
@@ -86,4 +91,44 @@
             loop.stop();
         }
     }
+
+    /** Reads that fail all the time do not keep the loop busy: after a batch of them the socket rests for a moment. */
+    @Test
+    void restsAfterWholeBatchOfReadsFailed() {
+        List<String> calls = new ArrayList<>();
+        List<Runnable> timers = new ArrayList<>();
+        AtomicReference<ChannelListener<? super MulticastMessageChannel>> readListener = new AtomicReference<>();
+        MulticastMessageChannel channel = (MulticastMessageChannel) Proxy.newProxyInstance(
+                getClass().getClassLoader(),
+                new Class<?>[] {MulticastMessageChannel.class},
+                (proxy, method, arguments) -> {
+                    calls.add(method.getName());
+                    if (method.getName().equals("receiveFrom")) {
+                        throw new IOException("No buffer space available");
+                    }
+                    return method.getName().equals("getReadSetter")
+                            ? (ChannelListener.Setter<MulticastMessageChannel>) readListener::set
+                            : null;
+                });
+        EventLoop loop = new EventLoop() {
+            @Override
+            public void execute(Runnable task) {
+                throw new AssertionError("only timers");
+            }
+
+            @Override
+            public void schedule(double delayMs, Runnable task) {
+                assertTrue(delayMs >= 1 && delayMs <= 10, delayMs + " ms");
+                timers.add(task);
+            }
+        };
+        UdpSocket socket = new UdpSocket(loop, channel, ByteBuffer.allocate(8), 4, (from, datagram) -> {}, () -> {});
+        calls.clear();
+        readListener.get().handleEvent(channel);
+        assertEquals(List.of("receiveFrom", "receiveFrom", "receiveFrom", "receiveFrom", "suspendReads"), calls);
+        calls.clear();
+        timers.get(0).run();
+        assertEquals(List.of("resumeReads"), calls);
+        socket.close();
+    }
 }
