--- a/node/src/main/java/tulipshed/cli/DemoCommand.java
+++ b/node/src/main/java/tulipshed/cli/DemoCommand.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import org.kohsuke.args4j.Option;
-import tulipshed.config.MalformedInputException;
 
 /** {@code demo}: runs a node with stubs for all that it needs, on loopback, and a short session through it. */
 public final class DemoCommand implements Command {
@@ -26,7 +25,8 @@
             System.out.println(asExpected ? "All of it as it should be." : "Something was not as it should be.");
             return asExpected ? ExitCode.SUCCESS : ExitCode.FAILURE;
         } catch (IOException e) {
-            throw new MalformedInputException("the demo could not go on: " + e.getMessage());
+            System.err.println("tulipshed: the demo could not go on: " + e);
+            return ExitCode.FAILURE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return ExitCode.FAILURE;
--- a/node/src/main/java/tulipshed/cli/ServeCommand.java
+++ b/node/src/main/java/tulipshed/cli/ServeCommand.java
@@ -2,6 +2,7 @@
 
 import java.io.File;
 import java.io.IOException;
+import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.Map;
@@ -51,7 +52,11 @@
             Runtime.getRuntime().addShutdownHook(new Thread(node::shutDown, "shutdown"));
             return KEEPS_RUNNING;
         } catch (IOException e) {
-            throw new MalformedInputException("cannot listen on " + config.listen() + ": " + e.getMessage());
+            if (e instanceof BindException || e.getCause() instanceof BindException) {
+                throw new MalformedInputException("cannot listen on " + config.listen() + ": " + e.getMessage());
+            }
+            System.err.println("tulipshed: cannot start: " + e.getMessage());
+            return ExitCode.FAILURE;
         }
     }
 
--- a/node/src/main/java/tulipshed/demo/StubEndpoint.java
+++ b/node/src/main/java/tulipshed/demo/StubEndpoint.java
@@ -10,6 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.TimeUnit;
 
 /**
  * An endpoint on loopback that accepts every request and echoes the lines after it. Each connection has a daemon thread
@@ -17,6 +18,7 @@
  */
 public final class StubEndpoint implements AutoCloseable {
     private static final int BACKLOG = 50;
+    private static final int ACCEPT_RETRY_DELAY_MS = 5;
 
     private final String id;
     private final ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
@@ -43,14 +45,22 @@
     }
 
     private void acceptConnections() {
-        try {
-            while (true) {
+        while (!listener.isClosed()) {
+            try {
                 Socket connection = listener.accept();
                 StubDiscovery.daemon(() -> serve(connection)).start();
+            } catch (IOException e) {
+                // The listener was closed, or accepting failed for a moment.
+                pauseAfterFailedAccept();
             }
-        } catch (IOException e) {
-            // The listener was closed.
-            return;
+        }
+    }
+
+    private static void pauseAfterFailedAccept() {
+        try {
+            TimeUnit.MILLISECONDS.sleep(ACCEPT_RETRY_DELAY_MS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
         }
     }
 
--- a/node/src/main/java/tulipshed/transport/ConnectionAttempt.java
+++ b/node/src/main/java/tulipshed/transport/ConnectionAttempt.java
@@ -40,8 +40,13 @@
         end();
         if (abandoned) {
             IoUtils.safeClose(connection);
-        } else {
+            return;
+        }
+        try {
             onEstablished.accept(connection);
+        } catch (RuntimeException | Error e) {
+            IoUtils.safeClose(connection);
+            throw e;
         }
     }
 
--- a/node/src/main/java/tulipshed/transport/TcpConnection.java
+++ b/node/src/main/java/tulipshed/transport/TcpConnection.java
@@ -47,14 +47,24 @@
         sink = connection.getSinkChannel();
         source.setReadListener(readable -> {
             if (!isClosed) {
-                listener.onReadable(this);
+                runGuarded(() -> listener.onReadable(this));
             }
         });
-        sink.setWriteListener(writable -> flush());
+        sink.setWriteListener(writable -> runGuarded(this::flush));
         ChannelListener<StreamConnection> closeListener = closed -> onClosed.run();
         connection.setCloseListener(closeListener);
     }
 
+    /** A defect ends its own connection: what it left unread would be notified again and again. */
+    private void runGuarded(Runnable handler) {
+        try {
+            handler.run();
+        } catch (RuntimeException | Error e) {
+            fail();
+            throw e;
+        }
+    }
+
     /** The remote address; the wildcard address where it is not known any more. */
     public InetAddress remoteAddress() {
         InetSocketAddress address = connection.getPeerAddress(InetSocketAddress.class);
