--- a/node/src/test/java/tulipshed/cli/HotRestartFileFaultTest.java
+++ b/node/src/test/java/tulipshed/cli/HotRestartFileFaultTest.java
@@ -32,6 +32,8 @@
     /** Fewer bytes than a slot of the shared file has, whether the shell counts blocks of 512 or of 1,024 bytes. */
     private static final List<String> SIZE_LIMITING_LAUNCHER = List.of("sh", "-c", "ulimit -f 200; exec \"$@\"", "sh");
 
+    private static final int ACCEPT_TIMEOUT_MS = 10_000;
+
     private static final String UNAVAILABLE = "WARN node: hot restart unavailable";
 
     @TempDir
@@ -63,6 +65,7 @@
     private void assertServes(String id) throws IOException {
         try (Socket client = connect(listenPort)) {
             send(client, "OPEN " + id + " k c=slot-board,t=melnik-terminal,d=4000\r\n");
+            endpoint.setSoTimeout(ACCEPT_TIMEOUT_MS);
             try (Socket upstream = endpoint.accept()) {
                 assertTrue(reader(upstream).readLine().startsWith("OPEN"));
                 send(upstream, "UP r\r\n");
