--- a/node/src/main/java/tulipshed/cli/ServeCommand.java
+++ b/node/src/main/java/tulipshed/cli/ServeCommand.java
@@ -2,6 +2,7 @@
 
 import java.io.File;
 import java.io.IOException;
+import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.Map;
@@ -44,14 +45,18 @@
         Limits limits = Limits.forDescriptors(config.sockets());
         try {
             HotRestartState hotRestart =
-                    joinHotRestart(config, environment.get(SHARED_STATE_DIRECTORY_VARIABLE), limits, log);
+                    joinHotRestart(config, environment.get(SHARED_STATE_DIRECTORY_VARIABLE), limits, nodeLog);
             Node node =
                     Node.start(new NodeOptions(config, operatorsFile, limits, hotRestart, new SystemClock(), nodeLog));
             reloader.nodeStarted(node);
             Runtime.getRuntime().addShutdownHook(new Thread(node::shutDown, "shutdown"));
             return KEEPS_RUNNING;
         } catch (IOException e) {
-            throw new MalformedInputException("cannot listen on " + config.listen() + ": " + e.getMessage());
+            if (e instanceof BindException || e.getCause() instanceof BindException) {
+                throw new MalformedInputException("cannot listen on " + config.listen() + ": " + e.getMessage());
+            }
+            System.err.println("tulipshed: cannot start: " + e.getMessage());
+            return ExitCode.FAILURE;
         }
     }
 
@@ -67,17 +72,15 @@
     }
 
     /** Joins the state that the two processes of a hot restart share, in a file that the listen address names. */
-    private static HotRestartState joinHotRestart(NodeConfig config, String directory, Limits limits, Logger log) {
+    private static HotRestartState joinHotRestart(NodeConfig config, String directory, Limits limits, NodeLog log) {
         if (directory == null || directory.isEmpty()) {
             return new HotRestartState();
         }
         try {
             return new HotRestartState(
                     Path.of(directory, sharedStateFileName(config.listen())),
-                    limits.shutdown().sharedIds());
-        } catch (IOException e) {
-            log.warn("hot restart unavailable, cannot use TMPDIR: " + e);
-            return new HotRestartState();
+                    limits.shutdown().sharedIds(),
+                    log);
         } catch (IllegalStateException e) {
             throw new MalformedInputException(e.getMessage());
         }
