--- a/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
@@ -7,6 +7,7 @@
 import tulipshed.decision.BalancerApi.LoadReport;
 import tulipshed.decision.BalancerApi.Outcome;
 import tulipshed.proxy.Endpoint;
+import tulipshed.transport.ConnectFailures;
 import tulipshed.transport.TcpConnection;
 import tulipshed.transport.XnioEventLoop;
 
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
@@ -6,6 +6,7 @@
 import org.xnio.StreamConnection;
 import tulipshed.decision.BalancerApi.Outcome;
 import tulipshed.proxy.Attempt;
+import tulipshed.transport.ConnectFailures;
 import tulipshed.transport.TcpConnection;
 import tulipshed.transport.XnioEventLoop;
 
--- a/node/src/main/java/tulipshed/transport/ConnectFailures.java
+++ b/node/src/main/java/tulipshed/transport/ConnectFailures.java
@@ -4,7 +4,6 @@
 import java.net.BindException;
 import java.net.ConnectException;
 import java.net.NoRouteToHostException;
-import java.net.SocketException;
 import java.util.Set;
 
 /**
@@ -31,6 +30,7 @@
             "Too many open files in system",
             "No buffer space available",
             "Cannot allocate memory",
+            "Cannot assign requested address",
             "Network is unreachable",
             "Network is down",
             "Operation not permitted",
@@ -51,6 +51,6 @@
         if (failure instanceof ConnectException || failure instanceof NoRouteToHostException) {
             return false;
         }
-        return failure instanceof SocketException && LOCAL_REASONS.contains(String.valueOf(failure.getMessage()));
+        return LOCAL_REASONS.contains(String.valueOf(failure.getMessage()));
     }
 }
--- a/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.transport.ConnectFailures;
 
 /** Connections that this machine cannot even begin to make, which says nothing of the endpoint. */
 class LocalConnectFailureTest extends RaceConditionFixture {
