--- a/node/src/main/java/tulipshed/quic/FlowSide.java
+++ b/node/src/main/java/tulipshed/quic/FlowSide.java
@@ -17,7 +17,7 @@
         this.flow = attempt;
     }
 
-    /** Opens a flow's first; null, and the core told why, where it may not be sent to or there is no descriptor for it. */
+    /** Opens a flow's first; null, and the core told why, where it may not be sent to or there is no socket for it. */
     static FlowSide open(QuicFront front, Attempt attempt, Consumer<byte[]> heard) {
         if (!front.core.mayForward(attempt)) {
             front.core.attemptEnded(attempt, Outcome.CONNECT_FAILED);
@@ -25,13 +25,13 @@
         }
         FlowSide side = further(front, attempt, heard);
         if (side == null) {
-            // Our own want of descriptors; it says nothing of the member.
+            // A shortage of this machine; it says nothing of the member.
             front.core.attemptEnded(attempt, Outcome.UNUSED);
         }
         return side;
     }
 
-    /** Opens one more of a flow that stands, for another path of its client; null where there is no descriptor for it. */
+    /** Opens one more of a flow that stands, for another path of its client; null where there is no socket for it. */
     static FlowSide further(QuicFront front, Attempt attempt, Consumer<byte[]> heard) {
         FlowSide side = new FlowSide(front, attempt);
         side.seat = front.sockets.seat(attempt.endpoint().address(), front.clock.nowMs(), heard);
--- a/node/src/main/java/tulipshed/quic/FlowSockets.java
+++ b/node/src/main/java/tulipshed/quic/FlowSockets.java
@@ -7,29 +7,40 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.jboss.logging.Logger;
+import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.quic.QuicFigures.Figure;
+import tulipshed.transport.ProtocolErrorLog;
 import tulipshed.transport.UdpSocket;
 import tulipshed.transport.XnioEventLoop;
 
 /** The node's UDP sockets towards members, each shared by one flow of every member; {@link FlowSlots} says which. */
 final class FlowSockets {
+    /** How often opening a socket is tried in a row: a shortage of this machine may be over at the next try. */
+    static final int OPEN_TRIES = 5;
+
     private final XnioEventLoop loop;
     private final InetAddress address;
     private final ByteBuffer scratch;
     private final QuicFigures counted;
-    private final Logger log;
+    private final ProtocolErrorLog openFailures;
     private final FlowSlots slots;
+    private SocketOpener opener;
     private final Map<Integer, Socket> sockets = new HashMap<>();
 
+    /** Opens UDP sockets, as the event loop does. */
+    interface SocketOpener {
+        /** A socket at that address. */
+        UdpSocket open(InetSocketAddress address, ByteBuffer scratch, UdpSocket.Receiver receiver) throws IOException;
+    }
+
     /** One socket, and who hears what on it, by the member's address. */
     private final class Socket {
         private final Map<InetSocketAddress, Seat> seats = new HashMap<>();
         private final UdpSocket port;
 
         Socket() throws IOException {
-            port = loop.bindUdp(new InetSocketAddress(address, 0), scratch, (from, datagram) -> {
+            port = opener.open(new InetSocketAddress(address, 0), scratch, (from, datagram) -> {
                 Seat seat = seats.get(from);
                 if (seat == null) {
                     counted.count(Figure.DROPPED_STRAY);
@@ -77,17 +88,23 @@
             InetAddress address,
             ByteBuffer scratch,
             QuicFigures counted,
-            double quietMs,
+            Limits limits,
             NodeLog log) {
         this.loop = loop;
         this.address = address;
         this.scratch = scratch;
         this.counted = counted;
-        this.log = log.logger("quic");
-        slots = new FlowSlots(quietMs);
+        openFailures = new ProtocolErrorLog("quic", "cannot open an upstream socket", limits, log);
+        slots = new FlowSlots(limits.quic().upstreamSocketReuseDelayMs());
+        opener = loop::bindUdp;
     }
 
-    /** A place for one more flow to that member; null where there is no descriptor for it. */
+    /** Replaces what opens sockets; for tests. */
+    void opener(SocketOpener replacement) {
+        opener = replacement;
+    }
+
+    /** A place for one more flow to that member; null where this machine has no socket for it. */
     Seat seat(InetSocketAddress member, double nowMs, Consumer<byte[]> heard) {
         int slot = slots.take(member, nowMs, loop::hasCapacityForUpstream);
         if (slot < 0) {
@@ -95,10 +112,8 @@
         }
         Socket socket = sockets.get(slot);
         if (socket == null) {
-            try {
-                socket = new Socket();
-            } catch (IOException e) {
-                log.warn("cannot open an upstream socket: " + e.getMessage());
+            socket = openSocket();
+            if (socket == null) {
                 slots.leave(member, slot, nowMs);
                 return null;
             }
@@ -109,8 +124,21 @@
         return seat;
     }
 
-    /** Closes sockets that nobody needs. */
+    /** A new socket; null where none of a few tries in a row succeeds. */
+    private Socket openSocket() {
+        for (int tries = 0; tries < OPEN_TRIES; tries++) {
+            try {
+                return new Socket();
+            } catch (IOException e) {
+                openFailures.record(e.getMessage());
+            }
+        }
+        return null;
+    }
+
+    /** Closes sockets that nobody needs, and logs what could not be opened. */
     void sweep(double nowMs) {
+        openFailures.flush(nowMs);
         for (int slot : slots.close(nowMs)) {
             Socket s = sockets.remove(slot);
             if (s != null) {
--- a/node/src/main/java/tulipshed/quic/QuicFront.java
+++ b/node/src/main/java/tulipshed/quic/QuicFront.java
@@ -82,13 +82,7 @@
         this.core = core;
         scratch = ByteBuffer.allocateDirect(limits.quic().datagramBytes());
         strangers = new Strangers(limits.quic().maxUnknownDatagrams());
-        sockets = new FlowSockets(
-                loop,
-                config.listen().getAddress(),
-                scratch,
-                counted,
-                limits.quic().upstreamSocketReuseDelayMs(),
-                log);
+        sockets = new FlowSockets(loop, config.listen().getAddress(), scratch, counted, limits, log);
         for (Figure f : Figure.values()) {
             core.metrics().frontendCounters(f.written(), () -> counted.get(f));
         }
