--- a/node/src/main/java/tulipshed/peer/PeerSocket.java
+++ b/node/src/main/java/tulipshed/peer/PeerSocket.java
@@ -1,6 +1,7 @@
 package tulipshed.peer;
 
 import java.io.IOException;
+import java.net.DatagramSocket;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
@@ -98,6 +99,7 @@
     public void retryBind() {
         if (config != null && socket == null) {
             try {
+                checkAddressIsFree(config.listen());
                 socket = loop.bindUdp(config.listen(), readBuffer, this::onDatagram);
             } catch (IOException e) {
                 // The other process of a hot restart may still hold the address. The node serves without messages.
@@ -107,6 +109,11 @@
         errors.flush(clock.nowMs());
     }
 
+    /** XNIO keeps the descriptor of a socket that it could not bind until the next garbage collection. */
+    private static void checkAddressIsFree(InetSocketAddress address) throws IOException {
+        new DatagramSocket(address).close();
+    }
+
     /** Whether the socket is open. */
     public boolean isOpen() {
         return socket != null;
--- a/node/src/test/java/tulipshed/peer/PeerSocketTest.java
+++ b/node/src/test/java/tulipshed/peer/PeerSocketTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.File;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -36,6 +37,7 @@
 /** Tests of the peer socket under a real core whose decision module replies to messages, with plain sockets as peers. */
 class PeerSocketTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    private static final int FAILED_BINDS = 100;
     private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
 
     @TempDir
@@ -67,6 +69,10 @@
 
     /** Starts node 0, whose peer is node 1; {@code handler} is what its decision module does with each message. */
     private void start(boolean allowed, MessageHandler handler) throws Exception {
+        start(allowed, (InetSocketAddress) broadcast.getLocalSocketAddress(), handler);
+    }
+
+    private void start(boolean allowed, InetSocketAddress allPeers, MessageHandler handler) throws Exception {
         Path file = Files.writeString(
                 folder.resolve("node.json"),
                 Files.readString(Path.of("src/test/resources/node.json"))
@@ -90,10 +96,7 @@
                             });
             peerSocket = new PeerSocket(new SystemClock(), Limits.forDescriptors(1024), loop, core, NodeLog.silent());
             peerSocket.configure(new PeerConfig(
-                    nodeAddress,
-                    List.of(nodeAddress, (InetSocketAddress) peer.getLocalSocketAddress()),
-                    (InetSocketAddress) broadcast.getLocalSocketAddress(),
-                    0));
+                    nodeAddress, List.of(nodeAddress, (InetSocketAddress) peer.getLocalSocketAddress()), allPeers, 0));
             peerSocket.retryBind();
         });
     }
@@ -180,4 +183,43 @@
         onLoop(peerSocket::retryBind);
         assertTrue(!peerSocket.isOpen());
     }
+
+    private static int openDescriptors() {
+        return new File("/proc/self/fd").list().length;
+    }
+
+    /** The other process of a hot restart may hold the address for a while; the node serves without messages until then. */
+    @Test
+    void bindsOnceItsAddressIsFreeAndKeepsNoDescriptorsUntilThen() throws Exception {
+        try (DatagramSocket holder = new DatagramSocket(nodeAddress)) {
+            start(true, (actions, from) -> {});
+            int before = openDescriptors();
+            onLoop(() -> {
+                for (int i = 0; i < FAILED_BINDS; i++) {
+                    peerSocket.retryBind();
+                    peerSocket.send(1, new byte[] {1});
+                }
+            });
+            assertTrue(openDescriptors() - before < FAILED_BINDS / 2, before + " descriptors before");
+            assertTrue(!peerSocket.isOpen() && holder.isBound());
+        }
+        assertEquals(FAILED_BINDS, counter("peers_not_sent"));
+        onLoop(peerSocket::retryBind);
+        sendFromPeer("a");
+        assertEquals("1:a", received.poll(5, TimeUnit.SECONDS));
+    }
+
+    /** The kernel refuses to send to an address of the group, as EACCES; the socket goes on. */
+    @Test
+    void datagramThatTheKernelRefusesIsDroppedAndOthersAreSent() throws Exception {
+        start(true, new InetSocketAddress("255.255.255.255", 9), (actions, from) -> {
+            actions.sendToPeer(BalancerApi.Actions.ALL_PEERS, "to all".getBytes(UTF_8));
+            actions.sendToPeer(from, "to you".getBytes(UTF_8));
+        });
+        for (int i = 0; i < 3; i++) {
+            sendFromPeer("a");
+            assertEquals("to you", receive(peer));
+            assertEquals("1:a", received.poll(5, TimeUnit.SECONDS));
+        }
+    }
 }
