--- a/node/src/test/java/tulipshed/management/ManagementServerTest.java
+++ b/node/src/test/java/tulipshed/management/ManagementServerTest.java
@@ -18,6 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.config.NodeConfig;
 import tulipshed.decision.Balancer;
 import tulipshed.limits.Limits;
@@ -159,4 +160,25 @@
             }
         }
     }
+
+    /** A client that breaks gives its descriptor and its place back at once: else others would be evicted for it. */
+    @ParameterizedTest
+    @ValueSource(strings = {"GET /status/metrics HTTP/1.1\r\n\r\n", "GET /sta"})
+    void clientsThatResetGiveTheirPlacesBackAndOthersAreServed(String request) throws IOException {
+        try (Socket slow = connect("GET /sta")) {
+            exchange("GET /status/metrics HTTP/1.1\r\n\r\n");
+            long descriptorsBefore = openDescriptors();
+            long startedNs = System.nanoTime();
+            for (int i = 0; i < 40; i++) {
+                try (Socket socket = connect(request)) {
+                    socket.setSoLinger(true, 0);
+                }
+                while (openDescriptors() > descriptorsBefore) {
+                    assertTrue(System.nanoTime() - startedNs < 1_500_000_000L, "no connection waits for its timeout");
+                }
+            }
+            slow.getOutputStream().write("tus HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
+            assertTrue(readToEnd(slow).startsWith("HTTP/1.1 200 "));
+        }
+    }
 }
