--- a/node/src/main/java/tulipshed/decision/EndpointEvaluator.java
+++ b/node/src/main/java/tulipshed/decision/EndpointEvaluator.java
@@ -19,9 +19,13 @@
         return loadPerWeight(request, second) < loadPerWeight(request, first) ? second : first;
     }
 
-    /** The request counts for no more than an even load: large endpoints would win nearly always at low load. */
+    /**
+     * The request counts for no more than an even load: large endpoints would win nearly always at low load. An endpoint
+     * that the list has not named yet has no weight and counts as full.
+     */
     private static double loadPerWeight(RequestState request, EndpointState endpoint) {
-        if (endpoint.pending >= endpoint.pendingLimit) {
+        boolean hasWeight = endpoint.machineType != null;
+        if (!hasWeight || endpoint.pending >= endpoint.pendingLimit) {
             return Double.MAX_VALUE;
         }
         double evenLoad = endpoint.weight() * request.pool.load / request.pool.nonZeroWeight();
--- a/node/src/main/java/tulipshed/decision/GroupAffinity.java
+++ b/node/src/main/java/tulipshed/decision/GroupAffinity.java
@@ -51,13 +51,17 @@
 
     /** Where latencies are reported and loads are not, an endpoint attracts its groups until it is ejected. */
     private boolean hasGroupCapacity(long now, RequestState request, EndpointState endpoint) {
-        EndpointPool pool = request.pool;
-        double evenLoad = (pool.load + request.load) * endpoint.weight() / pool.nonZeroWeight();
         return evaluator.isUsable(now, request, endpoint)
                 && now >= endpoint.ejectedUntilUs
                 && endpoint.pending < endpoint.pendingLimit
                 && ((outlierEjection.hasLatencyReports() && averageLoads.isEmpty())
-                        || endpoint.openLoad + request.load <= MAX_EVEN_LOADS * evenLoad);
+                        || endpoint.openLoad + request.load <= MAX_EVEN_LOADS * evenLoad(request, endpoint));
+    }
+
+    /** The endpoint's share of the load by its weight, which only an endpoint that the list named has. */
+    private static double evenLoad(RequestState request, EndpointState endpoint) {
+        EndpointPool pool = request.pool;
+        return (pool.load + request.load) * endpoint.weight() / pool.nonZeroWeight();
     }
 
     /** Number of preferred endpoints by Laplace's estimate of the group's share, which is not 0 for an unseen group. */
--- a/node/src/test/java/tulipshed/decision/GroupAffinityTest.java
+++ b/node/src/test/java/tulipshed/decision/GroupAffinityTest.java
@@ -1,6 +1,7 @@
 package tulipshed.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static tulipshed.decision.BalancerSetup.SECOND;
 import static tulipshed.decision.BalancerSetup.endpointName;
@@ -91,6 +92,32 @@
         sent.forEach((endpoint, many) -> assertTrue(many <= 24, endpoint + " was sent " + many + " of 78 over eight"));
     }
 
+    /** The list may name the endpoint of an adopted connection late, or never; until then it has no weight. */
+    @Test
+    void holderThatIsNotListedAttractsNothing() {
+        setup.groupAffinity = true;
+        Balancer balancer = setup.balancerWithEndpoints(8);
+        balancer.connectionAdopted(0, request(1, 0, "g", 2 * SECOND), "unlisted");
+        balancer.requestArrived(0, request(2, 0, "g", 2 * SECOND));
+        assertNotEquals("unlisted", recorder.attemptedEndpoint());
+    }
+
+    @Test
+    void listedHolderIsChosenBeforeOneThatIsNotListed() {
+        setup.groupAffinity = true;
+        int listed = 0;
+        for (int seed = 0; seed < 200; seed++) {
+            Balancer balancer = balancerWithLoads(seed);
+            balancer.connectionAdopted(0, request(3, 0, "g", 2 * SECOND), "unlisted");
+            recorder.take();
+            balancer.requestArrived(0, request(4, 0, "g", 2 * SECOND));
+            String endpoint = recorder.attemptedEndpoint();
+            assertNotEquals("unlisted", endpoint);
+            listed += Set.of(endpointName(1), endpointName(2)).contains(endpoint) ? 1 : 0;
+        }
+        assertTrue(listed > 160, "of 200, eight ninths by two draws and two thirds by one: " + listed);
+    }
+
     /** Two connections without a group at each of eight endpoints; endpoints 1 and 2 hold a heavy and a light one of g. */
     private Balancer balancerWithLoads(int seed) {
         Balancer balancer = setup.balancer(seed);
