--- a/node/src/main/java/tulipshed/decision/EndpointState.java
+++ b/node/src/main/java/tulipshed/decision/EndpointState.java
@@ -154,10 +154,14 @@
         return pools.get(0).sameZone.has(this);
     }
 
-    /** Records that it is in the balancer's own zone. */
-    void markSameZone() {
+    /** Records whether it is in the balancer's own zone. */
+    void setSameZone(boolean inSameZone) {
         for (EndpointPool pool : pools) {
-            pool.sameZone.add(this);
+            if (inSameZone) {
+                pool.sameZone.add(this);
+            } else {
+                pool.sameZone.remove(this);
+            }
         }
     }
 
--- a/node/src/main/java/tulipshed/decision/EndpointUpdater.java
+++ b/node/src/main/java/tulipshed/decision/EndpointUpdater.java
@@ -20,9 +20,7 @@
             return;
         }
         endpoint.markReady();
-        if (info.zone().equals(settings.current().zone())) {
-            endpoint.markSameZone();
-        }
+        endpoint.setSameZone(info.zone().equals(settings.current().zone()));
         slowStart.beginIfRecentlyStarted(now, endpoint);
     }
 
--- a/node/src/test/java/tulipshed/decision/PlacementTest.java
+++ b/node/src/test/java/tulipshed/decision/PlacementTest.java
@@ -89,6 +89,22 @@
         assertTrue(otherZone >= 4, "second attempts outside the same zone: " + otherZone);
     }
 
+    @Test
+    void endpointWhoseEntryNamesAnotherZoneLeavesTheSameZone() {
+        setup.prices = new BalancerApi.Prices(0.05, 0, 0, 0, 0);
+        Balancer balancer = setup.balancerWithEndpoints(40);
+        List<EndpointInfo> moved = new ArrayList<>();
+        for (int i = 2; i < 40; i += 2) {
+            moved.add(new EndpointInfo(endpointName(i), EndpointStatus.SERVING, "zone1", i / 2, "kind0", 1, 0));
+        }
+        balancer.endpointsChanged(0, EndpointListKind.CHANGES, moved);
+        for (long id = 1; id <= 20; id++) {
+            balancer.requestArrived(id, request(id));
+            assertEquals(endpointName(0), recorder.attemptedEndpoint(), "the only one left in the same zone");
+            end(balancer, id, id, 0, true, Outcome.OK);
+        }
+    }
+
     @Test
     void reusesIdleConnectionWhereHandshakeHasPrice() {
         setup.prices = new BalancerApi.Prices(0, 0.1, 0, 0, 0);
