--- a/node/src/main/java/tulipshed/decision/EndpointUpdater.java
+++ b/node/src/main/java/tulipshed/decision/EndpointUpdater.java
@@ -4,7 +4,7 @@
 
 /** What an entry of the endpoint list says of an endpoint's readiness, capacity and process. */
 record EndpointUpdater(ActiveSettings settings, SlowStart slowStart) {
-    private static final double MIN_SIZE = 1e-6;
+    static final double MIN_SIZE = 1e-6;
 
     /** Takes an entry; what was observed of a previous process says nothing of a new one. */
     void update(long now, EndpointState endpoint, MachineType machineType, EndpointInfo info) {
--- a/node/src/main/java/tulipshed/decision/MachineType.java
+++ b/node/src/main/java/tulipshed/decision/MachineType.java
@@ -49,6 +49,16 @@
         setupTime += relativeTime;
     }
 
+    /** Adopted connections, 0 if no endpoint of this type was ready: those at draining ones have no size to compare with. */
+    private double informativeAdoptions() {
+        return readySizeAtAdoption >= EndpointUpdater.MIN_SIZE ? adoptedConnections : 0;
+    }
+
+    /** Connection setups, 0 if all were too short for the clock. */
+    private double informativeSetups() {
+        return setupTime > 0 ? setups : 0;
+    }
+
     /**
      * Estimates the speeds of all types and returns the highest.
      *
@@ -61,18 +71,19 @@
         double time = 0;
         for (MachineType type : all) {
             size += type.readySizeAtAdoption;
-            adopted += type.adoptedConnections;
-            setups += type.setups;
+            adopted += type.informativeAdoptions();
+            setups += type.informativeSetups();
             time += type.setupTime;
         }
         double highest = 0;
         for (MachineType type : all) {
-            double byAdoptions = type.adoptedConnections > 0
-                    ? Math.log(type.adoptedConnections / adopted * size / type.readySizeAtAdoption)
-                    : 0;
-            double bySetups = type.setups > 0 ? Math.log(type.setups / setups * time / type.setupTime) : 0;
-            double observations = type.adoptedConnections + type.setups + priorObservations;
-            type.speed = Math.exp((type.adoptedConnections * byAdoptions + type.setups * bySetups) / observations);
+            double typeAdopted = type.informativeAdoptions();
+            double typeSetups = type.informativeSetups();
+            double byAdoptions =
+                    typeAdopted > 0 ? Math.log(typeAdopted / adopted * size / type.readySizeAtAdoption) : 0;
+            double bySetups = typeSetups > 0 ? Math.log(typeSetups / setups * time / type.setupTime) : 0;
+            double observations = typeAdopted + typeSetups + priorObservations;
+            type.speed = Math.exp((typeAdopted * byAdoptions + typeSetups * bySetups) / observations);
             highest = Math.max(highest, type.speed);
         }
         return highest;
