--- a/node/src/main/java/tulipshed/peer/PeerSocket.java
+++ b/node/src/main/java/tulipshed/peer/PeerSocket.java
@@ -1,7 +1,6 @@
 package tulipshed.peer;
 
 import java.io.IOException;
-import java.net.DatagramSocket;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
@@ -99,7 +98,6 @@
     public void retryBind() {
         if (config != null && socket == null) {
             try {
-                checkAddressIsFree(config.listen());
                 socket = loop.bindUdp(config.listen(), readBuffer, this::onDatagram);
             } catch (IOException e) {
                 // The other process of a hot restart may still hold the address. The node serves without messages.
@@ -109,11 +107,6 @@
         errors.flush(clock.nowMs());
     }
 
-    /** XNIO keeps the descriptor of a socket that it could not bind until the next garbage collection. */
-    private static void checkAddressIsFree(InetSocketAddress address) throws IOException {
-        new DatagramSocket(address).close();
-    }
-
     /** Whether the socket is open. */
     public boolean isOpen() {
         return socket != null;
@@ -139,9 +132,13 @@
             notSent++;
             return;
         }
-        sent++;
-        socket.send(
-                peer == Actions.ALL_PEERS ? config.broadcast() : config.peers().get(peer), body);
+        InetSocketAddress to =
+                peer == Actions.ALL_PEERS ? config.broadcast() : config.peers().get(peer);
+        if (socket.send(to, body)) {
+            sent++;
+        } else {
+            notSent++;
+        }
     }
 
     /** Whether a node index is that of another node, or the constant for all of them. */
--- a/node/src/main/java/tulipshed/transport/UdpSocket.java
+++ b/node/src/main/java/tulipshed/transport/UdpSocket.java
@@ -80,15 +80,16 @@
         });
     }
 
-    /** Sends a datagram, or drops it where the kernel does not accept it now. */
-    public void send(InetSocketAddress to, byte[] datagram) {
-        if (!closed) {
-            try {
-                channel.sendTo(to, ByteBuffer.wrap(datagram));
-            } catch (IOException e) {
-                // Dropped; the protocol above retransmits.
-                return;
-            }
+    /**
+     * Sends a datagram, or drops it where the kernel does not accept it now; the protocol above retransmits.
+     *
+     * @return whether the kernel accepted it
+     */
+    public boolean send(InetSocketAddress to, byte[] datagram) {
+        try {
+            return !closed && channel.sendTo(to, ByteBuffer.wrap(datagram));
+        } catch (IOException e) {
+            return false;
         }
     }
 
--- a/node/src/main/java/tulipshed/transport/XnioEventLoop.java
+++ b/node/src/main/java/tulipshed/transport/XnioEventLoop.java
@@ -1,13 +1,18 @@
 package tulipshed.transport;
 
 import java.io.IOException;
+import java.net.Inet6Address;
 import java.net.InetSocketAddress;
+import java.net.StandardProtocolFamily;
+import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
+import java.nio.channels.DatagramChannel;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.logging.Level;
 import org.xnio.IoFuture;
+import org.xnio.IoUtils;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
@@ -122,18 +127,31 @@
      */
     public UdpSocket bindUdp(InetSocketAddress address, ByteBuffer scratch, UdpSocket.Receiver receiver)
             throws IOException {
-        // XNIO would set SO_REUSEADDR, with which the kernel may give the same free port to two sockets: the first then
-        // receives nothing any more.
-        OptionMap options = OptionMap.create(
-                Options.REUSE_ADDRESSES,
-                false,
-                Options.RECEIVE_BUFFER,
-                limits.quic().receiveBufferBytes());
-        MulticastMessageChannel channel = worker.createUdpServer(address, options);
+        MulticastMessageChannel channel = openUdpChannel(address);
         descriptors.opened();
         return new UdpSocket(this, channel, scratch, limits.quic().maxReadsPerEvent(), receiver, descriptors::closed);
     }
 
+    /** XNIO's own way keeps the descriptor of a socket that cannot be bound until the next garbage collection. */
+    private MulticastMessageChannel openUdpChannel(InetSocketAddress address) throws IOException {
+        DatagramChannel channel = DatagramChannel.open(
+                address.getAddress() instanceof Inet6Address
+                        ? StandardProtocolFamily.INET6
+                        : StandardProtocolFamily.INET);
+        try {
+            channel.configureBlocking(false);
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, limits.quic().receiveBufferBytes());
+            // XNIO would set SO_REUSEADDR, with which the kernel may give the same free port to two sockets: the first
+            // then receives nothing any more.
+            channel.setOption(StandardSocketOptions.SO_REUSEADDR, false);
+            channel.bind(address);
+            return XnioInternals.newUdpChannel(worker, channel);
+        } catch (IOException | RuntimeException e) {
+            IoUtils.safeClose(channel);
+            throw e;
+        }
+    }
+
     /** Ends the I/O thread; for tests and for programs that embed a node. */
     public void stop() {
         // Listeners that are running while the thread ends may still schedule tasks, which it would reject.
--- a/node/src/main/java/tulipshed/transport/XnioInternals.java
+++ b/node/src/main/java/tulipshed/transport/XnioInternals.java
@@ -5,6 +5,7 @@
 import java.lang.reflect.Constructor;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Method;
+import java.nio.channels.DatagramChannel;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
@@ -14,11 +15,13 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
+import org.xnio.channels.MulticastMessageChannel;
 
 /**
- * The three members of XNIO that are not public and that {@link XnioListeningSocket} needs. XNIO itself accepts on a thread
- * of its own and, where that fails, pauses for 250 ms and more, with no option for either; its public interface has no way
- * to take over a socket that was accepted otherwise.
+ * The members of XNIO that are not public and that {@link XnioListeningSocket} and {@link XnioEventLoop} need. XNIO itself
+ * accepts on a thread of its own and, where that fails, pauses for 250 ms and more, with no option for either; it keeps the
+ * descriptor of a UDP socket that it could not bind. Its public interface has no way to take over a socket that was opened
+ * or accepted otherwise.
  *
  * <p>They are those of the version that the build pins; with a version that lacks them this class does not load, and no
  * listener opens.
@@ -35,6 +38,9 @@
     /** Creates a connection of a channel that is registered. */
     private static final Constructor<?> NEW_CONNECTION;
 
+    /** Creates a channel of datagrams. */
+    private static final Constructor<?> NEW_UDP_CHANNEL;
+
     /** Says that readiness is notified on the I/O threads, not on the accept thread. */
     private static final boolean ON_IO_THREADS = false;
 
@@ -50,7 +56,10 @@
             REGISTER_CHANNEL = thread.getDeclaredMethod("registerChannel", AbstractSelectableChannel.class);
             NEW_CONNECTION = Class.forName(PACKAGE + "NioSocketStreamConnection")
                     .getDeclaredConstructor(thread, SelectionKey.class, Class.forName(PACKAGE + "ChannelClosed"));
-            AccessibleObject.setAccessible(new AccessibleObject[] {NEW_SERVER, REGISTER_CHANNEL, NEW_CONNECTION}, true);
+            NEW_UDP_CHANNEL = Class.forName(PACKAGE + "NioUdpChannel")
+                    .getDeclaredConstructor(Class.forName(PACKAGE + "NioXnioWorker"), DatagramChannel.class);
+            AccessibleObject.setAccessible(
+                    new AccessibleObject[] {NEW_SERVER, REGISTER_CHANNEL, NEW_CONNECTION, NEW_UDP_CHANNEL}, true);
         } catch (ReflectiveOperationException e) {
             throw new ExceptionInInitializerError(e);
         }
@@ -73,6 +82,11 @@
         return (StreamConnection) call(() -> NEW_CONNECTION.newInstance(thread, key, nobodyToNotify));
     }
 
+    /** A channel over a socket that is bound and non-blocking. */
+    static MulticastMessageChannel newUdpChannel(XnioWorker worker, DatagramChannel channel) throws IOException {
+        return (MulticastMessageChannel) call(() -> NEW_UDP_CHANNEL.newInstance(worker, channel));
+    }
+
     private interface ReflectiveCall {
         Object run() throws ReflectiveOperationException;
     }
--- a/node/src/test/java/tulipshed/peer/PeerSocketTest.java
+++ b/node/src/test/java/tulipshed/peer/PeerSocketTest.java
@@ -221,5 +221,7 @@
             assertEquals("to you", receive(peer));
             assertEquals("1:a", received.poll(5, TimeUnit.SECONDS));
         }
+        assertEquals(3, counter("peers_not_sent"));
+        assertEquals(3, counter("peers_sent"));
     }
 }
