--- a/node/src/main/java/tulipshed/limits/DefaultLimits.java
+++ b/node/src/main/java/tulipshed/limits/DefaultLimits.java
@@ -49,7 +49,16 @@
         int pings = 16;
         double longestWaitMs = 120_000;
         double protocolErrorLogMs = 10_000;
-        return new Limits.LineProtocol(lineBytes, firstLineTimeoutMs, pings, longestWaitMs, protocolErrorLogMs);
+        int maxRedials = 5;
+        double firstRedialPauseMs = 2;
+        return new Limits.LineProtocol(
+                lineBytes,
+                firstLineTimeoutMs,
+                pings,
+                longestWaitMs,
+                protocolErrorLogMs,
+                maxRedials,
+                firstRedialPauseMs);
     }
 
     private static Limits.Discovery discovery() {
--- a/node/src/main/java/tulipshed/limits/Limits.java
+++ b/node/src/main/java/tulipshed/limits/Limits.java
@@ -49,9 +49,18 @@
      * @param pings the pings that a connection may send before its first line
      * @param longestWaitMs the longest timeout that a client may declare
      * @param protocolErrorLogMs the time between two log lines about malformed input
+     * @param maxRedials how often an attempt is dialed again where this machine itself could not begin to connect
+     * @param firstRedialPauseMs the pause before the second of those dials, as the first follows at once; each further
+     *     pause is twice as long as the one before
      */
     public record LineProtocol(
-            int lineBytes, double firstLineTimeoutMs, int pings, double longestWaitMs, double protocolErrorLogMs) {}
+            int lineBytes,
+            double firstLineTimeoutMs,
+            int pings,
+            double longestWaitMs,
+            double protocolErrorLogMs,
+            int maxRedials,
+            double firstRedialPauseMs) {}
 
     /**
      * Requests to the discovery service and to its agents.
--- a/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
@@ -127,11 +127,6 @@
             return !connection.isClosed();
         }
 
-        @Override
-        public int capacityBytes() {
-            return Integer.MAX_VALUE;
-        }
-
         @Override
         public void onBytes(ByteBuffer bytes) {
             readLines(bytes);
@@ -156,7 +151,7 @@
 
     private void handleMessage(EndpointMessage message) {
         if (!isChecking) {
-            // On such a connection the next response could not be told from further unsolicited lines.
+            // On such a connection the next response could not be distinguished from further unsolicited lines.
             context.upstreamErrors().record("an unsolicited line");
             close();
             return;
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommand.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommand.java
@@ -8,11 +8,11 @@
  * A client's request for a connection, {@code OPEN ID KEY name=value,...} on the wire. Keeps the line as it came, so that
  * it can be forwarded unchanged but for its timeout.
  *
- * @param line the whole line with its end, in ISO 8859-1
+ * @param line the complete line with its end, in ISO 8859-1
  * @param id the ID that the client gave, unique among the open requests of the node
  * @param timeoutStart index in the line of the first character of the timeout
  * @param timeoutEnd index after the last character of the timeout
- * @param attributes what the client asks for
+ * @param attributes what the client requests
  * @param adoptedFrom ID of the endpoint to which the connection was established before; null for a new connection
  * @param declaredAttributes the operators' further attributes, by name
  */
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommandParser.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommandParser.java
@@ -24,7 +24,7 @@
     /**
      * Parses one complete line with its end.
      *
-     * @throws MalformedLineException if the line is not an open command, or asks for what the settings do not have
+     * @throws MalformedLineException if the line is not an open command, or names what the settings do not have
      */
     OpenCommand parse(byte[] encoded) {
         String line = new String(encoded, StandardCharsets.ISO_8859_1);
--- a/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
@@ -38,11 +38,6 @@
         return !connection.isClosed() && session.state() != ClientSession.State.RELAYING;
     }
 
-    @Override
-    public int capacityBytes() {
-        return Integer.MAX_VALUE;
-    }
-
     @Override
     public void onBytes(ByteBuffer bytes) {
         readLines(bytes);
--- a/node/src/main/java/tulipshed/lineprotocol/StreamReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/StreamReader.java
@@ -10,11 +10,16 @@
 
     /** Takes what is read from one connection. */
     interface Receiver {
-        /** Whether to read on; asked before each read. */
+        /** Whether to read on; checked before each read. */
         boolean isReading();
 
-        /** How many bytes can be taken now; where not above 0, reading is suspended until the receiver resumes it. */
-        int capacityBytes();
+        /**
+         * How many bytes can be taken now, by default any number; where not above 0, reading is suspended until the receiver
+         * resumes it.
+         */
+        default int capacityBytes() {
+            return Integer.MAX_VALUE;
+        }
 
         /** Takes bytes that were read; the buffer is reused after the call. */
         void onBytes(ByteBuffer bytes);
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
@@ -33,7 +33,7 @@
     private final CrlfDecoder decoder;
     private final EndpointReports reports;
     private final InactivityDetector inactivityDetector;
-    private final RedialBackoff redialBackoff = new RedialBackoff();
+    private final RedialBackoff redialBackoff;
     private final StreamReader.Receiver endpointInput = new EndpointInput();
     private State state = State.CONNECTING;
     private XnioEventLoop.PendingConnection pendingConnection;
@@ -46,6 +46,7 @@
         this.context = frontend.context();
         this.client = client;
         this.attempt = attempt;
+        this.redialBackoff = new RedialBackoff(context.limits().lineProtocol());
         this.decoder = new CrlfDecoder(context.limits().lineProtocol().lineBytes());
         this.reports = new EndpointReports(context);
         this.inactivityDetector =
--- a/node/src/main/java/tulipshed/lineprotocol/WireMessages.java
+++ b/node/src/main/java/tulipshed/lineprotocol/WireMessages.java
@@ -4,7 +4,7 @@
 
 /** The fixed messages of the line protocol that this node compares or sends, with the words that they have on the wire. */
 final class WireMessages {
-    /** Wire word {@code PING}: a client asks whether the node takes requests. */
+    /** Wire word {@code PING}: a client's query whether the node takes requests. */
     static final byte[] PING = encode("PING");
 
     /** Wire word {@code PONG}: the node takes requests. */
@@ -16,7 +16,7 @@
     /** Wire word {@code MOVE}: the client of an established connection should connect again. */
     static final byte[] MIGRATE = encode("MOVE");
 
-    /** Wire word {@code STATS}: asks an endpoint for a load report. */
+    /** Wire word {@code STATS}: the request for an endpoint's load report. */
     static final byte[] HEALTH_CHECK = encode("STATS");
 
     /** Wire word {@code BUSY}. */
--- a/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
+++ b/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
@@ -215,7 +215,9 @@
                         60_000,
                         defaults.lineProtocol().pings(),
                         defaults.lineProtocol().longestWaitMs(),
-                        defaults.lineProtocol().protocolErrorLogMs())),
+                        defaults.lineProtocol().protocolErrorLogMs(),
+                        defaults.lineProtocol().maxRedials(),
+                        defaults.lineProtocol().firstRedialPauseMs())),
                 OperatorsFile.EMPTY);
         try (Socket idle = connectClient("PING\r\n");
                 Socket incomplete = connectClient("OPEN ha")) {
--- a/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.limits.Limits;
 import tulipshed.transport.ConnectFailures;
 
 /** Connections that this machine cannot even begin to make, which says nothing of the endpoint. */
@@ -62,12 +63,13 @@
 
     @Test
     void boundsDialsInNumberAndTime() {
-        RedialBackoff backoff = new RedialBackoff();
+        Limits.LineProtocol limits = Limits.forDescriptors(1024).lineProtocol();
+        RedialBackoff backoff = new RedialBackoff(limits);
         for (double delayMs : List.of(0.0, 2.0, 4.0, 8.0, 16.0)) {
             assertEquals(OptionalDouble.of(delayMs), backoff.nextDelayMs(1_000));
         }
         assertEquals(OptionalDouble.empty(), backoff.nextDelayMs(1_000));
-        RedialBackoff late = new RedialBackoff();
+        RedialBackoff late = new RedialBackoff(limits);
         assertEquals(OptionalDouble.of(0), late.nextDelayMs(2));
         assertEquals(OptionalDouble.empty(), late.nextDelayMs(2), "no time is left for it");
     }
