--- a/node/src/main/java/tulipshed/lineprotocol/ClientCloser.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientCloser.java
@@ -24,6 +24,12 @@
         return lease;
     }
 
+    /** The request needs nothing more of the client but its last line; its ID is available again. */
+    void beginClosing() {
+        session.markClosing();
+        lease.releaseId();
+    }
+
     /**
      * Ends the sending, and has the session read and drop further input until the client has ended too or the linger timeout
      * has expired.
@@ -34,18 +40,26 @@
         connection.shutdownOutput();
         connection.setReading(!session.isInputEnded());
         context.eventLoop().schedule(context.limits().sockets().lingerTimeoutMs(), this::onLingerTimeout);
-        if (session.isInputEnded() && connection.queuedBytes() == 0) {
-            session.close();
+        if (session.isInputEnded()) {
+            closeOnceWritten();
+        }
+    }
+
+    /** Nothing more comes from the client, but it may not have read all that is queued for it. */
+    void closeOnceWritten() {
+        if (connection.queuedBytes() == 0) {
+            close();
         }
     }
 
     private void onLingerTimeout() {
         session.readAvailableInput();
-        session.close();
+        close();
     }
 
     /** Closes the connection at once, and releases what the session holds. */
     void close() {
+        session.markClosing();
         lease.releaseId();
         frontend.unservedConnections().remove(session);
         connection.close();
--- a/node/src/main/java/tulipshed/lineprotocol/ClientRelay.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientRelay.java
@@ -4,7 +4,7 @@
 import tulipshed.transport.TcpConnection;
 
 /**
- * Reads one client's input while an endpoint serves its request; takes no more of it than can be queued for the endpoint.
+ * Passes one client's input on while an endpoint serves its request; takes no more of it than can be queued for the endpoint.
  * Confined to the event-loop thread.
  */
 final class ClientRelay implements StreamReader.Receiver {
@@ -21,9 +21,24 @@
         this.maxQueuedBytes = maxQueuedBytes;
     }
 
+    /** Passes the endpoint's response on, and what the client sent before it. */
+    void start(byte[] response, EarlyData earlyData) {
+        connection.write(response);
+        if (!earlyData.isEmpty()) {
+            upstream.relay().sendToEndpoint(earlyData.toByteArray());
+            earlyData.clear();
+        }
+        connection.setReading(true);
+    }
+
+    /** Reads all that the client has sent, as far as it can be queued for the endpoint. */
+    void read(ByteBuffer buffer) {
+        StreamReader.read(connection, buffer, StreamReader.UNLIMITED_READS, this);
+    }
+
     @Override
     public boolean isReading() {
-        return !connection.isClosed() && session.state() == ClientSession.State.RELAYING;
+        return !connection.isClosed() && session.state() == ClientState.RELAYING;
     }
 
     @Override
@@ -35,7 +50,7 @@
     public void onBytes(ByteBuffer bytes) {
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
-        upstream.sendFromClient(copy);
+        upstream.relay().sendToEndpoint(copy);
     }
 
     @Override
--- /dev/null
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientResponder.java
@@ -0,0 +1,53 @@
+package tulipshed.lineprotocol;
+
+import tulipshed.proxy.ClientConnection;
+import tulipshed.transport.TcpConnection;
+
+/** Sends one client the last line of its connection, of which there is one. Confined to the event-loop thread. */
+final class ClientResponder implements ClientConnection {
+    private final FrontendContext context;
+    private final ClientSession session;
+    private final TcpConnection connection;
+    private final ClientCloser closer;
+
+    ClientResponder(FrontendContext context, ClientSession session, TcpConnection connection, ClientCloser closer) {
+        this.context = context;
+        this.session = session;
+        this.connection = connection;
+        this.closer = closer;
+    }
+
+    @Override
+    public void reject(double retryAfterMs) {
+        sendLastLine(WireMessages.rejected(retryAfterMs));
+    }
+
+    @Override
+    public void fail() {
+        sendLastLine(WireMessages.FAILED);
+    }
+
+    /** Fails a client that does not follow the protocol; the reason must not quote it. */
+    void failMalformed(String reason) {
+        context.clientErrors().record(reason);
+        fail();
+    }
+
+    @Override
+    public void migrate() {
+        if (session.state() == ClientState.RELAYING) {
+            session.upstream().abandon();
+            // Only complete lines are ever queued for the client, so this one comes between two of them.
+            sendLastLine(WireMessages.MIGRATE);
+        }
+    }
+
+    /** Sends a last line, and closes once the client has read it or the linger timeout has expired. */
+    private void sendLastLine(byte[] line) {
+        if (session.state() != ClientState.CLOSING) {
+            closer.beginClosing();
+            connection.write(line);
+            closer.shutdownAndLinger();
+        }
+    }
+}
--- a/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
+++ b/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
@@ -116,7 +116,7 @@
             unservedConnections.addOpening(session);
             session.start();
         } else {
-            session.reject(overloadRetryAfterMs());
+            session.rejectForOverload();
         }
     }
 
@@ -216,7 +216,7 @@
         // First, so that a defect met in one sweep does not end all later ones.
         scheduleSweep();
         double nowMs = context.clock().nowMs();
-        List.copyOf(establishedUpstreams).forEach(upstream -> upstream.checkInactivity(nowMs));
+        List.copyOf(establishedUpstreams).forEach(upstream -> upstream.relay().checkInactivity(nowMs));
         unservedConnections.overdue(nowMs).forEach(ClientSession::onOpenTimeout);
         context.clientErrors().flush(nowMs);
         context.upstreamErrors().flush(nowMs);
--- a/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
@@ -13,16 +13,21 @@
     private final LineProtocolFrontend frontend;
     private final ClientSession session;
     private final TcpConnection connection;
+    private final ClientResponder responder;
+    private final FrontendContext context;
     private final CrlfDecoder decoder;
     private final EarlyData earlyData;
     private final int maxPings;
     private int pingCount;
 
-    RequestReader(LineProtocolFrontend frontend, ClientSession session, TcpConnection connection) {
-        Limits.LineProtocol limits = frontend.context().limits().lineProtocol();
+    RequestReader(
+            LineProtocolFrontend frontend, ClientSession session, TcpConnection connection, ClientResponder responder) {
         this.frontend = frontend;
+        this.context = frontend.context();
         this.session = session;
         this.connection = connection;
+        this.responder = responder;
+        Limits.LineProtocol limits = context.limits().lineProtocol();
         this.decoder = new CrlfDecoder(limits.lineBytes());
         this.earlyData = new EarlyData(limits.lineBytes());
         this.maxPings = limits.pings();
@@ -33,9 +38,29 @@
         return earlyData;
     }
 
+    /**
+     * Reads until nothing more has arrived. What a client may send before its response is bounded, so that this ends; what
+     * comes after the response is not, and is left to the next event.
+     */
+    void readAvailable() {
+        boolean mayHaveMore = true;
+        while (mayHaveMore) {
+            mayHaveMore = readSome() && session.state() != ClientState.CLOSING;
+        }
+    }
+
+    /**
+     * Reads for one event; returns whether there may be more. A client that sends without end must not keep the event loop
+     * to itself.
+     */
+    boolean readSome() {
+        int maxReads = context.limits().sockets().maxReadsPerEvent();
+        return StreamReader.read(connection, context.readBuffer(), maxReads, this);
+    }
+
     @Override
     public boolean isReading() {
-        return !connection.isClosed() && session.state() != ClientSession.State.RELAYING;
+        return !connection.isClosed() && session.state() != ClientState.RELAYING;
     }
 
     @Override
@@ -50,14 +75,14 @@
     }
 
     private void readLines(ByteBuffer in) {
-        while (session.state() == ClientSession.State.OPENING && in.hasRemaining()) {
+        while (session.state() == ClientState.OPENING && in.hasRemaining()) {
             try {
                 byte[] line = decoder.next(in);
                 if (line != null) {
                     handleLine(line);
                 }
             } catch (MalformedLineException e) {
-                session.failMalformed(e.getMessage());
+                responder.failMalformed(e.getMessage());
             }
         }
     }
@@ -82,7 +107,7 @@
 
     /** Clients await their response before they send more; one that sends hundreds of commands at once is malformed. */
     private void keepEarlyData(ByteBuffer in) {
-        if (session.state() == ClientSession.State.PENDING && in.hasRemaining() && !earlyData.append(in)) {
+        if (session.state() == ClientState.PENDING && in.hasRemaining() && !earlyData.append(in)) {
             session.cancelMalformed("more lines before a response");
         }
     }
--- /dev/null
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamDialer.java
@@ -0,0 +1,72 @@
+package tulipshed.lineprotocol;
+
+import java.io.IOException;
+import java.util.OptionalDouble;
+import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.proxy.Attempt;
+import tulipshed.transport.ConnectFailures;
+import tulipshed.transport.XnioEventLoop;
+
+/**
+ * Makes the connection of one attempt, dialing again where this machine itself could not begin to connect. Confined to the
+ * event-loop thread.
+ */
+final class UpstreamDialer {
+    private final LineProtocolFrontend frontend;
+    private final FrontendContext context;
+    private final ClientSession client;
+    private final UpstreamConnection upstream;
+    private final Attempt attempt;
+    private final RedialBackoff redialBackoff;
+    private XnioEventLoop.PendingConnection pendingConnection;
+
+    /** A dialer that reports to {@code upstream} what becomes of its attempt. */
+    UpstreamDialer(LineProtocolFrontend frontend, ClientSession client, UpstreamConnection upstream) {
+        this.frontend = frontend;
+        this.context = frontend.context();
+        this.client = client;
+        this.upstream = upstream;
+        this.attempt = upstream.attempt();
+        this.redialBackoff = new RedialBackoff(context.limits().lineProtocol());
+    }
+
+    /** Starts connecting. */
+    void dial() {
+        if (!frontend.ensureUpstreamCapacity()) {
+            // Descriptors of this node ran out, which says nothing of the endpoint.
+            upstream.end(Outcome.UNUSED);
+            return;
+        }
+        pendingConnection =
+                context.eventLoop().connect(attempt.endpoint().address(), upstream::onConnected, this::onConnectFailed);
+    }
+
+    private void onConnectFailed(IOException reason) {
+        if (!ConnectFailures.isLocal(reason)) {
+            upstream.end(Outcome.CONNECT_FAILED);
+            return;
+        }
+        double nowMs = context.clock().nowMs();
+        OptionalDouble delayMs = redialBackoff.nextDelayMs(attempt.remainingWaitMs(nowMs));
+        if (delayMs.isPresent()) {
+            context.eventLoop().schedule(delayMs.getAsDouble(), this::redial);
+        } else {
+            upstream.end(Outcome.UNUSED);
+        }
+    }
+
+    /** Dials again for the same attempt, unless it was abandoned or its client has gone. */
+    private void redial() {
+        client.readAvailableInput();
+        if (upstream.state() == UpstreamState.CONNECTING && attempt.request().isPending()) {
+            dial();
+        }
+    }
+
+    /** Gives up a connection that is being made; nothing is reported of it any more. */
+    void abandon() {
+        if (pendingConnection != null) {
+            pendingConnection.abandon();
+        }
+    }
+}
--- /dev/null
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamHandshake.java
@@ -0,0 +1,64 @@
+package tulipshed.lineprotocol;
+
+import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.proxy.Attempt;
+
+/** Forwards the open command of one attempt, and takes the endpoint's response to it. Confined to the event-loop thread. */
+final class UpstreamHandshake {
+    private final FrontendContext context;
+    private final UpstreamConnection upstream;
+    private final OpenCommand openCommand;
+    private final Attempt attempt;
+    private boolean isForwarded;
+
+    UpstreamHandshake(FrontendContext context, UpstreamConnection upstream, OpenCommand openCommand) {
+        this.context = context;
+        this.upstream = upstream;
+        this.openCommand = openCommand;
+        this.attempt = upstream.attempt();
+    }
+
+    /** The open command as it is forwarded now. */
+    byte[] forwardedLine() {
+        double nowMs = context.clock().nowMs();
+        double remainingWaitMs =
+                openCommand.isAdopted() ? attempt.request().deadlineMs() - nowMs : attempt.remainingWaitMs(nowMs);
+        return openCommand.forwardedLine(remainingWaitMs);
+    }
+
+    /** The open command has been written to its last byte; further calls do nothing. */
+    void onWritten() {
+        if (!isForwarded) {
+            isForwarded = true;
+            context.core().attemptForwarded();
+        }
+    }
+
+    /**
+     * Takes one message that came before the endpoint serves the request.
+     *
+     * @param line the complete line of the message, as the client is to receive it
+     */
+    void onResponse(EndpointMessage message, byte[] line) {
+        switch (message.kind()) {
+            case ESTABLISHED -> establish(line);
+            case REJECTED -> upstream.end(Outcome.FULL);
+            case FAILED -> upstream.end(Outcome.ERROR);
+            case COMPLETED, MIGRATING -> {
+                // Announces how the attempt ends; its end follows.
+            }
+            default -> {
+                context.upstreamErrors().record("an unexpected response");
+                upstream.end(Outcome.ERROR);
+            }
+        }
+    }
+
+    private void establish(byte[] response) {
+        if (context.core().attemptEstablished(attempt)) {
+            upstream.onEstablished(response);
+        } else {
+            upstream.close();
+        }
+    }
+}
