--- a/node/src/test/java/tulipshed/lineprotocol/ClientCloseResponseTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ClientCloseResponseTest.java
@@ -85,7 +85,7 @@
     /** The names of the frontend are ahead of the settings of the core, which does not find the class. */
     @Test
     void failsClientWhoseRequestMeetsDefectOfListener() throws Exception {
-        loop.execute(() -> {
+        runOnLoop(() -> {
             NameIndex names = new NameIndex(Map.of("slot-board", 99), Map.of("melnik-terminal", 0));
             frontend.reconfigure(names, false);
         });
@@ -93,7 +93,7 @@
             client.send(OPEN_COMMAND);
             assertOneResponse(client, "ERR");
         }
-        loop.execute(() -> frontend.context().defects().flush(Double.MAX_VALUE));
+        runOnLoop(() -> frontend.context().defects().flush(Double.MAX_VALUE));
         try (LineSocket client = connectClient()) {
             client.send("frob\r\n");
             assertOneResponse(client, "ERR");
--- a/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
@@ -20,7 +20,7 @@
 class LocalConnectFailureTest extends RaceConditionFixture {
     @Test
     void dialsAgainForTheSameAttempt() throws Exception {
-        loop.execute(() -> listFirstEndpointAt(UNREACHABLE));
+        runOnLoop(() -> listFirstEndpointAt(UNREACHABLE));
         // Between the first failure and the next dial.
         beforeRequestArrived = () -> loop.execute(this::listFirstEndpointAtListener);
         try (LineSocket client = connectClient()) {
@@ -35,7 +35,7 @@
 
     @Test
     void rejectsAfterBoundedDialsAndHoldsNothingAgainstEndpoint() throws Exception {
-        loop.execute(() -> listFirstEndpointAt(UNREACHABLE));
+        runOnLoop(() -> listFirstEndpointAt(UNREACHABLE));
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
             assertTrue(client.readLine().matches("BUSY [0-9]+"));
@@ -47,7 +47,7 @@
 
     @Test
     void doesNotDialAgainForClientThatHasGone() throws Exception {
-        loop.execute(() -> listFirstEndpointAt(UNREACHABLE));
+        runOnLoop(() -> listFirstEndpointAt(UNREACHABLE));
         beforeRequestArrived = () -> loop.execute(() -> {
             listFirstEndpointAtListener();
             holdLoop();
