--- a/lab/src/main/java/tulipshed/lab/load/LoadRun.java
+++ b/lab/src/main/java/tulipshed/lab/load/LoadRun.java
@@ -72,6 +72,7 @@
     private volatile long beganNs;
     private double latestMs;
     private double behindMs;
+    private boolean dayIsOver;
     private long strangers;
     private long accepted;
 
@@ -116,6 +117,9 @@
                 .ifPresent(k -> {
                     throw new IllegalArgumentException(k + " needs links between the parts: lab trial");
                 });
+        if (s.troubles().stream().anyMatch(t -> t.kind().equals("node-clocks"))) {
+            throw new IllegalArgumentException("node-clocks: processes have this machine's clock, lab run has others");
+        }
         world = new World(s, seed, 1, (id, number, w) -> {
             NodeProcess p = process(jar, number);
             SocketNode n = new SocketNode(id, number, w, this, p);
@@ -213,9 +217,7 @@
 
     private void news(MemberNews n) {
         var e = n.listed().info();
-        long startedMs = e.startedUs() == 0
-                ? 0
-                : new SystemWallClock().now().epochMs() - Math.round(nowMs() - e.startedUs() / 1000.0);
+        long startedMs = startedEpochMs(n, new SystemWallClock().now().epochMs(), nowMs());
         String state =
                 e.status() == EndpointStatus.REMOVED ? "DELETED" : e.status().name();
         for (int d = 0; d < discoveries.size(); d++) {
@@ -241,6 +243,12 @@
         }
     }
 
+    /** When a member says that it started, by its own clock; 0 where it does not say. */
+    static long startedEpochMs(MemberNews n, long epochMs, double nowMs) {
+        long startedUs = n.listed().info().startedUs();
+        return startedUs == 0 ? 0 : epochMs - Math.round(nowMs - startedUs / 1000.0 - n.clockOffMs());
+    }
+
     /** What answers have told meanwhile, in the order in which they were given. */
     private void hear() {
         for (Told t = told.poll(); t != null; t = told.poll()) {
@@ -299,12 +307,7 @@
         double window = world.scenario().network().leastMs();
         while (nowMs() < world.scenario().lengthMs()) {
             double before = nowMs();
-            latestMs = before;
-            if (ways != null) {
-                ways.turn(before);
-            }
-            hear();
-            hearLinks();
+            hearAll(before);
             while (served.size() <= before / 1000) {
                 served.add(nodes.stream().mapToDouble(n -> n.wellServed(before)).sum());
             }
@@ -313,22 +316,53 @@
                 lightUp.remove(0);
                 discoveries.forEach(d -> d.setUnavailable(false));
             }
-            selector.select(1);
-            // What can be read now may follow from what links have shown meanwhile, never the other way round.
-            hearLinks();
-            Set<SelectionKey> ready = selector.selectedKeys();
-            for (Iterator<SelectionKey> i = ready.iterator(); i.hasNext(); ) {
-                SelectionKey k = i.next();
-                i.remove();
-                if (k.attachment() instanceof SocketMember m) {
-                    m.accept();
-                } else if (k.isValid()) {
-                    ((Wire) k.attachment()).ready();
-                }
+            handleSockets();
+            behindMs = Math.max(behindMs, nowMs() - before);
+        }
+        double tookS = (System.nanoTime() - beganNs) / 1e9;
+        awaitAnswers();
+        return world.finish(tookS);
+    }
+
+    /** What was told and seen until a moment of the day. */
+    private void hearAll(double atMs) {
+        latestMs = atMs;
+        if (ways != null) {
+            ways.turn(atMs);
+        }
+        hear();
+        hearLinks();
+    }
+
+    private void handleSockets() throws IOException {
+        selector.select(1);
+        // What can be read now may follow from what links have shown meanwhile, never the other way round.
+        hearLinks();
+        Set<SelectionKey> ready = selector.selectedKeys();
+        for (Iterator<SelectionKey> i = ready.iterator(); i.hasNext(); ) {
+            SelectionKey k = i.next();
+            i.remove();
+            if (k.attachment() instanceof SocketMember m) {
+                m.accept();
+            } else if (k.isValid()) {
+                ((Wire) k.attachment()).ready();
             }
+        }
+    }
+
+    /**
+     * Waits for the answers that are owed at the day's end, and holds the rules until then. The emulated members have stopped
+     * and say nothing more, so that a node has to answer by its own clock; nothing is counted of that time.
+     */
+    private void awaitAnswers() throws IOException {
+        dayIsOver = true;
+        while (tries.values().stream().anyMatch(t -> t.owed)) {
+            double before = nowMs();
+            hearAll(before);
+            handleSockets();
+            List.copyOf(tries.values()).forEach(t -> nodeOf(t).judgeOverdue(t));
             behindMs = Math.max(behindMs, nowMs() - before);
         }
-        return world.finish((System.nanoTime() - beganNs) / 1e9);
     }
 
     /** By second of the day: the share of what clients wanted that stood and brought their lines back; NaN where nothing was wanted. */
@@ -383,8 +417,9 @@
         return ways != null;
     }
 
-    boolean stoodStill(int node, double fromMs, double toMs) {
-        return ways != null && ways.stoodStill(node, fromMs, toMs);
+    /** Whether only what was asked before the day's end is still waited for. */
+    boolean dayIsOver() {
+        return dayIsOver;
     }
 
     boolean runs(int member) {
--- a/lab/src/main/java/tulipshed/lab/load/SocketNode.java
+++ b/lab/src/main/java/tulipshed/lab/load/SocketNode.java
@@ -1,6 +1,8 @@
 package tulipshed.lab.load;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.ConnectException;
 import java.util.HashSet;
 import java.util.Locale;
 import java.util.Set;
@@ -22,11 +24,14 @@
     private static final double SOCKETS_MS = 50; // by which each time limit is longer there
     private static final double SAYS_MS = 2000;
     private static final double HEARS_MS = 600; // a sound connection brings a line back at once
+    private static final double LISTENS_ON_MS = 300; // after a refusal, for a second answer
+    private static final double STILL_CHECK_MS = 50;
     private NodeRules rules;
     private long lastTry;
     private long served;
     private long endpointConnections;
     private final Set<Client> standing = new HashSet<>();
+    private final ProcessPauses pauses = new ProcessPauses();
 
     SocketNode(int id, int number, World world, LoadRun run, NodeProcess process) {
         super(id, number, world);
@@ -93,34 +98,33 @@
                     gone();
                     if (t.flow == null || !t.flow.over) {
                         // Its member counts those that it sends away itself.
-                        tally().at(tally().moves, nowMs);
+                        count(tally().moves);
                     }
-                    clients.returns(nowMs, t);
+                    goOn(() -> clients.returns(nowMs, t));
                 }
                 return;
             }
             if (!t.owed) {
+                rules.answered(nowMs, t.watched, word + " after its answer");
                 return;
             }
             t.owed = false;
-            if (run.stoodStill(number, t.askedMs, nowMs)) {
-                rules.left(t.watched);
-            }
             if (word.equals("UP")) {
                 served++;
                 t.standing = true;
                 standing.add(this);
                 remind(nowMs + SAYS_MS * random.nextDouble(), Kinds.SAYS, this, 0);
-                rules.answered(nowMs, t.watched, "served");
-                clients.served(nowMs, t);
+                judgeAnswer(t, "served");
+                goOn(() -> clients.served(nowMs, t));
                 remind(Math.max(nowMs, t.wish.untilMs), Kinds.LIFE_OVER, this, 0);
                 return;
             }
-            gone();
+            remind(nowMs + LISTENS_ON_MS, Kinds.LIFE_OVER, this, 0);
             boolean busy = word.equals("BUSY");
-            rules.answered(nowMs, t.watched, busy ? "refused" : "failed");
-            tally().at(busy ? tally().refused : tally().failed, nowMs);
-            clients.refused(nowMs, t, busy && line.length() > 5 ? Double.parseDouble(line.substring(5)) : 0);
+            judgeAnswer(t, busy ? "refused" : "failed");
+            count(busy ? tally().refused : tally().failed);
+            double retryAfterMs = busy && line.length() > 5 ? Double.parseDouble(line.substring(5)) : 0;
+            goOn(() -> clients.refused(nowMs, t, retryAfterMs));
         }
 
         @Override
@@ -130,17 +134,18 @@
             if (t.standing) {
                 if (process.killed()) {
                     // Its members count all other resets.
-                    tally().at(tally().resets, nowMs);
+                    count(tally().resets);
                 }
-                clients.returns(nowMs, t);
+                goOn(() -> clients.returns(nowMs, t));
             } else if (t.owed) {
                 t.owed = false;
-                if (!process.killed() && !run.stoodStill(number, t.askedMs, nowMs)) {
-                    rules.waited(nowMs, t.watched);
-                } else {
+                if (process.killed()) {
                     rules.left(t.watched);
+                } else {
+                    rules.closed(nowMs, t.watched);
                 }
-                clients.again(nowMs, t.wish, world.scenario().clients().returnMs());
+                goOn(() ->
+                        clients.again(nowMs, t.wish, world.scenario().clients().returnMs()));
             }
         }
 
@@ -172,6 +177,36 @@
         nowMs = run.nowMs();
     }
 
+    private void count(long[] bySecond) {
+        goOn(() -> tally().at(bySecond, nowMs));
+    }
+
+    /** What follows from an event for clients and figures, unless the day is over: then it is judged and no more. */
+    private void goOn(Runnable what) {
+        if (!run.dayIsOver()) {
+            what.run();
+        }
+    }
+
+    /**
+     * Judges a first answer. While its process was stopped a node could do nothing: its answer is owed all the same, by as
+     * much later as it was stopped.
+     */
+    private void judgeAnswer(Try t, String how) {
+        rules.heldUp(Double.POSITIVE_INFINITY, dueMs(t) - latestMs(t));
+        rules.answered(nowMs, t.watched, how);
+        rules.heldUp(0, 0);
+    }
+
+    private static double latestMs(Try t) {
+        return t.deadlineMs + SLACK_MS + SOCKETS_MS;
+    }
+
+    /** When the answer to a client is owed at the latest; infinite while the process is stopped. */
+    private double dueMs(Try t) {
+        return pauses.dueMs(t.askedMs, latestMs(t));
+    }
+
     @Override
     protected void asked(Wish w, double graceMs) {
         Try t = new Try(
@@ -184,9 +219,11 @@
         t.kept = c;
         try {
             c.wire = run.connect(process.address(), c);
-        } catch (IOException e) {
-            clients.again(nowMs, w, world.scenario().clients().returnMs());
+        } catch (ConnectException e) {
+            c.ended(null, true);
             return;
+        } catch (IOException e) {
+            throw new UncheckedIOException("the tool cannot open a client's connection", e);
         }
         String id = run.remember(t);
         var s = world.scenario();
@@ -200,7 +237,7 @@
                 Math.round(graceMs),
                 w.group < 0 ? "" : ",g=g" + w.group,
                 w.returning ? ",again=1" : ""));
-        remind(t.deadlineMs + SLACK_MS + SOCKETS_MS + 1, Kinds.WAITED, t, 0);
+        remind(latestMs(t) + 1, Kinds.WAITED, t, 0);
     }
 
     @Override
@@ -208,16 +245,29 @@
         if (!t.owed) {
             return false;
         }
-        t.owed = false;
-        if (run.stoodStill(number, t.askedMs, nowMs)) {
-            rules.left(t.watched);
-        } else {
-            rules.waited(nowMs, t.watched);
+        double due = dueMs(t);
+        if (due >= nowMs) {
+            remind(Math.min(due + 1, nowMs + STILL_CHECK_MS), Kinds.WAITED, t, 0);
+            return false;
         }
-        ((Client) t.kept).gone();
+        waitedInVain(t);
         return true;
     }
 
+    private void waitedInVain(Try t) {
+        t.owed = false;
+        rules.waited(nowMs, t.watched);
+        ((Client) t.kept).gone();
+    }
+
+    /** After the day's end: judges a client whose answer is overdue. */
+    void judgeOverdue(Try t) {
+        now();
+        if (t.owed && dueMs(t) < nowMs) {
+            waitedInVain(t);
+        }
+    }
+
     /** The node's flow for a client has arrived at a member. */
     Flow dialled(Try t, int member, Wire wire) {
         now();
@@ -230,7 +280,7 @@
         if (!run.linked()) {
             rules.sent(nowMs, t.watched, member);
         }
-        tally().at(tally().attempts, nowMs);
+        count(tally().attempts);
         sendToMember(member, Kinds.DIAL, f, 0);
         return f;
     }
@@ -254,7 +304,13 @@
 
     /** Has its process stand still, or go on. */
     void still(boolean on) {
-        process.still(on);
+        if (on) {
+            pauses.begin(run.nowMs());
+            process.still(true);
+        } else {
+            process.still(false);
+            pauses.end(run.nowMs());
+        }
     }
 
     @Override
@@ -299,6 +355,7 @@
                 } else {
                     // Another process, which knows what its file says until it is told.
                     rules.starts();
+                    pauses.end(run.nowMs());
                     process.start();
                 }
             }
--- a/lab/src/main/java/tulipshed/lab/load/Ways.java
+++ b/lab/src/main/java/tulipshed/lab/load/Ways.java
@@ -23,9 +23,6 @@
     /** From when on a node hears what discovery tells it at that moment of the day, in milliseconds. */
     double hearsMs(int node, double atMs);
 
-    /** Whether a node could do nothing at some moment between these, as its process stood still. */
-    boolean stoodStill(int node, double fromMs, double toMs);
-
     /** The day's clock has come to this moment. */
     void turn(double nowMs);
 }
--- a/lab/src/main/java/tulipshed/lab/trial/Schedule.java
+++ b/lab/src/main/java/tulipshed/lab/trial/Schedule.java
@@ -201,15 +201,6 @@
                         && f.nodes().contains(node));
     }
 
-    /** Whether it was to, at some moment between these. */
-    boolean stoodStill(int node, double fromMs, double toMs) {
-        return faults.stream()
-                .anyMatch(f -> f.kind().equals("stop-nodes")
-                        && f.nodes().contains(node)
-                        && f.fromMs() <= toMs
-                        && f.untilMs() >= fromMs);
-    }
-
     /** From when on a node can hear what discovery tells it at that moment. */
     double hearsMs(int node, double atMs) {
         double at = atMs;
--- a/lab/src/main/java/tulipshed/lab/trial/TrialRun.java
+++ b/lab/src/main/java/tulipshed/lab/trial/TrialRun.java
@@ -88,11 +88,6 @@
         return schedule.hearsMs(node, atMs);
     }
 
-    @Override
-    public boolean stoodStill(int node, double fromMs, double toMs) {
-        return schedule.stoodStill(node, fromMs, toMs);
-    }
-
     @Override
     public void turn(double nowMs) {
         double since = turnedMs;
--- a/lab/src/main/java/tulipshed/lab/trial/Verdict.java
+++ b/lab/src/main/java/tulipshed/lab/trial/Verdict.java
@@ -113,8 +113,8 @@
         return breaches.isEmpty() && voids.isEmpty();
     }
 
-    /** Whether something did not hold, in a run that says something. */
+    /** Whether something did not hold. A void run shows nothing good, but a breach found in it stands, and is looked at. */
     public boolean failed() {
-        return !breaches.isEmpty() && voids.isEmpty();
+        return !breaches.isEmpty();
     }
 }
--- a/lab/src/test/java/tulipshed/lab/LoadTest.java
+++ b/lab/src/test/java/tulipshed/lab/LoadTest.java
@@ -67,5 +67,7 @@
             Scenario s = Worlds.text(DAY, too);
             assertThrows(IllegalArgumentException.class, () -> new LoadRun(s, 1, JAR).close(), too[0]);
         }
+        Scenario clocks = Worlds.text(DAY + "(trouble node-clocks (share 0.5)(factor 7200))");
+        assertThrows(IllegalArgumentException.class, () -> new LoadRun(clocks, 1, JAR).close(), "node-clocks");
     }
 }
--- a/lab/src/test/java/tulipshed/lab/trial/ScheduleTest.java
+++ b/lab/src/test/java/tulipshed/lab/trial/ScheduleTest.java
@@ -77,8 +77,7 @@
                 3);
         assertEquals(8000, s.hearsMs(0, 2500));
         assertEquals(1999, s.hearsMs(0, 1999));
-        assertTrue(
-                s.still(0, 4999) && !s.still(0, 5000) && s.stoodStill(0, 4990, 9000) && !s.stoodStill(0, 5001, 9000));
+        assertTrue(s.still(0, 4999) && !s.still(0, 5000));
         assertEquals(new Condition(true, true, true, 30, 30), s.member(3, 3, 5500));
     }
 
--- a/lab/src/test/java/tulipshed/lab/trial/StandInNode.java
+++ b/lab/src/test/java/tulipshed/lab/trial/StandInNode.java
@@ -27,9 +27,15 @@
  */
 public final class StandInNode {
     private static final int ASKS_MS = 50;
+    private static final int TICK_MS = 20;
+    private static final long STOPPED_NS = 500_000_000; // a longer gap between ticks was a stop
+    private static final long SILENT_NS = 300_000_000; // after it
     private final String fault;
     private final int discovery;
     private final Random random = new Random(5);
+    private final long startedNs = System.nanoTime();
+    private volatile long tickNs = startedNs;
+    private volatile long silentUntilNs = startedNs;
     private volatile List<Integer> serving = List.of();
 
     private StandInNode(String fault, JsonNode config) {
@@ -80,11 +86,33 @@
                     Runtime.getRuntime().halt(3);
                 });
             }
-            while (true) {
+            if (node.fault.equals("forgets-when-stopped")) {
+                start(node::ticks);
+            }
+            while (!node.fault.equals("refuses-connections") || !node.runs(4000)) {
                 Socket client = listener.accept();
                 start(() -> node.serve(client));
             }
         }
+        Thread.sleep(60_000);
+    }
+
+    private boolean runs(long ms) {
+        return System.nanoTime() - startedNs > ms * 1_000_000;
+    }
+
+    private void ticks() throws InterruptedException {
+        while (true) {
+            long now = System.nanoTime();
+            silentUntilNs = now - tickNs > STOPPED_NS ? now + SILENT_NS : silentUntilNs;
+            tickNs = now;
+            Thread.sleep(TICK_MS);
+        }
+    }
+
+    private boolean forgets() {
+        long now = System.nanoTime();
+        return fault.equals("forgets-when-stopped") && (now - tickNs > STOPPED_NS || now < silentUntilNs);
     }
 
     private interface Task {
@@ -158,7 +186,8 @@
         client.setTcpNoDelay(true);
         BufferedReader in = reader(client);
         String line = in.readLine();
-        if (line == null || (fault.equals("silence") && now(0.2))) {
+        boolean silentAtEnd = fault.equals("silent-at-the-end") && runs(8200);
+        if (line == null || silentAtEnd || forgets() || (fault.equals("silence") && now(0.2))) {
             Thread.sleep(60_000);
             return;
         }
@@ -186,15 +215,18 @@
         if (fault.equals("late-answer") && now(0.2)) {
             Thread.sleep(2000);
         }
+        if (fault.equals("second-answer-after-refusal") && now(0.2)) {
+            refuseTwice(client);
+            close(member);
+            return;
+        }
         say(client, answer == null ? "ERR" : answer);
         if (fault.equals("second-answer") && now(0.2)) {
             say(client, answer);
         }
         if (answer == null || !answer.startsWith("UP")) {
             client.close();
-            if (member != null) {
-                member.close();
-            }
+            close(member);
             return;
         }
         Socket standing = member;
@@ -205,6 +237,19 @@
         }
     }
 
+    private static void close(Socket member) throws IOException {
+        if (member != null) {
+            member.close();
+        }
+    }
+
+    private static void refuseTwice(Socket client) throws Exception {
+        say(client, "ERR");
+        Thread.sleep(5);
+        say(client, "BUSY");
+        client.close();
+    }
+
     private static void pass(BufferedReader from, Socket to, Socket other) throws IOException {
         try {
             for (String line = from.readLine(); line != null; line = from.readLine()) {
--- a/lab/src/test/java/tulipshed/lab/trial/TrialTest.java
+++ b/lab/src/test/java/tulipshed/lab/trial/TrialTest.java
@@ -89,6 +89,9 @@
     void checkersFindTheFaultsOfStandIns() throws Exception {
         Map<String, String> faults = new LinkedHashMap<>();
         faults.put("sound", null);
+        faults.put("second-answer-after-refusal", "one-answer");
+        faults.put("refuses-connections", "one-answer");
+        faults.put("silent-at-the-end", "one-answer");
         faults.put("silence", "one-answer");
         faults.put("second-answer", "one-answer");
         faults.put("late-answer", "one-answer");
@@ -97,17 +100,28 @@
         faults.put("crashes", "ended by itself");
         faults.put("strange-line", "no client had sent");
         faults.put("retries-without-bound", "attempts an asking");
+        assertFound(
+                faults,
+                "(trouble slow-links (at-s 2)(over-s 1)(share 0.5)(factor 10))(trouble deploy-members (at-s 3)(share 0.5)(over-s 1))");
+    }
+
+    /** What a process owed while it was stopped is owed when it goes on: one that answers then is sound. */
+    @Test
+    void aStoppedProcessStillOwesItsAnswers() throws Exception {
+        Map<String, String> faults = new LinkedHashMap<>();
+        faults.put("sound", null);
+        faults.put("forgets-when-stopped", "one-answer");
+        assertFound(faults, "(trouble stop-nodes (at-s 3)(over-s 1.5)(share 1))");
+    }
+
+    /** Each fault's checker is found, and no other rule broken; a sound stand-in has no breach. */
+    private void assertFound(Map<String, String> faults, String troubles) throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(3);
         try {
             Map<String, Future<Verdict>> verdicts = new LinkedHashMap<>();
             for (String fault : faults.keySet()) {
                 Path jar = StandInNode.jar(folder, fault);
-                verdicts.put(
-                        fault,
-                        pool.submit(() -> play(
-                                "(seconds 9)(nodes (count 2))"
-                                        + "(trouble slow-links (at-s 2)(over-s 1)(share 0.5)(factor 10))(trouble deploy-members (at-s 3)(share 0.5)(over-s 1))",
-                                jar)));
+                verdicts.put(fault, pool.submit(() -> play("(seconds 9)(nodes (count 2))" + troubles, jar)));
             }
             for (Map.Entry<String, String> f : faults.entrySet()) {
                 List<String> breaches = verdicts.get(f.getKey()).get().breaches();
@@ -147,6 +161,14 @@
         }
     }
 
+    @Test
+    void aBreachFailsAVoidRunToo() {
+        Verdict breached = new Verdict(List.of("a breach"), List.of("late"), List.of(), List.of(), null, 0, 0, 1);
+        Verdict empty = new Verdict(List.of(), List.of("late"), List.of(), List.of(), null, 0, 0, -1);
+        assertTrue(breached.failed() && !breached.passed());
+        assertTrue(!empty.failed() && !empty.passed());
+    }
+
     @Test
     void theMeanIsOverWholeSecondsAndNothingElse() {
         List<Double> served = List.of(Double.NaN, 0.5, 1.0, 0.0, 1.0);
