--- a/lab/scenarios/cold.sexp
+++ b/emulator/scenarios/cold.sexp
@@ -1,4 +1,4 @@
-; Cold members and many nodes, for `lab trial`: six in ten members are replaced within 4 s, and half of the nodes hear nothing of
+; Cold members and many nodes, for `emulator fault-injection`: six in ten members are replaced within 4 s, and half of the nodes hear nothing of
 ; discovery for 2 s while they are cold. docs/fleet-trials.md says what becomes of it where all nodes are killed as well.
 (seconds 34)
 (settle-s 2)
--- a/lab/scenarios/huge.sexp
+++ b/emulator/scenarios/huge.sexp
@@ -1,4 +1,4 @@
-; What the lab is made to reach: a thousand nodes, ten thousand members, a million connections that stand.
+; What the emulator is made to reach: a thousand nodes, ten thousand members, a million connections that stand.
 (seconds 60)
 (network (within-ms 1) (jitter-ms 0.3))
 (nodes (count 1000))
--- a/lab/scenarios/trial.sexp
+++ b/emulator/scenarios/trial.sexp
@@ -1,4 +1,4 @@
-; A small fleet of real processes for `lab trial`: two sites, one way 2 ms between them; the fault is given with --set or added below.
+; A small fleet of real processes for `emulator fault-injection`: two sites, one way 2 ms between them; the fault is given with --set or added below.
 (seconds 30)
 (settle-s 2)
 (network (sites 2) (within-ms 0.5) (between-ms 2))
--- a/lab/src/main/java/tulipshed/lab/gate/DayDraw.java
+++ b/emulator/src/main/java/tulipshed/emulator/acceptance/DayDraw.java
@@ -1,12 +1,12 @@
-package tulipshed.lab.gate;
+package tulipshed.emulator.acceptance;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import tulipshed.lab.scenario.Overrides;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.scenario.ScenarioReader;
+import tulipshed.emulator.scenario.Overrides;
+import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.ScenarioReader;
 
 /**
  * Draws a day of a kind from a seed, as the text of a scenario: whoever wants to look at one keeps the text and plays it
--- a/lab/src/main/java/tulipshed/lab/gate/DayKind.java
+++ b/emulator/src/main/java/tulipshed/emulator/acceptance/DayKind.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.gate;
+package tulipshed.emulator.acceptance;
 
 import java.util.Arrays;
 import java.util.List;
--- a/lab/src/main/java/tulipshed/lab/gate/Gate.java
+++ b/emulator/src/main/java/tulipshed/emulator/acceptance/Gate.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.gate;
+package tulipshed.emulator.acceptance;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,9 +10,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.model.World;
-import tulipshed.lab.scenario.Overrides;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.World;
+import tulipshed.emulator.scenario.Overrides;
 
 /** Plays days and judges them. What comes of each depends on its kind, seed and size alone. */
 public final class Gate {
--- a/lab/src/main/java/tulipshed/lab/gate/Verdict.java
+++ b/emulator/src/main/java/tulipshed/emulator/acceptance/Verdict.java
@@ -1,10 +1,10 @@
-package tulipshed.lab.gate;
+package tulipshed.emulator.acceptance;
 
 import java.util.Locale;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.rules.Rule;
-import tulipshed.lab.rules.RuleReport;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.invariants.Rule;
+import tulipshed.emulator.invariants.RuleReport;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.scenario.Scenario;
 
 /**
  * What came of one day: the share of its worth that was served, what others served on the same day, what the gate wants,
--- a/lab/src/main/java/tulipshed/lab/tool/GateCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/AcceptanceCommand.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.io.PrintWriter;
 import java.util.ArrayList;
@@ -12,20 +12,21 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tulipshed.lab.gate.DayDraw;
-import tulipshed.lab.gate.DayKind;
-import tulipshed.lab.gate.Gate;
-import tulipshed.lab.gate.Verdict;
+import tulipshed.emulator.acceptance.DayDraw;
+import tulipshed.emulator.acceptance.DayKind;
+import tulipshed.emulator.acceptance.Gate;
+import tulipshed.emulator.acceptance.Verdict;
 
 /** Plays the days of the standing test; exit code 1 where one of them fails. */
 @Command(
-        name = "gate",
+        name = "acceptance",
+        aliases = "gate",
         mixinStandardHelpOptions = true,
         exitCodeList = {"0:the gate is passed", "1:a day failed", "2:wrong usage"},
         exitCodeListHeading = "Exit codes:%n",
         description = "Plays the days of the standing test around the whole core and says "
                 + "whether every rule was kept and enough was served.")
-final class GateCommand implements Callable<Integer> {
+final class AcceptanceCommand implements Callable<Integer> {
     private static final double NEAR = 0.15; // margins below this are listed again at the end
     private static final double NEAR_CALM = 0.05; // a calm day's cannot be much above 0.1, by how it is reckoned
 
--- a/lab/src/main/java/tulipshed/lab/tool/CompareCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/CompareCommand.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tulipshed.lab.results.Results;
+import tulipshed.emulator.results.Results;
 
 /** Compares two choices over pairs of runs that are alike in all else. */
 @Command(
--- a/lab/src/main/java/tulipshed/lab/tool/Lab.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/EmulatorMain.java
@@ -1,13 +1,13 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The lab's command line. */
+/** The command line of the emulator. */
 @Command(
-        name = "lab",
+        name = "emulator",
         mixinStandardHelpOptions = true,
-        version = "tulipshed lab",
+        version = "tulipshed emulator",
         description = "Emulates what the node balances, and compares designs.",
         subcommands = {
             RunCommand.class,
@@ -15,12 +15,12 @@
             CompareCommand.class,
             ReportCommand.class,
             ReplayCommand.class,
-            LoadCommand.class,
-            TrialCommand.class,
+            LoadTestCommand.class,
+            FaultInjectionCommand.class,
             QueryCommand.class,
-            GateCommand.class
+            AcceptanceCommand.class
         })
-public final class Lab {
+public final class EmulatorMain {
     public static void main(String[] args) {
         System.setProperty("java.awt.headless", "true");
         System.exit(commandLine().execute(args));
@@ -28,10 +28,10 @@
 
     /** What a user gets wrong is told in a line; anything else keeps its trace. */
     public static CommandLine commandLine() {
-        CommandLine c = new CommandLine(new Lab());
+        CommandLine c = new CommandLine(new EmulatorMain());
         c.setExecutionExceptionHandler((e, commandLine, parsed) -> {
             if (e instanceof IllegalArgumentException) {
-                commandLine.getErr().println("lab: " + e.getMessage());
+                commandLine.getErr().println("emulator: " + e.getMessage());
                 return 2;
             }
             throw e;
--- a/lab/src/main/java/tulipshed/lab/tool/Experiment.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/Experiment.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -10,9 +10,9 @@
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import tulipshed.lab.scenario.Overrides;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.scenario.ScenarioReader;
+import tulipshed.emulator.scenario.Overrides;
+import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.ScenarioReader;
 import tulipshed.sexpr.Form;
 import tulipshed.sexpr.Problems;
 import tulipshed.sexpr.SexprReader;
--- a/lab/src/main/java/tulipshed/lab/tool/TrialCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/FaultInjectionCommand.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -10,18 +10,19 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.trial.TrialRun;
-import tulipshed.lab.trial.Verdict;
+import tulipshed.emulator.faultinjection.TrialRun;
+import tulipshed.emulator.faultinjection.Verdict;
+import tulipshed.emulator.scenario.Scenario;
 
 /** Plays a scenario with real nodes whose links to members and discovery fail as it says, and judges what came of it. */
 @Command(
-        name = "trial",
+        name = "fault-injection",
+        aliases = "trial",
         mixinStandardHelpOptions = true,
         description =
                 "Plays a scenario in real time with real nodes, over links "
                         + "that fail as it says, and holds the fleet to the rules. Exit code 0 passed, 1 failed, 3 void: the tool was too slow.")
-final class TrialCommand implements Callable<Integer> {
+final class FaultInjectionCommand implements Callable<Integer> {
     private static final int VOID = 3;
     private static final double AROUND_MS = 1500;
 
--- a/lab/src/main/java/tulipshed/lab/tool/LoadCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/LoadTestCommand.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -13,20 +13,21 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import tulipshed.lab.load.LoadRun;
-import tulipshed.lab.load.NodeUsage;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.results.Results;
-import tulipshed.lab.scenario.Overrides;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.loadtest.LoadRun;
+import tulipshed.emulator.loadtest.NodeUsage;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.results.Results;
+import tulipshed.emulator.scenario.Overrides;
+import tulipshed.emulator.scenario.Scenario;
 
 /** Plays a scenario with real nodes, in real time. */
 @Command(
-        name = "load",
+        name = "load-test",
+        aliases = "load",
         mixinStandardHelpOptions = true,
         description = "Plays a scenario in real time with real nodes on "
-                + "loopback; members, discovery and clients are the lab's, and so are rules and results.")
-final class LoadCommand implements Callable<Integer> {
+                + "loopback; members, discovery and clients are the emulator's, and so are rules and results.")
+final class LoadTestCommand implements Callable<Integer> {
     @Spec
     CommandSpec spec;
 
--- a/lab/src/main/java/tulipshed/lab/tool/NodeJar.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/NodeJar.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/lab/src/main/java/tulipshed/lab/tool/Plots.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/Plots.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.awt.Color;
 import java.io.IOException;
--- a/lab/src/main/java/tulipshed/lab/tool/QueryCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/QueryCommand.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tulipshed.lab.results.Results;
+import tulipshed.emulator.results.Results;
 
 /** Asks results in SQL. */
 @Command(
--- a/lab/src/main/java/tulipshed/lab/tool/ReplayCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/ReplayCommand.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.io.PrintWriter;
 import java.util.concurrent.Callable;
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import tulipshed.lab.model.World;
+import tulipshed.emulator.model.World;
 
 /** Plays a run again, as all of it follows from its options.seed, and tells what happened around a moment. */
 @Command(
--- a/lab/src/main/java/tulipshed/lab/tool/ReportCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/ReportCommand.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tulipshed.lab.results.Results;
+import tulipshed.emulator.results.Results;
 
 /** Makes one page of a folder of results. */
 @Command(
--- a/lab/src/main/java/tulipshed/lab/tool/RunCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/RunCommand.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -9,11 +9,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.model.World;
-import tulipshed.lab.results.Results;
-import tulipshed.lab.scenario.Overrides;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.World;
+import tulipshed.emulator.results.Results;
+import tulipshed.emulator.scenario.Overrides;
+import tulipshed.emulator.scenario.Scenario;
 
 /** Runs a scenario once. */
 @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs a scenario once and tells what came of it.")
--- a/lab/src/main/java/tulipshed/lab/tool/Runs.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/Runs.java
@@ -1,12 +1,12 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
-import tulipshed.lab.results.Results;
-import tulipshed.lab.scenario.Overrides;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.results.Results;
+import tulipshed.emulator.scenario.Overrides;
+import tulipshed.emulator.scenario.Scenario;
 
 /** Names runs by all that they depend on, so that none is done twice and none is taken for another. */
 final class Runs {
--- a/lab/src/main/java/tulipshed/lab/tool/ScenarioOptions.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/ScenarioOptions.java
@@ -1,13 +1,13 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import tulipshed.lab.scenario.Overrides;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.scenario.ScenarioReader;
+import tulipshed.emulator.scenario.Overrides;
+import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.ScenarioReader;
 
 /** What commands that run scenarios have in common. */
 final class ScenarioOptions {
--- a/lab/src/main/java/tulipshed/lab/tool/SweepCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/SweepCommand.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.tool;
+package tulipshed.emulator.cli;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -16,8 +16,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tulipshed.lab.model.World;
-import tulipshed.lab.results.Results;
+import tulipshed.emulator.model.World;
+import tulipshed.emulator.results.Results;
 
 /** Does the runs of a plan that are not done yet. */
 @Command(
--- /dev/null
+++ b/emulator/src/main/java/tulipshed/emulator/cli/package-info.java
@@ -0,0 +1,2 @@
+/** The emulator's command line. */
+package tulipshed.emulator.cli;
--- a/lab/src/main/java/tulipshed/lab/engine/Engine.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/Engine.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.engine;
+package tulipshed.emulator.engine;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,7 +7,7 @@
 /**
  * Runs parts through virtual time, in windows as long as the shortest way between two parts. Nothing that happens within
  * a window can be known elsewhere before it ends, so the parts of a window run at the same time; what each is told, and
- * in which order, does not depend on the number of threads (docs/lab-design.md).
+ * in which order, does not depend on the number of threads (docs/emulator-design.md).
  */
 public final class Engine {
     private final Shard[] shards;
@@ -86,7 +86,7 @@
                             barrier.breakUp();
                         }
                     },
-                    "lab-" + i);
+                    "emulator-" + i);
             threads[i].start();
         }
         boolean interrupted = false;
--- a/lab/src/main/java/tulipshed/lab/engine/Message.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/Message.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.engine;
+package tulipshed.emulator.engine;
 
 /** Something that arrives at a part at a moment. Messages of one moment come in the order of sender and number. */
 public final class Message implements Comparable<Message> {
--- a/lab/src/main/java/tulipshed/lab/engine/Part.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/Part.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.engine;
+package tulipshed.emulator.engine;
 
 /**
  * One part of the emulated world: a node, a pool member, discovery. It owns its state; all that others learn of it they
--- a/lab/src/main/java/tulipshed/lab/engine/Shard.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/Shard.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.engine;
+package tulipshed.emulator.engine;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/lab/src/main/java/tulipshed/lab/engine/SpinBarrier.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/SpinBarrier.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.engine;
+package tulipshed.emulator.engine;
 
 import java.util.concurrent.atomic.AtomicInteger;
 
--- a/lab/src/main/java/tulipshed/lab/engine/package-info.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/package-info.java
@@ -1,2 +1,2 @@
 /** Virtual time: parts that send each other messages, run on any number of threads with the same result. */
-package tulipshed.lab.engine;
+package tulipshed.emulator.engine;
--- a/lab/src/main/java/tulipshed/lab/trial/Carried.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/Carried.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/lab/src/main/java/tulipshed/lab/trial/Condition.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/Condition.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 /**
  * How a link is now, seen from the node's end.
--- a/lab/src/main/java/tulipshed/lab/trial/Fault.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/Fault.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 import java.util.Locale;
 import java.util.Set;
--- a/lab/src/main/java/tulipshed/lab/trial/Relays.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/Relays.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.stream.Collectors;
 import org.apache.commons.rng.UniformRandomProvider;
-import tulipshed.lab.load.Ways;
+import tulipshed.emulator.loadtest.Ways;
 
 /**
  * All links of a trial, on one thread of their own. What a round of reading shows is told ends first: a node ends one flow
--- a/lab/src/main/java/tulipshed/lab/trial/Schedule.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/Schedule.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -10,9 +10,9 @@
 import java.util.stream.IntStream;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.ListSampler;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.scenario.Scenario.Trouble;
-import tulipshed.lab.scenario.ScenarioReader;
+import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.Scenario.Trouble;
+import tulipshed.emulator.scenario.ScenarioReader;
 
 /**
  * The faults of links and processes of one trial, from its scenario and seed alone; the scenario's other troubles are the
--- a/lab/src/main/java/tulipshed/lab/trial/StreamLink.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/StreamLink.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -10,7 +10,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import tulipshed.lab.load.Ways;
+import tulipshed.emulator.loadtest.Ways;
 
 /** One link: an address of its own, whose connections are carried on to another under what the link is going through. */
 final class StreamLink {
--- a/lab/src/main/java/tulipshed/lab/trial/TrialRun.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/TrialRun.java
@@ -1,17 +1,17 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import tulipshed.lab.load.LoadRun;
-import tulipshed.lab.load.Ways;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.model.Seeds;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.loadtest.LoadRun;
+import tulipshed.emulator.loadtest.Ways;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.Seeds;
+import tulipshed.emulator.scenario.Scenario;
 
-/** One trial: real nodes in the lab's world, each link between them and it through a relay, under a schedule of faults. */
+/** One trial: real nodes in the emulator's world, each link between them and it through a relay, under a schedule of faults. */
 public final class TrialRun implements AutoCloseable, Ways {
     private static final int DRAWS = 31; // apart from the world's own chances
     private static final int JITTER = 32;
--- a/lab/src/main/java/tulipshed/lab/trial/Verdict.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/Verdict.java
@@ -1,11 +1,11 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import tulipshed.lab.load.LoadRun;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.rules.Rule;
+import tulipshed.emulator.invariants.Rule;
+import tulipshed.emulator.loadtest.LoadRun;
+import tulipshed.emulator.model.Outcome;
 
 /**
  * What came of one trial. Runs in real time differ, so it is held to invariants and to bounds, never to a figure of one
--- a/lab/src/main/java/tulipshed/lab/rules/ColdRule.java
+++ b/emulator/src/main/java/tulipshed/emulator/invariants/ColdRule.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.rules;
+package tulipshed.emulator.invariants;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/lab/src/main/java/tulipshed/lab/rules/Rule.java
+++ b/emulator/src/main/java/tulipshed/emulator/invariants/Rule.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.rules;
+package tulipshed.emulator.invariants;
 
 /** What is checked. */
 public enum Rule {
--- a/lab/src/main/java/tulipshed/lab/load/Descriptors.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/Descriptors.java
@@ -1,8 +1,8 @@
-package tulipshed.lab.load;
+package tulipshed.emulator.loadtest;
 
 import com.sun.management.UnixOperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.scenario.Scenario;
 
 /** Whether the machine lets this process open as many sockets as a scenario takes. */
 final class Descriptors {
--- a/lab/src/main/java/tulipshed/lab/load/LoadRun.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/LoadRun.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.load;
+package tulipshed.emulator.loadtest;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -22,12 +22,12 @@
 import java.util.stream.Stream;
 import tulipshed.decision.BalancerApi.EndpointStatus;
 import tulipshed.demo.StubDiscovery;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.model.World;
-import tulipshed.lab.policy.MemberNews;
-import tulipshed.lab.policy.Try;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.scenario.ScenarioReader;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.World;
+import tulipshed.emulator.policy.MemberNews;
+import tulipshed.emulator.policy.Try;
+import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.ScenarioReader;
 import tulipshed.time.SystemWallClock;
 
 /**
@@ -115,10 +115,11 @@
                 .filter(ScenarioReader.OVER_LINKS::contains)
                 .findFirst()
                 .ifPresent(k -> {
-                    throw new IllegalArgumentException(k + " needs links between the parts: lab trial");
+                    throw new IllegalArgumentException(k + " needs links between the parts: emulator fault-injection");
                 });
         if (s.troubles().stream().anyMatch(t -> t.kind().equals("node-clocks"))) {
-            throw new IllegalArgumentException("node-clocks: processes have this machine's clock, lab run has others");
+            throw new IllegalArgumentException(
+                    "node-clocks: processes have this machine's clock, the emulator has others");
         }
         world = new World(s, seed, 1, (id, number, w) -> {
             NodeProcess p = process(jar, number);
--- a/lab/src/main/java/tulipshed/lab/load/NodeConfigWriter.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/NodeConfigWriter.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.load;
+package tulipshed.emulator.loadtest;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -9,10 +9,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import tulipshed.lab.policy.MemberNews;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.scenario.Scenario.ClassOf;
-import tulipshed.lab.scenario.Scenario.TenantOf;
+import tulipshed.emulator.policy.MemberNews;
+import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.Scenario.ClassOf;
+import tulipshed.emulator.scenario.Scenario.TenantOf;
 
 /** Writes a node's configuration from a scenario, in the platform's own words, on the pattern of the demo's. */
 final class NodeConfigWriter {
--- a/lab/src/main/java/tulipshed/lab/load/NodeUsage.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/NodeUsage.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.load;
+package tulipshed.emulator.loadtest;
 
 import java.util.List;
 import java.util.function.ToDoubleFunction;
--- a/lab/src/main/java/tulipshed/lab/load/ProcessPauses.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/ProcessPauses.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.load;
+package tulipshed.emulator.loadtest;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/lab/src/main/java/tulipshed/lab/load/SocketMember.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketMember.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.load;
+package tulipshed.emulator.loadtest;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -8,8 +8,8 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import tulipshed.decision.BalancerApi.Outcome;
-import tulipshed.lab.policy.Flow;
-import tulipshed.lab.policy.Try;
+import tulipshed.emulator.policy.Flow;
+import tulipshed.emulator.policy.Try;
 
 /** The sockets of one member: what nodes send it goes to the emulated member, and back. */
 final class SocketMember {
--- a/lab/src/main/java/tulipshed/lab/load/SocketNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.load;
+package tulipshed.emulator.loadtest;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -7,15 +7,15 @@
 import java.util.Locale;
 import java.util.Set;
 import tulipshed.decision.BalancerApi.Outcome;
-import tulipshed.lab.engine.Message;
-import tulipshed.lab.model.Kinds;
-import tulipshed.lab.model.NodeSide;
-import tulipshed.lab.model.World;
-import tulipshed.lab.policy.Flow;
-import tulipshed.lab.policy.MemberNews;
-import tulipshed.lab.policy.Try;
-import tulipshed.lab.policy.Wish;
-import tulipshed.lab.rules.NodeRules;
+import tulipshed.emulator.engine.Message;
+import tulipshed.emulator.invariants.NodeRules;
+import tulipshed.emulator.model.Kinds;
+import tulipshed.emulator.model.NodeSide;
+import tulipshed.emulator.model.World;
+import tulipshed.emulator.policy.Flow;
+import tulipshed.emulator.policy.MemberNews;
+import tulipshed.emulator.policy.Try;
+import tulipshed.emulator.policy.Wish;
 
 /** A node that is a process: its clients connect to it over loopback, its flows arrive at the members' sockets. */
 final class SocketNode extends NodeSide {
--- a/lab/src/main/java/tulipshed/lab/load/Wire.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/Wire.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.load;
+package tulipshed.emulator.loadtest;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/lab/src/main/java/tulipshed/lab/model/Clients.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Clients.java
@@ -1,9 +1,9 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import tulipshed.lab.policy.Try;
-import tulipshed.lab.policy.Wish;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.policy.Try;
+import tulipshed.emulator.policy.Wish;
+import tulipshed.emulator.scenario.Scenario;
 
 /** What clients at one node do: come, wait, try again here or at another node, and come back when they are cut off. */
 public final class Clients {
--- a/lab/src/main/java/tulipshed/lab/model/Cuts.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Cuts.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/lab/src/main/java/tulipshed/lab/model/DiscoveryPart.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/DiscoveryPart.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -10,9 +10,9 @@
 import tulipshed.decision.BalancerApi.EndpointInfo;
 import tulipshed.decision.BalancerApi.EndpointListKind;
 import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.lab.engine.Message;
-import tulipshed.lab.engine.Part;
-import tulipshed.lab.policy.MemberNews;
+import tulipshed.emulator.engine.Message;
+import tulipshed.emulator.engine.Part;
+import tulipshed.emulator.policy.MemberNews;
 import tulipshed.proxy.EndpointListEntry;
 
 /**
@@ -20,7 +20,7 @@
  * fails those that would wait too long. Dark, it fails all and forgets who watches.
  */
 final class DiscoveryPart extends Part {
-    private static final InetSocketAddress NOWHERE = InetSocketAddress.createUnresolved("lab", 1);
+    private static final InetSocketAddress NOWHERE = InetSocketAddress.createUnresolved("emulator", 1);
 
     private final World world;
     private final MemberNews[] now;
--- a/lab/src/main/java/tulipshed/lab/model/HoldUps.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/HoldUps.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/lab/src/main/java/tulipshed/lab/model/Kinds.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Kinds.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 /** The kinds of messages between the parts of the world, and what each carries. */
 public final class Kinds {
--- a/lab/src/main/java/tulipshed/lab/model/KnownList.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/KnownList.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import tulipshed.decision.BalancerApi.EndpointListKind;
 import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.lab.policy.MemberNews;
+import tulipshed.emulator.policy.MemberNews;
 
 /** What a node was told of members, over all its processes. */
 final class KnownList {
--- a/lab/src/main/java/tulipshed/lab/model/MemberPart.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/MemberPart.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,17 +7,17 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import tulipshed.decision.BalancerApi.EndpointStatus;
 import tulipshed.decision.BalancerApi.Outcome;
-import tulipshed.lab.engine.Message;
-import tulipshed.lab.engine.Part;
-import tulipshed.lab.policy.Flow;
-import tulipshed.lab.policy.Host;
-import tulipshed.lab.policy.PolicyFactory;
-import tulipshed.lab.rules.ColdRule;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.engine.Message;
+import tulipshed.emulator.engine.Part;
+import tulipshed.emulator.invariants.ColdRule;
+import tulipshed.emulator.policy.Flow;
+import tulipshed.emulator.policy.Host;
+import tulipshed.emulator.policy.PolicyFactory;
+import tulipshed.emulator.scenario.Scenario;
 
 /**
  * A pool member: set-ups wait for its cores in order of arrival; standing connections ask for work that goes on, and where
- * that is more than it can do, work piles up and messages take long (docs/lab-design.md gives the model).
+ * that is more than it can do, work piles up and messages take long (docs/emulator-design.md gives the model).
  */
 final class MemberPart extends Part implements Host.Truth {
     private static final double TICK_MS = 150;
--- a/lab/src/main/java/tulipshed/lab/model/MemberPast.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/MemberPast.java
@@ -1,6 +1,6 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
-import tulipshed.lab.policy.Host;
+import tulipshed.emulator.policy.Host;
 
 /** How a member was, tick by tick, for as long as anybody may ask: what those see that see true states late. */
 final class MemberPast {
--- a/lab/src/main/java/tulipshed/lab/model/NodePart.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/NodePart.java
@@ -1,19 +1,19 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import java.util.ArrayList;
 import java.util.List;
 import tulipshed.decision.BalancerApi.EndpointListKind;
 import tulipshed.decision.BalancerApi.Outcome;
-import tulipshed.lab.engine.Message;
-import tulipshed.lab.policy.Flow;
-import tulipshed.lab.policy.Host;
-import tulipshed.lab.policy.HotRestart;
-import tulipshed.lab.policy.MemberNews;
-import tulipshed.lab.policy.Policy;
-import tulipshed.lab.policy.Try;
-import tulipshed.lab.policy.Wish;
-import tulipshed.lab.rules.NodeRules;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.engine.Message;
+import tulipshed.emulator.invariants.NodeRules;
+import tulipshed.emulator.policy.Flow;
+import tulipshed.emulator.policy.Host;
+import tulipshed.emulator.policy.HotRestart;
+import tulipshed.emulator.policy.MemberNews;
+import tulipshed.emulator.policy.Policy;
+import tulipshed.emulator.policy.Try;
+import tulipshed.emulator.policy.Wish;
+import tulipshed.emulator.scenario.Scenario;
 
 /** A node: the policy that decides, what the node does about it, and the checkers that watch. Its clients are in {@link Clients}. */
 final class NodePart extends NodeSide implements Host {
--- a/lab/src/main/java/tulipshed/lab/model/NodeSide.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/NodeSide.java
@@ -1,12 +1,12 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import tulipshed.lab.engine.Message;
-import tulipshed.lab.engine.Part;
-import tulipshed.lab.policy.MemberNews;
-import tulipshed.lab.policy.Try;
-import tulipshed.lab.policy.Wish;
-import tulipshed.lab.rules.NodeRules;
+import tulipshed.emulator.engine.Message;
+import tulipshed.emulator.engine.Part;
+import tulipshed.emulator.invariants.NodeRules;
+import tulipshed.emulator.policy.MemberNews;
+import tulipshed.emulator.policy.Try;
+import tulipshed.emulator.policy.Wish;
 
 /** The world's side of a node, emulated or a process of its own: where its clients come, and what its members see of it. */
 public abstract class NodeSide extends Part {
@@ -43,7 +43,7 @@
     protected abstract boolean unanswered(Try t);
 
     /** A connection that stands when the day begins. */
-    protected abstract tulipshed.lab.policy.Flow alreadyOpen(Wish w, int member);
+    protected abstract tulipshed.emulator.policy.Flow alreadyOpen(Wish w, int member);
 
     /** What holds a process of this node to the rules. */
     protected final NodeRules newRules() {
--- a/lab/src/main/java/tulipshed/lab/model/Outcome.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Outcome.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import tulipshed.lab.rules.Rule;
-import tulipshed.lab.rules.RuleReport;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.invariants.Rule;
+import tulipshed.emulator.invariants.RuleReport;
+import tulipshed.emulator.scenario.Scenario;
 
 /**
  * What came of one day. Service is the time for which clients' connections stood with their messages in time, as a part
--- a/lab/src/main/java/tulipshed/lab/model/Standing.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Standing.java
@@ -1,10 +1,10 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import tulipshed.lab.policy.Flow;
+import tulipshed.emulator.policy.Flow;
 
 /** The connections that stand at one member, and what they ask of it: their own work, and once that of each group. */
 final class Standing {
--- a/lab/src/main/java/tulipshed/lab/model/Tally.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Tally.java
@@ -1,8 +1,8 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import org.HdrHistogram.Histogram;
-import tulipshed.lab.rules.RuleReport;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.invariants.RuleReport;
+import tulipshed.emulator.scenario.Scenario;
 
 /**
  * What one thread counts. All of it are whole numbers, so that the sum over threads does not depend on how many there
--- a/lab/src/main/java/tulipshed/lab/model/Troubles.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Troubles.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,9 +6,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.ListSampler;
 import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.lab.engine.Part;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.scenario.Scenario.Trouble;
+import tulipshed.emulator.engine.Part;
+import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.Scenario.Trouble;
 
 /** Plans a day's troubles: whom each strikes and when, by chance from the seed, before the day begins. */
 final class Troubles {
@@ -31,7 +31,7 @@
         }
 
         @Override
-        protected void take(double nowMs, tulipshed.lab.engine.Message message) {
+        protected void take(double nowMs, tulipshed.emulator.engine.Message message) {
             throw new IllegalStateException("nothing is sent to the planner");
         }
 
@@ -273,7 +273,9 @@
                     planner.plan(t.atMs(), m, Kinds.CUT, null, 0);
                 }
             }
-            default -> throw new IllegalArgumentException(t.kind() + " needs links between real processes: lab trial");
+            default ->
+                throw new IllegalArgumentException(
+                        t.kind() + " needs links between real processes: emulator fault-injection");
         }
     }
 
--- a/lab/src/main/java/tulipshed/lab/model/World.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/World.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,14 +8,14 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.apache.commons.rng.UniformRandomProvider;
-import tulipshed.lab.engine.Engine;
-import tulipshed.lab.engine.Part;
-import tulipshed.lab.policy.Host;
-import tulipshed.lab.policy.MemberNews;
-import tulipshed.lab.policy.Policy;
-import tulipshed.lab.policy.PolicyFactory;
-import tulipshed.lab.policy.Wish;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.engine.Engine;
+import tulipshed.emulator.engine.Part;
+import tulipshed.emulator.policy.Host;
+import tulipshed.emulator.policy.MemberNews;
+import tulipshed.emulator.policy.Policy;
+import tulipshed.emulator.policy.PolicyFactory;
+import tulipshed.emulator.policy.Wish;
+import tulipshed.emulator.scenario.Scenario;
 
 /** A world built from a scenario and a seed, run through its day once. */
 public final class World {
--- a/lab/src/main/java/tulipshed/lab/model/package-info.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/package-info.java
@@ -1,2 +1,2 @@
 /** The emulated world: nodes, pool members, discovery, the network between them and the clients. */
-package tulipshed.lab.model;
+package tulipshed.emulator.model;
--- a/lab/src/main/java/tulipshed/lab/policy/BaselinePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicy.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
--- a/lab/src/main/java/tulipshed/lab/policy/Baselines.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/Baselines.java
@@ -1,8 +1,8 @@
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
 
 import java.util.Arrays;
 
-/** The policies of the lab that the module is compared with. */
+/** The policies of the emulator that the module is compared with. */
 final class Baselines {
     private Baselines() {}
 
--- a/lab/src/main/java/tulipshed/lab/policy/CorePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/CorePolicy.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
 
 import java.util.ArrayDeque;
 import java.util.IdentityHashMap;
@@ -9,7 +9,7 @@
 import tulipshed.decision.BalancerApi.Outcome;
 import tulipshed.discovery.EndpointStartTimes;
 import tulipshed.discovery.ListedEndpoint;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.scenario.Scenario;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.Attempt;
--- a/lab/src/main/java/tulipshed/lab/policy/Flow.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/Flow.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
 
 /**
  * One attempt at a member. What comes first is the node's and never read by the member, what comes after {@code place} is
--- a/lab/src/main/java/tulipshed/lab/policy/ForwardingHost.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ForwardingHost.java
@@ -1,6 +1,6 @@
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
 
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.scenario.Scenario;
 
 /** A host that passes on all that it is asked to another one, but for what a subclass does in its own way. */
 abstract class ForwardingHost implements Host {
--- a/lab/src/main/java/tulipshed/lab/policy/Host.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/Host.java
@@ -1,6 +1,6 @@
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
 
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.scenario.Scenario;
 
 /** The node around a policy: what it can do. */
 public interface Host {
--- a/lab/src/main/java/tulipshed/lab/policy/Policy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/Policy.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
 
 import java.util.List;
 import tulipshed.decision.BalancerApi.Outcome;
--- a/lab/src/main/java/tulipshed/lab/policy/SeesLate.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/SeesLate.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
 
 /**
  * Sees the true state of every member as it was some time ago, and what it has itself sent there since; no node really
--- a/lab/src/main/java/tulipshed/lab/policy/SettingsOf.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/SettingsOf.java
@@ -1,9 +1,9 @@
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
 
 import java.util.List;
 import tulipshed.decision.BalancerApi;
 import tulipshed.decision.BalancerApi.Settings;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.scenario.Scenario;
 
 /** A scenario in the terms in which a node is told of its site. */
 final class SettingsOf {
--- a/lab/src/main/java/tulipshed/lab/policy/Try.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/Try.java
@@ -1,6 +1,6 @@
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
 
-import tulipshed.lab.rules.NodeRules;
+import tulipshed.emulator.invariants.NodeRules;
 
 /** One coming of a client to a node, from its asking to the end of what came of it. */
 public final class Try {
--- a/lab/src/main/java/tulipshed/lab/policy/Wish.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/Wish.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
 
 /** What one client wants: a connection, until its life is over. Goes with the client from node to node. */
 public final class Wish {
--- a/lab/src/main/java/tulipshed/lab/policy/package-info.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/package-info.java
@@ -1,2 +1,2 @@
 /** What decides in an emulated node: the real module, the real core, and what they are compared with. */
-package tulipshed.lab.policy;
+package tulipshed.emulator.policy;
--- a/lab/src/main/java/tulipshed/lab/results/Results.java
+++ b/emulator/src/main/java/tulipshed/emulator/results/Results.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.results;
+package tulipshed.emulator.results;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -19,13 +19,13 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramIterationValue;
-import tulipshed.lab.load.NodeUsage;
-import tulipshed.lab.model.Outcome;
+import tulipshed.emulator.loadtest.NodeUsage;
+import tulipshed.emulator.model.Outcome;
 
 /**
  * A folder of results. Each run leaves three files named by its key: what came of it, its seconds and its histograms.
  * A run with real nodes leaves a fourth, on what each of them used. The first is written last and under another name until it is whole, so a run is there entirely or not at all
- * (docs/lab.md describes the columns).
+ * (docs/emulator.md describes the columns).
  */
 public final class Results implements AutoCloseable {
     /** Raised with every change of a column's meaning. */
--- a/lab/src/main/java/tulipshed/lab/scenario/Policies.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/Policies.java
@@ -1,8 +1,8 @@
-package tulipshed.lab.scenario;
+package tulipshed.emulator.scenario;
 
 import java.util.List;
 
-/** What may decide in a node of the lab. */
+/** What may decide in a node of the emulator. */
 public final class Policies {
     /**
      * The decision module as it is, the whole core around it, what they are compared with, and the core with a fault put in
--- a/lab/src/main/java/tulipshed/lab/scenario/Scenario.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/Scenario.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.scenario;
+package tulipshed.emulator.scenario;
 
 import java.util.List;
 
--- a/lab/src/main/java/tulipshed/lab/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/ScenarioReader.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.scenario;
+package tulipshed.emulator.scenario;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -9,15 +9,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
-import tulipshed.lab.scenario.Scenario.ClassOf;
-import tulipshed.lab.scenario.Scenario.Clients;
-import tulipshed.lab.scenario.Scenario.Discovery;
-import tulipshed.lab.scenario.Scenario.MemberKind;
-import tulipshed.lab.scenario.Scenario.MemberModel;
-import tulipshed.lab.scenario.Scenario.Network;
-import tulipshed.lab.scenario.Scenario.Nodes;
-import tulipshed.lab.scenario.Scenario.TenantOf;
-import tulipshed.lab.scenario.Scenario.Trouble;
+import tulipshed.emulator.scenario.Scenario.ClassOf;
+import tulipshed.emulator.scenario.Scenario.Clients;
+import tulipshed.emulator.scenario.Scenario.Discovery;
+import tulipshed.emulator.scenario.Scenario.MemberKind;
+import tulipshed.emulator.scenario.Scenario.MemberModel;
+import tulipshed.emulator.scenario.Scenario.Network;
+import tulipshed.emulator.scenario.Scenario.Nodes;
+import tulipshed.emulator.scenario.Scenario.TenantOf;
+import tulipshed.emulator.scenario.Scenario.Trouble;
 import tulipshed.sexpr.Form;
 import tulipshed.sexpr.Problems;
 import tulipshed.sexpr.SexprReader;
@@ -28,7 +28,7 @@
     private static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(1 << 20, 16, 20_000);
     private static final double MINUTE = 60_000;
     private static final double DAY = 24 * 60 * MINUTE;
-    /** What may go wrong; each with what its figures mean in docs/lab.md. */
+    /** What may go wrong; each with what its figures mean in docs/emulator.md. */
     public static final List<String> TROUBLES = List.of(
             "deploy-members",
             "deploy-nodes",
@@ -60,7 +60,7 @@
             "early-clients",
             "shift");
 
-    /** What may go wrong between processes; only {@code lab trial} can make it. */
+    /** What may go wrong between processes; only {@code emulator fault-injection} can make it. */
     public static final List<String> LINKS =
             List.of("cut-links", "slow-links", "reset-links", "deaf-links", "mute-discovery", "stop-nodes");
     /** What real nodes have from links between the parts, and the world must not make as well. */
--- a/lab/src/test/java/tulipshed/lab/ColdFleetTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/ColdFleetTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab;
+package tulipshed.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tulipshed.lab.gate.DayDraw;
-import tulipshed.lab.gate.DayKind;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.model.World;
-import tulipshed.lab.rules.Rule;
-import tulipshed.lab.scenario.Overrides;
-import tulipshed.lab.scenario.ScenarioReader;
+import tulipshed.emulator.acceptance.DayDraw;
+import tulipshed.emulator.acceptance.DayKind;
+import tulipshed.emulator.invariants.Rule;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.World;
+import tulipshed.emulator.scenario.Overrides;
+import tulipshed.emulator.scenario.ScenarioReader;
 
 /**
  * What all nodes together send a cold member stays within its budget and what is left to chance, however many they are.
--- a/lab/src/test/java/tulipshed/lab/DeterminismTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/DeterminismTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab;
+package tulipshed.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.model.World;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.World;
+import tulipshed.emulator.scenario.Scenario;
 
 /** All follows from scenario and seed: no thread, clock or hash of an object in memory has a say. */
 class DeterminismTest {
--- a/lab/src/test/java/tulipshed/lab/LabPackagesTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/EmulatorPackagesTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab;
+package tulipshed.emulator;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
@@ -8,14 +8,14 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-class LabPackagesTest {
+class EmulatorPackagesTest {
     private final JavaClasses classes = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("tulipshed.lab");
+            .importPackages("tulipshed.emulator");
 
     @Test
     void packagesDoNotImportInACircle() {
-        slices().matching("tulipshed.lab.(*)..").should().beFreeOfCycles().check(classes);
+        slices().matching("tulipshed.emulator.(*)..").should().beFreeOfCycles().check(classes);
     }
 
     /** A checker that shared code with what it checks would share its mistakes. */
@@ -23,13 +23,13 @@
     void checkersAndEngineKnowNothingOfTheNode() {
         noClasses()
                 .that()
-                .resideInAnyPackage("tulipshed.lab.rules", "tulipshed.lab.engine")
+                .resideInAnyPackage("tulipshed.emulator.invariants", "tulipshed.emulator.engine")
                 .should()
                 .dependOnClassesThat(com.tngtech.archunit.base.DescribedPredicate.describe(
                         "are of the node",
                         c -> c.getPackageName().startsWith("tulipshed.")
-                                && !c.getPackageName().startsWith("tulipshed.lab.rules")
-                                && !c.getPackageName().startsWith("tulipshed.lab.engine")))
+                                && !c.getPackageName().startsWith("tulipshed.emulator.invariants")
+                                && !c.getPackageName().startsWith("tulipshed.emulator.engine")))
                 .check(classes);
     }
 
@@ -38,7 +38,8 @@
     void theWorldHasNoClockButItsOwn() {
         noClasses()
                 .that()
-                .resideInAnyPackage("tulipshed.lab.policy", "tulipshed.lab.scenario", "tulipshed.lab.rules")
+                .resideInAnyPackage(
+                        "tulipshed.emulator.policy", "tulipshed.emulator.scenario", "tulipshed.emulator.invariants")
                 .should()
                 .dependOnClassesThat()
                 .haveFullyQualifiedName("tulipshed.time.SystemClock")
--- a/lab/src/test/java/tulipshed/lab/GateTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/GateTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab;
+package tulipshed.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tulipshed.lab.gate.DayDraw;
-import tulipshed.lab.gate.DayKind;
-import tulipshed.lab.gate.Gate;
-import tulipshed.lab.gate.Verdict;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.rules.RuleReport;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.tool.Lab;
+import tulipshed.emulator.acceptance.DayDraw;
+import tulipshed.emulator.acceptance.DayKind;
+import tulipshed.emulator.acceptance.Gate;
+import tulipshed.emulator.acceptance.Verdict;
+import tulipshed.emulator.cli.EmulatorMain;
+import tulipshed.emulator.invariants.RuleReport;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.scenario.Scenario;
 
 /** The standing test in its small form, and proof that it can fail. */
 class GateTest {
@@ -34,7 +34,7 @@
         StringWriter out = new StringWriter();
         assertEquals(
                 code,
-                Lab.commandLine()
+                EmulatorMain.commandLine()
                         .setOut(new PrintWriter(out, true))
                         .setErr(new PrintWriter(out, true))
                         .execute(args.toArray(new String[0])),
--- a/lab/src/test/java/tulipshed/lab/LoadTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/LoadTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab;
+package tulipshed.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,11 +9,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.Test;
-import tulipshed.lab.load.LoadRun;
-import tulipshed.lab.load.NodeUsage;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.rules.Rule;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.invariants.Rule;
+import tulipshed.emulator.loadtest.LoadRun;
+import tulipshed.emulator.loadtest.NodeUsage;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.scenario.Scenario;
 
 /** Real nodes in an emulated world. */
 class LoadTest {
--- a/lab/src/test/java/tulipshed/lab/RulesTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/RulesTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab;
+package tulipshed.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.rules.ColdRule;
-import tulipshed.lab.rules.NodeRules;
-import tulipshed.lab.rules.Rule;
-import tulipshed.lab.rules.RuleReport;
+import tulipshed.emulator.invariants.ColdRule;
+import tulipshed.emulator.invariants.NodeRules;
+import tulipshed.emulator.invariants.Rule;
+import tulipshed.emulator.invariants.RuleReport;
+import tulipshed.emulator.model.Outcome;
 
 /** The checkers see every breach that is made on purpose, and none where none is. */
 class RulesTest {
--- a/lab/src/test/java/tulipshed/lab/TheoryTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/TheoryTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab;
+package tulipshed.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.scenario.Scenario;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.scenario.Scenario;
 
 /** Where theory has a result, the emulator must come to it; tolerances are stated with each. */
 class TheoryTest {
--- a/lab/src/test/java/tulipshed/lab/ToolTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/ToolTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab;
+package tulipshed.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
-import tulipshed.lab.results.Results;
-import tulipshed.lab.tool.Lab;
+import tulipshed.emulator.cli.EmulatorMain;
+import tulipshed.emulator.results.Results;
 
 /** The command line, over results that it wrote itself. */
 class ToolTest {
@@ -22,7 +22,8 @@
 
     private String run(int code, String... args) {
         StringWriter out = new StringWriter();
-        CommandLine c = Lab.commandLine().setOut(new PrintWriter(out, true)).setErr(new PrintWriter(out, true));
+        CommandLine c =
+                EmulatorMain.commandLine().setOut(new PrintWriter(out, true)).setErr(new PrintWriter(out, true));
         assertEquals(code, c.execute(args), out::toString);
         return out.toString();
     }
--- a/lab/src/test/java/tulipshed/lab/TroublesTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/TroublesTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab;
+package tulipshed.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.model.World;
-import tulipshed.lab.rules.Rule;
+import tulipshed.emulator.invariants.Rule;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.World;
 
 /** Each trouble does to the world what it says, and no more. */
 class TroublesTest {
--- a/lab/src/test/java/tulipshed/lab/Worlds.java
+++ b/emulator/src/test/java/tulipshed/emulator/Worlds.java
@@ -1,14 +1,14 @@
-package tulipshed.lab;
+package tulipshed.emulator;
 
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import tulipshed.lab.model.Outcome;
-import tulipshed.lab.model.World;
-import tulipshed.lab.scenario.Overrides;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.scenario.ScenarioReader;
+import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.World;
+import tulipshed.emulator.scenario.Overrides;
+import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.ScenarioReader;
 
 /** Short ways to worlds. */
 final class Worlds {
--- a/lab/src/test/java/tulipshed/lab/engine/EngineTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/engine/EngineTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.engine;
+package tulipshed.emulator.engine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/lab/src/test/java/tulipshed/lab/trial/RelaysTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/faultinjection/RelaysTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import tulipshed.lab.load.Ways;
-import tulipshed.lab.model.Seeds;
+import tulipshed.emulator.loadtest.Ways;
+import tulipshed.emulator.model.Seeds;
 
 /** One link between plain sockets: the node's end dials, the member's end listens. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
--- a/lab/src/test/java/tulipshed/lab/trial/ScheduleTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/faultinjection/ScheduleTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import tulipshed.lab.model.Seeds;
-import tulipshed.lab.scenario.Overrides;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.scenario.ScenarioReader;
+import tulipshed.emulator.model.Seeds;
+import tulipshed.emulator.scenario.Overrides;
+import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.ScenarioReader;
 
 class ScheduleTest {
     private static Scenario scenario(String troubles) {
--- a/lab/src/test/java/tulipshed/lab/trial/StandInNode.java
+++ b/emulator/src/test/java/tulipshed/emulator/faultinjection/StandInNode.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/lab/src/test/java/tulipshed/lab/trial/TrialTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/faultinjection/TrialTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.trial;
+package tulipshed.emulator.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tulipshed.lab.scenario.Overrides;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.scenario.ScenarioReader;
+import tulipshed.emulator.scenario.Overrides;
+import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.ScenarioReader;
 
 /** Real processes under faults, and stand-ins whose faults the checkers find. */
 class TrialTest {
--- a/lab/src/test/java/tulipshed/lab/load/DescriptorsTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/loadtest/DescriptorsTest.java
@@ -1,13 +1,13 @@
-package tulipshed.lab.load;
+package tulipshed.emulator.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
-import tulipshed.lab.scenario.Overrides;
-import tulipshed.lab.scenario.Scenario;
-import tulipshed.lab.scenario.ScenarioReader;
+import tulipshed.emulator.scenario.Overrides;
+import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.ScenarioReader;
 
 /** A run that the machine's limit of descriptors would end half way is refused before it starts. */
 class DescriptorsTest {
--- a/lab/src/test/java/tulipshed/lab/load/LoadRunTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/loadtest/LoadRunTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.load;
+package tulipshed.emulator.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.decision.BalancerApi.EndpointInfo;
 import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.lab.policy.MemberNews;
+import tulipshed.emulator.policy.MemberNews;
 import tulipshed.proxy.EndpointListEntry;
 
 /** What discovery is given of the emulated members. */
--- a/lab/src/test/java/tulipshed/lab/load/ProcessUsageTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/loadtest/ProcessUsageTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.load;
+package tulipshed.emulator.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/lab/src/test/java/tulipshed/lab/results/NodeUsageResultsTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/results/NodeUsageResultsTest.java
@@ -1,4 +1,4 @@
-package tulipshed.lab.results;
+package tulipshed.emulator.results;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tulipshed.lab.load.NodeUsage;
+import tulipshed.emulator.loadtest.NodeUsage;
 
 /** What nodes used is kept in a table of its own, a row for each node. */
 class NodeUsageResultsTest {
--- a/lab/src/main/java/tulipshed/lab/tool/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** The lab's command line. */
-package tulipshed.lab.tool;
--- a/node/src/test/java/tulipshed/DocumentedTestsTest.java
+++ b/node/src/test/java/tulipshed/DocumentedTestsTest.java
@@ -20,7 +20,8 @@
 /** The pages name tests as the proof of what they say, so a test that is renamed or removed must not stay named there. */
 class DocumentedTestsTest {
     private static final Path PAGES = Path.of("../docs");
-    private static final List<Path> TEST_SOURCES = List.of(Path.of("src/test/java"), Path.of("../lab/src/test/java"));
+    private static final List<Path> TEST_SOURCES =
+            List.of(Path.of("src/test/java"), Path.of("../emulator/src/test/java"));
     private static final Pattern NAMED_TEST = Pattern.compile("\\b([A-Z]\\w*Test)\\b(?:\\.([a-z]\\w*))?");
     private static final int FEWEST_NAMED_METHODS = 100;
 
