--- a/emulator/src/main/java/tulipshed/emulator/loadtest/LoadRun.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/LoadRun.java
@@ -20,7 +20,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.stream.Stream;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.demo.StubDiscovery;
 import tulipshed.emulator.model.Outcome;
 import tulipshed.emulator.model.World;
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketMember.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketMember.java
@@ -7,7 +7,7 @@
 import java.nio.channels.Selector;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 import tulipshed.emulator.policy.Flow;
 import tulipshed.emulator.policy.Try;
 
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.Locale;
 import java.util.Set;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 import tulipshed.emulator.engine.Message;
 import tulipshed.emulator.invariants.NodeRules;
 import tulipshed.emulator.model.Kinds;
--- a/emulator/src/main/java/tulipshed/emulator/model/KnownList.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/KnownList.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.emulator.policy.MemberNews;
 
 /** What a node was told of members, over all its processes. */
--- a/emulator/src/main/java/tulipshed/emulator/model/NodePart.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/NodePart.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.Outcome;
 import tulipshed.emulator.engine.Message;
 import tulipshed.emulator.invariants.NodeRules;
 import tulipshed.emulator.policy.Flow;
--- a/emulator/src/main/java/tulipshed/emulator/model/Troubles.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Troubles.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.ListSampler;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.emulator.engine.Part;
 import tulipshed.emulator.scenario.Scenario;
 import tulipshed.emulator.scenario.Scenario.Trouble;
--- a/emulator/src/main/java/tulipshed/emulator/policy/AttemptingPolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/AttemptingPolicy.java
@@ -1,7 +1,7 @@
 package tulipshed.emulator.policy;
 
 import java.util.List;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /**
  * Keeps the waits of attempts and transactions for policies that only decide: an attempt that is not up in time ends, and
--- a/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicy.java
@@ -2,8 +2,8 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.Outcome;
 
 /** What is common to the policies that the module is compared with: they choose, try again elsewhere, then turn away. */
 abstract class BaselinePolicy extends AttemptingPolicy {
--- a/emulator/src/main/java/tulipshed/emulator/policy/Faulty.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/Faulty.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /** The whole core with one fault between it and the world, now and then: what the checkers must find. */
 final class Faulty extends ForwardingHost implements Policy {
--- a/emulator/src/main/java/tulipshed/emulator/policy/HotRestart.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/HotRestart.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /**
  * The processes of one node around a hot restart. The older and the younger serve side by side for a moment, each with half
--- a/emulator/src/main/java/tulipshed/emulator/policy/MemberNews.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/MemberNews.java
@@ -1,7 +1,8 @@
 package tulipshed.emulator.policy;
 
 import java.util.List;
-import tulipshed.decision.BalancerApi.EndpointListKind;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.proxy.EndpointListEntry;
 
 /**
@@ -15,6 +16,6 @@
     public record Batch(EndpointListKind kind, List<MemberNews> news) {}
 
     public boolean serving() {
-        return listed.info().status() == tulipshed.decision.BalancerApi.EndpointStatus.SERVING;
+        return listed.info().status() == EndpointStatus.SERVING;
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/ModulePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ModulePolicy.java
@@ -5,14 +5,15 @@
 import java.util.List;
 import java.util.Map;
 import tulipshed.decision.Balancer;
-import tulipshed.decision.BalancerApi;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerApi;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
 
 /** The real decision module, told by the emulator what the node's core would tell it. */
-final class ModulePolicy extends AttemptingPolicy implements BalancerApi.Actions {
+final class ModulePolicy extends AttemptingPolicy implements BalancerActions {
     private final Map<Long, Try> tries = new HashMap<>();
     private final Map<String, Integer> numbers;
     private final BalancerApi module;
--- a/emulator/src/main/java/tulipshed/emulator/policy/Policy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/Policy.java
@@ -1,7 +1,7 @@
 package tulipshed.emulator.policy;
 
 import java.util.List;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /** What decides in an emulated node, from what a node of the real world would be told. */
 public interface Policy {
--- a/emulator/src/test/java/tulipshed/emulator/loadtest/LoadRunTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/loadtest/LoadRunTest.java
@@ -4,8 +4,8 @@
 
 import java.net.InetSocketAddress;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.emulator.policy.MemberNews;
 import tulipshed.proxy.EndpointListEntry;
 
--- a/node/src/main/java/tulipshed/config/NameIndex.java
+++ b/node/src/main/java/tulipshed/config/NameIndex.java
@@ -4,11 +4,11 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerSettings;
 
 /**
- * The external names of request classes and tenants, and their indexes in {@link Settings#classes()} and {@link
- * Settings#tenants()}. Immutable.
+ * The external names of request classes and tenants, and their indexes in {@link BalancerSettings#classes()} and {@link
+ * BalancerSettings#tenants()}. Immutable.
  */
 public final class NameIndex {
     private final Map<String, Integer> classes;
@@ -29,7 +29,7 @@
     }
 
     /** The index of the names in these settings; of equal names the last one counts. */
-    public static NameIndex of(Settings settings) {
+    public static NameIndex of(BalancerSettings settings) {
         Map<String, Integer> classes = new HashMap<>();
         for (int i = 0; i < settings.classes().size(); i++) {
             classes.put(settings.classes().get(i).name(), i);
--- a/node/src/main/java/tulipshed/config/NodeConfig.java
+++ b/node/src/main/java/tulipshed/config/NodeConfig.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerSettings;
 
 /**
  * The configuration of one node: the JSON file that the environment variable PROXY_CONFIG names, and the variables beside
@@ -40,7 +40,7 @@
         int memoryMb,
         int sockets,
         Map<String, Object> cachedEndpoints,
-        Settings settings,
+        BalancerSettings settings,
         NameIndex nameIndex,
         boolean loadReportsLatency,
         PeerConfig peers) {
@@ -85,7 +85,7 @@
         String management = management(json, environment);
         JsonObject limits = file.object("limits");
         JsonObject family = file.object("settings").object("FamilyInfo");
-        Settings settings = SettingsReader.read(file.object("settings").fields());
+        BalancerSettings settings = SettingsReader.read(file.object("settings").fields());
         return new NodeConfig(
                 file.string("name", null),
                 listen,
--- a/node/src/main/java/tulipshed/config/SettingsReader.java
+++ b/node/src/main/java/tulipshed/config/SettingsReader.java
@@ -3,16 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import tulipshed.decision.BalancerApi.DeduplicationScope;
-import tulipshed.decision.BalancerApi.Idempotency;
-import tulipshed.decision.BalancerApi.LoadReportSource;
-import tulipshed.decision.BalancerApi.Prices;
-import tulipshed.decision.BalancerApi.ProtocolRules;
-import tulipshed.decision.BalancerApi.RequestClass;
-import tulipshed.decision.BalancerApi.Settings;
-import tulipshed.decision.BalancerApi.SiteLimits;
-import tulipshed.decision.BalancerApi.Tenant;
-import tulipshed.decision.BalancerApi.WeightSemantics;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.DeduplicationScope;
+import tulipshed.decision.api.Idempotency;
+import tulipshed.decision.api.LoadReportSource;
+import tulipshed.decision.api.Prices;
+import tulipshed.decision.api.ProtocolRules;
+import tulipshed.decision.api.RequestClass;
+import tulipshed.decision.api.SiteLimits;
+import tulipshed.decision.api.Tenant;
+import tulipshed.decision.api.WeightSemantics;
 import tulipshed.time.Clock;
 
 /**
@@ -36,11 +36,11 @@
      * @param json the settings object, as {@link JsonValues} reads it
      * @throws MalformedInputException if the settings have no request class
      */
-    public static Settings read(Map<String, Object> json) {
+    public static BalancerSettings read(Map<String, Object> json) {
         return new SettingsReader(JsonObject.of(json)).read();
     }
 
-    private Settings read() {
+    private BalancerSettings read() {
         // External names Me and PeersTotal: this node's index and the number of nodes.
         int nodeIndex = settings.integer("Me", 0);
         int nodeCount = Math.max(1, settings.integer("PeersTotal", 1));
@@ -51,7 +51,7 @@
         boolean polledDiscovery = "ask".equals(settings.string("Discovery", "push"));
         // External name FamilyInfo.Groups: whether connections of one group belong on one endpoint.
         boolean groupAffinity = family.flag("Groups", false);
-        return new Settings(
+        return new BalancerSettings(
                 nodeIndex,
                 nodeCount,
                 zone,
@@ -138,7 +138,7 @@
             classes.add(requestClass(JsonObject.of(entry), messageObjectiveS));
         }
         if (classes.isEmpty()) {
-            throw new MalformedInputException("Settings without Classes");
+            throw new MalformedInputException("BalancerSettings without Classes");
         }
         return List.copyOf(classes);
     }
--- a/node/src/main/java/tulipshed/decision/ActiveSettings.java
+++ b/node/src/main/java/tulipshed/decision/ActiveSettings.java
@@ -1,24 +1,24 @@
 package tulipshed.decision;
 
-import tulipshed.decision.BalancerApi.RequestClass;
-import tulipshed.decision.BalancerApi.Settings;
-import tulipshed.decision.BalancerApi.Tenant;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.RequestClass;
+import tulipshed.decision.api.Tenant;
 
 /** The settings in force, shared by the parts of a balancer, and sums over them. Confined to the event-loop thread. */
 final class ActiveSettings {
-    private Settings current;
+    private BalancerSettings current;
     private double shortestMessageLatencyObjectiveMs;
     private double quotaPerS;
     private double quotaConnectionsPerNode;
     /** Share of the balancer's allowances that this instance has, from 0 to 1. */
     double quotaShare = 1;
 
-    ActiveSettings(Settings settings) {
+    ActiveSettings(BalancerSettings settings) {
         replace(settings);
     }
 
     /** Replaces the settings. */
-    void replace(Settings settings) {
+    void replace(BalancerSettings settings) {
         current = settings;
         shortestMessageLatencyObjectiveMs = settings.classes().stream()
                         .mapToLong(RequestClass::messageLatencyObjectiveUs)
@@ -33,7 +33,7 @@
         quotaConnectionsPerNode = connections / settings.nodeCount();
     }
 
-    Settings current() {
+    BalancerSettings current() {
         return current;
     }
 
--- a/node/src/main/java/tulipshed/decision/AdmissionControl.java
+++ b/node/src/main/java/tulipshed/decision/AdmissionControl.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
+import tulipshed.decision.api.Tenant;
 
 /** Admits new connections by the pool's depth, a token bucket per tenant and load shedding. Confined to the event loop. */
 final class AdmissionControl {
@@ -59,7 +60,7 @@
 
     /** Buckets are kept by name, as reconfiguration may change a tenant's index. */
     private String tenantName(RequestState request) {
-        List<BalancerApi.Tenant> tenants = settings.current().tenants();
+        List<Tenant> tenants = settings.current().tenants();
         int tenant = request.arrival.tenant();
         return tenant >= 0 && tenant < tenants.size() ? tenants.get(tenant).name() : NO_TENANT;
     }
--- a/node/src/main/java/tulipshed/decision/Balancer.java
+++ b/node/src/main/java/tulipshed/decision/Balancer.java
@@ -3,6 +3,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerApi;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
+import tulipshed.decision.api.RequestClass;
 
 /**
  * Hands the events of one balancer to its parts; the interface is in BalancerApi.java. A new connection is admitted by
@@ -15,12 +24,12 @@
     private static final double MIN_QUOTA_SHARE = 1e-9; // not 0: an unlimited rate stays unlimited
     private static final long HOLD_US = 200_000; // between searches for a ready endpoint
 
-    private final Actions actions;
+    private final BalancerActions actions;
     final BalancerParts parts;
     private final RequestTable requests;
 
     /** Creates a balancer without endpoints; the same seed and events give the same actions. */
-    public Balancer(Settings settings, long seed, long now, Actions actions) {
+    public Balancer(BalancerSettings settings, long seed, long now, BalancerActions actions) {
         this.actions = actions;
         parts = new BalancerParts(settings, seed, actions);
         requests = parts.requests;
@@ -28,7 +37,7 @@
     }
 
     @Override
-    public void reconfigure(long now, Settings changed) {
+    public void reconfigure(long now, BalancerSettings changed) {
         parts.settings.replace(changed);
         parts.admission.settingsChanged();
     }
--- a/node/src/main/java/tulipshed/decision/BalancerParts.java
+++ b/node/src/main/java/tulipshed/decision/BalancerParts.java
@@ -1,8 +1,8 @@
 package tulipshed.decision;
 
 import java.util.SplittableRandom;
-import tulipshed.decision.BalancerApi.Actions;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerSettings;
 
 /** The parts of one balancer, connected to each other. Takes no decision. Confined to the event-loop thread. */
 final class BalancerParts {
@@ -24,7 +24,7 @@
     final DiscoveryPolling discoveryPolling;
 
     /** Creates the parts, which share one source of random numbers with this seed. */
-    BalancerParts(Settings initialSettings, long seed, Actions actions) {
+    BalancerParts(BalancerSettings initialSettings, long seed, BalancerActions actions) {
         SplittableRandom random = new SplittableRandom(seed);
         requests = new RequestTable(Hashing.mix(seed));
         settings = new ActiveSettings(initialSettings);
--- a/node/src/main/java/tulipshed/decision/ConnectionReuse.java
+++ b/node/src/main/java/tulipshed/decision/ConnectionReuse.java
@@ -1,7 +1,7 @@
 package tulipshed.decision;
 
 import java.util.ArrayDeque;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /** Prefers endpoints with an idle connection where opening one has a price. Confined to the event-loop thread. */
 final class ConnectionReuse {
--- a/node/src/main/java/tulipshed/decision/DiscoveryPolling.java
+++ b/node/src/main/java/tulipshed/decision/DiscoveryPolling.java
@@ -1,9 +1,10 @@
 package tulipshed.decision;
 
 import java.util.SplittableRandom;
+import tulipshed.decision.api.BalancerActions;
 
 /** When discovery is polled, where it does not push the endpoint list. */
-record DiscoveryPolling(ActiveSettings settings, SplittableRandom random, BalancerApi.Actions actions) {
+record DiscoveryPolling(ActiveSettings settings, SplittableRandom random, BalancerActions actions) {
     /** Timer token of a poll; the tokens of requests are odd. */
     static final long TIMER_TOKEN = 0;
 
--- a/node/src/main/java/tulipshed/decision/EndpointState.java
+++ b/node/src/main/java/tulipshed/decision/EndpointState.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tulipshed.decision.BalancerApi.EndpointInfo;
+import tulipshed.decision.api.EndpointInfo;
 
 /**
  * One endpoint as one balancer sees it, with the pools it belongs to. Its mutators keep the sums and sets of all these
--- a/node/src/main/java/tulipshed/decision/EndpointTable.java
+++ b/node/src/main/java/tulipshed/decision/EndpointTable.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
 
 /** The known endpoints and machine types, by the endpoint list. Confined to the event-loop thread. */
 final class EndpointTable {
--- a/node/src/main/java/tulipshed/decision/EndpointUpdater.java
+++ b/node/src/main/java/tulipshed/decision/EndpointUpdater.java
@@ -1,6 +1,8 @@
 package tulipshed.decision;
 
-import tulipshed.decision.BalancerApi.EndpointInfo;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.WeightSemantics;
 
 /** What an entry of the endpoint list says of an endpoint's readiness, capacity and process. */
 record EndpointUpdater(ActiveSettings settings, SlowStart slowStart) {
@@ -15,7 +17,7 @@
         if (newProcess) {
             endpoint.resetObservations(PendingLimit.INITIAL);
         }
-        if (info.status() != BalancerApi.EndpointStatus.SERVING) {
+        if (info.status() != EndpointStatus.SERVING) {
             endpoint.markUnready();
             return;
         }
@@ -26,7 +28,7 @@
 
     /** A live weight falls with the load, so there the largest weight seen of the machine type tells the size. */
     private double size(MachineType machineType, EndpointInfo info) {
-        boolean live = settings.current().weightSemantics() == BalancerApi.WeightSemantics.LIVE;
+        boolean live = settings.current().weightSemantics() == WeightSemantics.LIVE;
         return Math.max(MIN_SIZE, live ? machineType.largestWeight : info.weight());
     }
 }
--- a/node/src/main/java/tulipshed/decision/HealthCheckComparison.java
+++ b/node/src/main/java/tulipshed/decision/HealthCheckComparison.java
@@ -1,8 +1,12 @@
 package tulipshed.decision;
 
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.LoadReportSource;
+
 /** Compares two candidates by fresh load reports where health checks are cheap. */
 record HealthCheckComparison(
-        ActiveSettings settings, EndpointEvaluator evaluator, RequestTable requests, BalancerApi.Actions actions) {
+        ActiveSettings settings, EndpointEvaluator evaluator, RequestTable requests, BalancerActions actions) {
     /** Longest wait for the reports of two candidates. */
     static final long WAIT_US = 150_000;
 
@@ -22,9 +26,9 @@
     }
 
     private boolean isEnabled() {
-        BalancerApi.Settings current = settings.current();
+        BalancerSettings current = settings.current();
         return current.limits().healthChecks()
-                && current.loadReportSource() == BalancerApi.LoadReportSource.HEALTH_CHECKS
+                && current.loadReportSource() == LoadReportSource.HEALTH_CHECKS
                 && current.prices().healthCheck() < MAX_PRICE;
     }
 
--- a/node/src/main/java/tulipshed/decision/OutlierEjection.java
+++ b/node/src/main/java/tulipshed/decision/OutlierEjection.java
@@ -1,7 +1,7 @@
 package tulipshed.decision;
 
 import java.util.SplittableRandom;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /** Ejects endpoints that fail, are full or have late messages. Confined to the event-loop thread. */
 final class OutlierEjection {
--- a/node/src/main/java/tulipshed/decision/PendingLimit.java
+++ b/node/src/main/java/tulipshed/decision/PendingLimit.java
@@ -1,6 +1,6 @@
 package tulipshed.decision;
 
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /** How many attempts may be pending at an endpoint: additive increase, multiplicative decrease (AIMD). */
 final class PendingLimit {
--- a/node/src/main/java/tulipshed/decision/RejectionLog.java
+++ b/node/src/main/java/tulipshed/decision/RejectionLog.java
@@ -1,13 +1,15 @@
 package tulipshed.decision;
 
+import tulipshed.decision.api.BalancerActions;
+
 /** Logs that requests are rejected, at most one line in ten seconds. Confined to the event-loop thread. */
 final class RejectionLog {
     private static final long INTERVAL_US = 10_000_000;
 
-    private final BalancerApi.Actions actions;
+    private final BalancerActions actions;
     private long nextUs = Long.MIN_VALUE;
 
-    RejectionLog(BalancerApi.Actions actions) {
+    RejectionLog(BalancerActions actions) {
         this.actions = actions;
     }
 
--- a/node/src/main/java/tulipshed/decision/RequestState.java
+++ b/node/src/main/java/tulipshed/decision/RequestState.java
@@ -1,9 +1,9 @@
 package tulipshed.decision;
 
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
-import tulipshed.decision.BalancerApi.RequestClass;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
+import tulipshed.decision.api.RequestClass;
 
 /** One request from its arrival until its final answer is given and its attempt has ended. Confined to the event loop. */
 final class RequestState {
--- a/node/src/main/java/tulipshed/decision/RequestTable.java
+++ b/node/src/main/java/tulipshed/decision/RequestTable.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.RequestClass;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.RequestClass;
 
 /** The requests that await a final answer or the end of an attempt, by ID. Confined to the event-loop thread. */
 final class RequestTable {
--- a/node/src/main/java/tulipshed/decision/RetryPolicy.java
+++ b/node/src/main/java/tulipshed/decision/RetryPolicy.java
@@ -1,8 +1,10 @@
 package tulipshed.decision;
 
 import java.util.SplittableRandom;
-import tulipshed.decision.BalancerApi.Idempotency;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.DeduplicationScope;
+import tulipshed.decision.api.Idempotency;
+import tulipshed.decision.api.Outcome;
+import tulipshed.decision.api.SiteLimits;
 
 /** Whether, where and for how long a request is attempted again, so that its effect never happens twice. */
 record RetryPolicy(ActiveSettings settings, SplittableRandom random) {
@@ -47,7 +49,7 @@
         return !request.mayHaveRun
                 || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (request.requestClass.idempotency() == Idempotency.WITH_KEY
-                        && request.requestClass.deduplicationScope() == BalancerApi.DeduplicationScope.ALL);
+                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL);
     }
 
     /** Time-out of the next attempt, which leaves time for another one; 0 for none. */
@@ -59,7 +61,7 @@
 
     /** The time to give to a rejected client, within the site's limit and with jitter; 0 where none may be given. */
     long retryAfterUs(long wantedUs) {
-        BalancerApi.SiteLimits limits = settings.current().limits();
+        SiteLimits limits = settings.current().limits();
         double jitter = MIN_JITTER + JITTER_RANGE * random.nextDouble();
         return (long) (Math.min(wantedUs, limits.retryAfter() ? limits.maxRetryAfterUs() : 0) * jitter);
     }
--- a/node/src/main/java/tulipshed/decision/SlowStart.java
+++ b/node/src/main/java/tulipshed/decision/SlowStart.java
@@ -1,5 +1,7 @@
 package tulipshed.decision;
 
+import tulipshed.decision.api.ProtocolRules;
+
 /** Limits what recently started endpoints are sent, so that a wave of arrivals cannot overload them. */
 record SlowStart(ActiveSettings settings, EndpointPool allEndpoints) {
     private static final long WARMING_PERIODS = 2; // slow-start times during which an endpoint has spare capacity
@@ -37,7 +39,7 @@
 
     /** Connections gained a microsecond; the quota stands for the total where this balancer holds little yet. */
     private double creditPerUs(long now, EndpointState endpoint) {
-        BalancerApi.ProtocolRules rules = settings.current().rules();
+        ProtocolRules rules = settings.current().rules();
         long fullUs = rules.slowStartUs();
         double start = rules.slowStartShare();
         double ramp = start + (1 - start) * Math.max(0, Math.min(endpoint.ageUs(now), fullUs)) / fullUs;
--- /dev/null
+++ b/node/src/main/java/tulipshed/decision/api/EndpointListKind.java
@@ -0,0 +1,13 @@
+package tulipshed.decision.api;
+
+/** Meaning of the entries of a list event. */
+public enum EndpointListKind {
+    /** Changed entries only. */
+    CHANGES,
+    /** Complete list: absent endpoints are removed. */
+    COMPLETE,
+    /** Complete but possibly outdated list, kept from before a restart. */
+    CACHED,
+    /** A poll failed or the subscription broke; the known list stays valid. */
+    FAILED
+}
--- /dev/null
+++ b/node/src/main/java/tulipshed/decision/api/Outcome.java
@@ -0,0 +1,28 @@
+package tulipshed.decision.api;
+
+/** Result of an attempt or health check. */
+public enum Outcome {
+    /** Completed. */
+    OK(false),
+    /** The endpoint reported an error. */
+    ERROR(false),
+    /** The endpoint rejected it, as it had no capacity. */
+    FULL(true),
+    /** No response in time. */
+    TIMEOUT(false),
+    /** The connection could not be opened. */
+    CONNECT_FAILED(true),
+    /** The connection broke. */
+    RESET(false),
+    /** Cancelled by this balancer or its client. */
+    CANCELLED(false),
+    /** Never sent, for a reason that says nothing of the endpoint. */
+    UNUSED(true);
+
+    /** Whether this outcome proves that the attempt had no effect. */
+    public final boolean neverRan;
+
+    Outcome(boolean neverRan) {
+        this.neverRan = neverRan;
+    }
+}
--- a/node/src/main/java/tulipshed/discovery/EndpointListUpdate.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointListUpdate.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import tulipshed.config.MalformedInputException;
 import tulipshed.config.NodeConfig;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.time.WallTime;
 
 /**
--- a/node/src/main/java/tulipshed/discovery/EndpointWatch.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointWatch.java
@@ -6,7 +6,7 @@
 import org.jboss.logging.Logger;
 import tulipshed.config.JsonValues;
 import tulipshed.config.MalformedInputException;
-import tulipshed.decision.BalancerApi.EndpointListKind;
+import tulipshed.decision.api.EndpointListKind;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.EndpointListSource;
--- a/node/src/main/java/tulipshed/discovery/ListedEndpoint.java
+++ b/node/src/main/java/tulipshed/discovery/ListedEndpoint.java
@@ -1,8 +1,8 @@
 package tulipshed.discovery;
 
 import java.net.InetSocketAddress;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.proxy.EndpointListEntry;
 import tulipshed.time.WallTime;
 
--- a/node/src/main/java/tulipshed/lineprotocol/EndpointReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/EndpointReader.java
@@ -1,7 +1,7 @@
 package tulipshed.lineprotocol;
 
 import java.nio.ByteBuffer;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /**
  * Reads one endpoint's input line by line, and takes no more of it than can be queued for the client. Confined to the
--- a/node/src/main/java/tulipshed/lineprotocol/EndpointReports.java
+++ b/node/src/main/java/tulipshed/lineprotocol/EndpointReports.java
@@ -1,8 +1,8 @@
 package tulipshed.lineprotocol;
 
 import java.util.OptionalDouble;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.Outcome;
 
 /**
  * What the messages of one endpoint say of its load, and of how the attempt ends. A malformed report is counted and
--- a/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnections.java
+++ b/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnections.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.Endpoint;
 import tulipshed.proxy.HealthChecker;
 
--- a/node/src/main/java/tulipshed/lineprotocol/LoadReportParser.java
+++ b/node/src/main/java/tulipshed/lineprotocol/LoadReportParser.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import java.util.Map;
-import tulipshed.decision.BalancerApi.LoadReport;
+import tulipshed.decision.api.LoadReport;
 
 /**
  * Parses the load report at the end of an endpoint's response: {@code inflight=7,queue=2,util=0.61}. Fields have the names
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalDouble;
 import org.xnio.StreamConnection;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.Attempt;
 import tulipshed.transport.TcpConnection;
 
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamDialer.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamDialer.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.OptionalDouble;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.Attempt;
 import tulipshed.transport.ConnectFailures;
 import tulipshed.transport.XnioEventLoop;
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamHandshake.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamHandshake.java
@@ -1,6 +1,6 @@
 package tulipshed.lineprotocol;
 
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.Attempt;
 
 /** Forwards the open command of one attempt, and takes the endpoint's response to it. Confined to the event-loop thread. */
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamRelay.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamRelay.java
@@ -1,7 +1,7 @@
 package tulipshed.lineprotocol;
 
 import java.util.OptionalDouble;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.Attempt;
 
 /**
--- a/node/src/main/java/tulipshed/peer/PeerSocket.java
+++ b/node/src/main/java/tulipshed/peer/PeerSocket.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Objects;
 import tulipshed.config.PeerConfig;
-import tulipshed.decision.BalancerApi.Actions;
+import tulipshed.decision.api.BalancerActions;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.NodeMetrics;
@@ -132,8 +132,9 @@
             notSent++;
             return;
         }
-        InetSocketAddress to =
-                peer == Actions.ALL_PEERS ? config.broadcast() : config.peers().get(peer);
+        InetSocketAddress to = peer == BalancerActions.ALL_PEERS
+                ? config.broadcast()
+                : config.peers().get(peer);
         if (socket.send(to, body)) {
             sent++;
         } else {
@@ -147,7 +148,7 @@
             return false;
         }
         boolean otherNode = peer >= 0 && peer < config.peers().size() && peer != config.nodeIndex();
-        return otherNode || peer == Actions.ALL_PEERS;
+        return otherNode || peer == BalancerActions.ALL_PEERS;
     }
 
     private void onDatagram(InetSocketAddress from, byte[] datagram) {
--- a/node/src/main/java/tulipshed/proxy/ActiveSettings.java
+++ b/node/src/main/java/tulipshed/proxy/ActiveSettings.java
@@ -1,21 +1,21 @@
 package tulipshed.proxy;
 
 import java.util.List;
-import tulipshed.decision.BalancerApi.LoadReportSource;
-import tulipshed.decision.BalancerApi.RequestClass;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.LoadReportSource;
+import tulipshed.decision.api.RequestClass;
 import tulipshed.time.Clock;
 
 /** The settings in force, with their durations in milliseconds. Confined to the event-loop thread. */
 final class ActiveSettings {
-    private Settings settings;
+    private BalancerSettings settings;
 
-    ActiveSettings(Settings settings) {
+    ActiveSettings(BalancerSettings settings) {
         this.settings = settings;
     }
 
     /** Replaces the settings; requests that arrived before keep their class. */
-    void replace(Settings changed) {
+    void replace(BalancerSettings changed) {
         settings = changed;
     }
 
--- a/node/src/main/java/tulipshed/proxy/AttemptManager.java
+++ b/node/src/main/java/tulipshed/proxy/AttemptManager.java
@@ -1,7 +1,7 @@
 package tulipshed.proxy;
 
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.Outcome;
 import tulipshed.limits.Limits;
 import tulipshed.time.Clock;
 
--- a/node/src/main/java/tulipshed/proxy/BalancerFactory.java
+++ b/node/src/main/java/tulipshed/proxy/BalancerFactory.java
@@ -1,7 +1,8 @@
 package tulipshed.proxy;
 
-import tulipshed.decision.BalancerApi;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerApi;
+import tulipshed.decision.api.BalancerSettings;
 
 /** Creates the decision module of a core. */
 @FunctionalInterface
@@ -13,5 +14,5 @@
      * @param nowUs the time now, in microseconds on the clock of the core
      * @param actions takes its decisions, also from within this call
      */
-    BalancerApi create(Settings settings, long seed, long nowUs, BalancerApi.Actions actions);
+    BalancerApi create(BalancerSettings settings, long seed, long nowUs, BalancerActions actions);
 }
--- a/node/src/main/java/tulipshed/proxy/ConnectionMigrator.java
+++ b/node/src/main/java/tulipshed/proxy/ConnectionMigrator.java
@@ -2,8 +2,8 @@
 
 import java.util.Optional;
 import org.jboss.logging.Logger;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.Outcome;
 
 /** Ends established connections in a way that makes their clients reconnect. Confined to the event-loop thread. */
 final class ConnectionMigrator {
--- a/node/src/main/java/tulipshed/proxy/DecisionBuffer.java
+++ b/node/src/main/java/tulipshed/proxy/DecisionBuffer.java
@@ -1,7 +1,7 @@
 package tulipshed.proxy;
 
 import org.jboss.logging.Logger;
-import tulipshed.decision.BalancerApi;
+import tulipshed.decision.api.BalancerActions;
 import tulipshed.logging.NodeLog;
 import tulipshed.time.Clock;
 
@@ -9,7 +9,7 @@
  * Holds back what the decision module decides until the complete batch of events has been delivered. Timers and log lines
  * take effect at once. Confined to the event-loop thread.
  */
-final class DecisionBuffer implements BalancerApi.Actions {
+final class DecisionBuffer implements BalancerActions {
     private static final String LOG_SUBJECT = "balancer";
 
     private final Targets targets;
--- a/node/src/main/java/tulipshed/proxy/Endpoint.java
+++ b/node/src/main/java/tulipshed/proxy/Endpoint.java
@@ -1,8 +1,8 @@
 package tulipshed.proxy;
 
 import java.net.InetSocketAddress;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointStatus;
 
 /** An endpoint as the endpoint list last described it. Confined to the event-loop thread. */
 public final class Endpoint {
--- a/node/src/main/java/tulipshed/proxy/EndpointDrainer.java
+++ b/node/src/main/java/tulipshed/proxy/EndpointDrainer.java
@@ -1,7 +1,7 @@
 package tulipshed.proxy;
 
 import java.util.List;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /**
  * Ends the attempts that may not stay on an endpoint that stopped serving, spread over part of the drain grace so that
--- a/node/src/main/java/tulipshed/proxy/EndpointListEntry.java
+++ b/node/src/main/java/tulipshed/proxy/EndpointListEntry.java
@@ -1,7 +1,7 @@
 package tulipshed.proxy;
 
 import java.net.InetSocketAddress;
-import tulipshed.decision.BalancerApi.EndpointInfo;
+import tulipshed.decision.api.EndpointInfo;
 
 /**
  * One entry of the endpoint list.
--- a/node/src/main/java/tulipshed/proxy/EndpointRegistry.java
+++ b/node/src/main/java/tulipshed/proxy/EndpointRegistry.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointListKind;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
 
 /**
  * The endpoints that the list has named, including removed ones to which connections may still be open. Confined to the
--- a/node/src/main/java/tulipshed/proxy/EventBatch.java
+++ b/node/src/main/java/tulipshed/proxy/EventBatch.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.jboss.logging.Logger;
-import tulipshed.decision.BalancerApi;
+import tulipshed.decision.api.BalancerApi;
 import tulipshed.logging.NodeLog;
 import tulipshed.time.Clock;
 
--- a/node/src/main/java/tulipshed/proxy/HealthCheckDispatcher.java
+++ b/node/src/main/java/tulipshed/proxy/HealthCheckDispatcher.java
@@ -1,7 +1,7 @@
 package tulipshed.proxy;
 
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.Outcome;
 
 /**
  * Sends the health checks that the decision module asks for. Each gets one result; one that cannot be sent completes at
--- a/node/src/main/java/tulipshed/proxy/NodeMetrics.java
+++ b/node/src/main/java/tulipshed/proxy/NodeMetrics.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongSupplier;
-import tulipshed.decision.BalancerApi.RequestClass;
+import tulipshed.decision.api.RequestClass;
 
 /** Counters of one node since its start. Confined to the event-loop thread. */
 public final class NodeMetrics {
--- a/node/src/main/java/tulipshed/proxy/ProxyCore.java
+++ b/node/src/main/java/tulipshed/proxy/ProxyCore.java
@@ -1,11 +1,12 @@
 package tulipshed.proxy;
 
 import java.util.List;
-import tulipshed.decision.BalancerApi;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.Outcome;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerApi;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.Outcome;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.routing.Router;
@@ -51,7 +52,7 @@
     public ProxyCore(
             Clock clock,
             Limits limits,
-            Settings initialSettings,
+            BalancerSettings initialSettings,
             long seed,
             EventLoop loop,
             NodeLog log,
@@ -89,7 +90,7 @@
     // ---- Configuration ----
 
     /** Replaces the settings. Events reported before still reach the decision module under the old ones. */
-    public void reconfigure(Settings changed) {
+    public void reconfigure(BalancerSettings changed) {
         settings.replace(changed);
         routing.reconfigure(changed);
         metrics.declareClasses(changed.classes());
@@ -201,8 +202,7 @@
     public void endpointsChanged(EndpointListKind kind, List<EndpointListEntry> entries) {
         endpoints.update(kind, entries);
         drainer.drain();
-        List<BalancerApi.EndpointInfo> infos =
-                entries.stream().map(EndpointListEntry::info).toList();
+        List<EndpointInfo> infos = entries.stream().map(EndpointListEntry::info).toList();
         events.add((balancer, nowMs, nowUs) -> balancer.endpointsChanged(nowUs, kind, infos));
         if (kind != EndpointListKind.FAILED) {
             routeMonitor.endpointsChanged();
--- a/node/src/main/java/tulipshed/proxy/ReplicatedConnections.java
+++ b/node/src/main/java/tulipshed/proxy/ReplicatedConnections.java
@@ -2,9 +2,9 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
 /**
--- a/node/src/main/java/tulipshed/proxy/Request.java
+++ b/node/src/main/java/tulipshed/proxy/Request.java
@@ -1,9 +1,9 @@
 package tulipshed.proxy;
 
-import tulipshed.decision.BalancerApi.DeduplicationScope;
-import tulipshed.decision.BalancerApi.Idempotency;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.RequestClass;
+import tulipshed.decision.api.DeduplicationScope;
+import tulipshed.decision.api.Idempotency;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.RequestClass;
 import tulipshed.routing.Origin;
 import tulipshed.time.Clock;
 
--- a/node/src/main/java/tulipshed/proxy/RequestRouting.java
+++ b/node/src/main/java/tulipshed/proxy/RequestRouting.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.Objects;
 import org.jboss.logging.Logger;
-import tulipshed.decision.BalancerApi;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerApi;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.EndpointInfo;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.Request.Attributes;
 import tulipshed.routing.Classified;
@@ -24,19 +24,19 @@
     private final Logger log;
     private final Map<String, Integer> classIndices = new HashMap<>();
     private final Map<String, Integer> tenantIndices = new HashMap<>();
-    private Settings settings;
+    private BalancerSettings settings;
     /** Null where there are no rules. */
     private Router router;
     /** The pool in use, by route, where that is not the preferred one. */
     private Map<String, String> spilloverPools = Map.of();
 
-    RequestRouting(Settings settings, NodeLog log) {
+    RequestRouting(BalancerSettings settings, NodeLog log) {
         this.log = log.logger(LOG_SUBJECT);
         reconfigure(settings);
     }
 
     /** Replaces the settings, whose names of classes and tenants the rules use. */
-    void reconfigure(Settings changed) {
+    void reconfigure(BalancerSettings changed) {
         settings = changed;
         classIndices.clear();
         tenantIndices.clear();
--- a/node/src/main/java/tulipshed/quic/FlowSide.java
+++ b/node/src/main/java/tulipshed/quic/FlowSide.java
@@ -1,7 +1,7 @@
 package tulipshed.quic;
 
 import java.util.function.Consumer;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.Attempt;
 
 /** One path's place on a socket towards its member, and whether anything comes back there. */
--- a/node/src/main/java/tulipshed/quic/QuicSession.java
+++ b/node/src/main/java/tulipshed/quic/QuicSession.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import tulipshed.connectionid.ConnectionId;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.Attempt;
 import tulipshed.proxy.ClientConnection;
 import tulipshed.proxy.Request;
--- a/node/src/main/java/tulipshed/routing/MemberPools.java
+++ b/node/src/main/java/tulipshed/routing/MemberPools.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import tulipshed.decision.BalancerApi.EndpointInfo;
+import tulipshed.decision.api.EndpointInfo;
 import tulipshed.expression.Frame;
 import tulipshed.expression.Program;
 
--- a/node/src/main/java/tulipshed/routing/MemberSchema.java
+++ b/node/src/main/java/tulipshed/routing/MemberSchema.java
@@ -1,6 +1,6 @@
 package tulipshed.routing;
 
-import tulipshed.decision.BalancerApi.EndpointInfo;
+import tulipshed.decision.api.EndpointInfo;
 import tulipshed.expression.Attribute;
 import tulipshed.expression.Frame;
 import tulipshed.expression.Schema;
--- a/node/src/main/java/tulipshed/routing/Router.java
+++ b/node/src/main/java/tulipshed/routing/Router.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.ToIntFunction;
-import tulipshed.decision.BalancerApi.EndpointInfo;
+import tulipshed.decision.api.EndpointInfo;
 
 /**
  * What the operators' rules make of transactions: class, tenant and group, and the pool that each is held to. It decides
--- a/node/src/main/java/tulipshed/simadapter/Adapter.java
+++ b/node/src/main/java/tulipshed/simadapter/Adapter.java
@@ -9,9 +9,9 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import tulipshed.config.MalformedInputException;
-import tulipshed.decision.BalancerApi;
-import tulipshed.decision.BalancerApi.Actions;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerApi;
+import tulipshed.decision.api.BalancerSettings;
 
 /**
  * Connects instances of the decision module to the simulator: reads batches of events, hands each event to its instance,
@@ -39,7 +39,7 @@
          * @param now the time, in microseconds
          * @param actions receives what the instance decides
          */
-        BalancerApi create(Settings settings, long seed, long now, Actions actions);
+        BalancerApi create(BalancerSettings settings, long seed, long now, BalancerActions actions);
     }
 
     Adapter(InputStream in, OutputStream out, Factory factory) throws IOException {
--- a/node/src/main/java/tulipshed/simadapter/EndpointListReader.java
+++ b/node/src/main/java/tulipshed/simadapter/EndpointListReader.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import tulipshed.config.MalformedInputException;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointStatus;
 
 /** Reads an endpoint list; external name NodesList. Unknown fields are skipped. */
 final class EndpointListReader {
--- a/node/src/main/java/tulipshed/simadapter/Instances.java
+++ b/node/src/main/java/tulipshed/simadapter/Instances.java
@@ -5,21 +5,21 @@
 import tulipshed.config.MalformedInputException;
 import tulipshed.config.NameIndex;
 import tulipshed.config.SettingsReader;
-import tulipshed.decision.BalancerApi;
-import tulipshed.decision.BalancerApi.Actions;
-import tulipshed.decision.BalancerApi.Outcome;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerApi;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.Outcome;
 
 /** The running instances of the decision module, and the dispatch of events to them. Confined to the adapter's thread. */
 final class Instances {
     private final Adapter.Factory factory;
-    private final Actions actions;
+    private final BalancerActions actions;
     private final Map<String, Instance> byName = new HashMap<>();
 
     /** One running instance and the names in its settings. */
     private record Instance(BalancerApi balancer, NameIndex names) {}
 
-    Instances(Adapter.Factory factory, Actions actions) {
+    Instances(Adapter.Factory factory, BalancerActions actions) {
         this.factory = factory;
         this.actions = actions;
     }
@@ -51,7 +51,7 @@
     }
 
     private void create(WireEvent event, long nowUs) {
-        Settings settings = SettingsReader.read(event.settings());
+        BalancerSettings settings = SettingsReader.read(event.settings());
         BalancerApi balancer = factory.create(settings, event.seed(), nowUs, actions);
         byName.put(event.instance(), new Instance(balancer, NameIndex.of(settings)));
     }
--- a/node/src/main/java/tulipshed/simadapter/LoadReportReader.java
+++ b/node/src/main/java/tulipshed/simadapter/LoadReportReader.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
-import tulipshed.decision.BalancerApi.LoadReport;
+import tulipshed.decision.api.LoadReport;
 
 /** Reads a load report; external name Telemetry. Values that are absent are NaN, unknown fields are skipped. */
 final class LoadReportReader {
--- a/node/src/main/java/tulipshed/simadapter/ReplyWriter.java
+++ b/node/src/main/java/tulipshed/simadapter/ReplyWriter.java
@@ -6,14 +6,14 @@
 import java.io.IOException;
 import java.io.OutputStream;
 import java.io.UncheckedIOException;
-import tulipshed.decision.BalancerApi.Actions;
+import tulipshed.decision.api.BalancerActions;
 import tulipshed.time.Clock;
 
 /**
  * Writes the actions of all instances as lines of JSON. This is the one place that knows their external names: the value
  * of {@code cmd} and the keys quoted below. Confined to the adapter's thread; the output is flushed at each batch's end.
  */
-final class ReplyWriter implements Actions {
+final class ReplyWriter implements BalancerActions {
     /** The external recipient of a message to all peers. */
     private static final String TO_ALL_PEERS = "*";
 
--- a/node/src/main/java/tulipshed/simadapter/WireEvent.java
+++ b/node/src/main/java/tulipshed/simadapter/WireEvent.java
@@ -8,11 +8,11 @@
 import tulipshed.config.JsonValues;
 import tulipshed.config.MalformedInputException;
 import tulipshed.config.NameIndex;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
 import tulipshed.time.Clock;
 
 /**
--- a/node/src/test/java/tulipshed/KnownRedTest.java
+++ b/node/src/test/java/tulipshed/KnownRedTest.java
@@ -19,7 +19,8 @@
 class KnownRedTest {
     private static final Path KNOWN_RED = Path.of("../KNOWN-RED.txt");
     private static final Path BUILD = Path.of("../pom.xml");
-    private static final List<Path> TEST_SOURCES = List.of(Path.of("src/test/java"), Path.of("../emulator/src/test/java"));
+    private static final List<Path> TEST_SOURCES =
+            List.of(Path.of("src/test/java"), Path.of("../emulator/src/test/java"));
     private static final List<String> FIELDS = List.of("case", "command", "seed", "seen", "issue");
 
     private static final String TAG = "@Tag(\"known-red\")";
@@ -33,7 +34,8 @@
                     entry.stream().map(line -> line.split(": ", 2)[0]).toList();
             assertEquals(FIELDS, names, entry.get(0));
             assertTrue(
-                    entry.stream().allMatch(line -> line.split(": ", 2).length == 2), "a field is empty: " + entry.get(0));
+                    entry.stream().allMatch(line -> line.split(": ", 2).length == 2),
+                    "a field is empty: " + entry.get(0));
         }
     }
 
--- a/node/src/test/java/tulipshed/benchmark/DecisionBenchmark.java
+++ b/node/src/test/java/tulipshed/benchmark/DecisionBenchmark.java
@@ -19,13 +19,23 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import tulipshed.decision.Balancer;
-import tulipshed.decision.BalancerApi;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.DeduplicationScope;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.Idempotency;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.LoadReportSource;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
+import tulipshed.decision.api.Prices;
+import tulipshed.decision.api.ProtocolRules;
+import tulipshed.decision.api.RequestClass;
+import tulipshed.decision.api.SiteLimits;
+import tulipshed.decision.api.Tenant;
+import tulipshed.decision.api.WeightSemantics;
 
 /** What an event costs the decision module by the number of endpoints; no cost may grow with it. */
 @State(Scope.Thread)
@@ -79,29 +89,29 @@
         }
     }
 
-    private BalancerApi.Settings settings() {
-        return new BalancerApi.Settings(
+    private BalancerSettings settings() {
+        return new BalancerSettings(
                 0,
                 4,
                 "zone0",
                 false,
                 false,
                 groups,
-                BalancerApi.WeightSemantics.SIZE,
-                BalancerApi.LoadReportSource.NONE,
-                new BalancerApi.SiteLimits(6, 2 * SECOND_US, true, false, false, true, 250_000, 15 * SECOND_US, 1),
-                new BalancerApi.ProtocolRules(300_000, 10 * SECOND_US, 0.2, 15 * SECOND_US, 3, 3 * SECOND_US / 2),
-                new BalancerApi.Prices(0.03, 0, 0, 0.03, 0.19),
-                List.of(new BalancerApi.RequestClass(
+                WeightSemantics.SIZE,
+                LoadReportSource.NONE,
+                new SiteLimits(6, 2 * SECOND_US, true, false, false, true, 250_000, 15 * SECOND_US, 1),
+                new ProtocolRules(300_000, 10 * SECOND_US, 0.2, 15 * SECOND_US, 3, 3 * SECOND_US / 2),
+                new Prices(0.03, 0, 0, 0.03, 0.19),
+                List.of(new RequestClass(
                         "class0",
                         SECOND_US / 2,
                         2 * SECOND_US,
                         1,
-                        BalancerApi.Idempotency.IDEMPOTENT,
-                        BalancerApi.DeduplicationScope.ALL,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
                         5 * SECOND_US,
                         100_000)),
-                List.of(new BalancerApi.Tenant("tenant0", 1, 1e6, 4 * CONNECTIONS)));
+                List.of(new Tenant("tenant0", 1, 1e6, 4 * CONNECTIONS)));
     }
 
     private static EndpointInfo endpoint(int i, EndpointStatus status) {
@@ -157,7 +167,7 @@
     }
 
     /** Carries out no decision. */
-    private static final class IgnoringActions implements BalancerApi.Actions {
+    private static final class IgnoringActions implements BalancerActions {
         @Override
         public void startAttempt(long requestId, String endpointId, long timeoutUs) {}
 
--- a/node/src/test/java/tulipshed/decision/AdmissionControlTest.java
+++ b/node/src/test/java/tulipshed/decision/AdmissionControlTest.java
@@ -10,8 +10,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
 
 /** Admission of new connections: depth curve, token buckets and pending limits. */
 class AdmissionControlTest {
--- a/node/src/test/java/tulipshed/decision/BalancerSetup.java
+++ b/node/src/test/java/tulipshed/decision/BalancerSetup.java
@@ -2,22 +2,22 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tulipshed.decision.BalancerApi.DeduplicationScope;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.Idempotency;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.LoadReportSource;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
-import tulipshed.decision.BalancerApi.Prices;
-import tulipshed.decision.BalancerApi.ProtocolRules;
-import tulipshed.decision.BalancerApi.RequestClass;
-import tulipshed.decision.BalancerApi.Settings;
-import tulipshed.decision.BalancerApi.SiteLimits;
-import tulipshed.decision.BalancerApi.Tenant;
-import tulipshed.decision.BalancerApi.WeightSemantics;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.DeduplicationScope;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.Idempotency;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.LoadReportSource;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
+import tulipshed.decision.api.Prices;
+import tulipshed.decision.api.ProtocolRules;
+import tulipshed.decision.api.RequestClass;
+import tulipshed.decision.api.SiteLimits;
+import tulipshed.decision.api.Tenant;
+import tulipshed.decision.api.WeightSemantics;
 
 /** Fixture of the tests of a balancer: settings with simple defaults, endpoints, requests and recorded actions. */
 final class BalancerSetup {
@@ -44,12 +44,12 @@
     Prices prices = new Prices(0, 0, 0, 0, 0);
     boolean healthChecks;
 
-    Settings settings() {
+    BalancerSettings settings() {
         List<Tenant> list = new ArrayList<>();
         for (int i = 0; i < tenants; i++) {
             list.add(new Tenant(namePrefix + "tenant" + i, 1.0 / tenants, 4, quotaConnections));
         }
-        return new Settings(
+        return new BalancerSettings(
                 0,
                 nodeCount,
                 namePrefix + "zone0",
--- a/node/src/test/java/tulipshed/decision/DiscoveryPollingTest.java
+++ b/node/src/test/java/tulipshed/decision/DiscoveryPollingTest.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointListKind;
+import tulipshed.decision.api.EndpointListKind;
 
 /** Polls of the discovery service. */
 class DiscoveryPollingTest {
--- a/node/src/test/java/tulipshed/decision/EmbeddingExampleTest.java
+++ b/node/src/test/java/tulipshed/decision/EmbeddingExampleTest.java
@@ -4,19 +4,19 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
 
 /** The embedding example of the README. */
 class EmbeddingExampleTest {
     @Test
     void exampleOfReadmeWorks() {
-        Settings settings = new BalancerSetup().settings();
+        BalancerSettings settings = new BalancerSetup().settings();
         RecordingActions actions = new RecordingActions();
         long seed = 7;
         long nowUs = 1_000_000;
--- a/node/src/test/java/tulipshed/decision/EndpointPoolTest.java
+++ b/node/src/test/java/tulipshed/decision/EndpointPoolTest.java
@@ -19,10 +19,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
 
 /** Requests that are restricted to a pool of endpoints. */
 class EndpointPoolTest {
--- a/node/src/test/java/tulipshed/decision/ForwardingActions.java
+++ b/node/src/test/java/tulipshed/decision/ForwardingActions.java
@@ -1,10 +1,12 @@
 package tulipshed.decision;
 
+import tulipshed.decision.api.BalancerActions;
+
 /** Forwards all actions to another receiver; tests override the ones they check. */
-class ForwardingActions implements BalancerApi.Actions {
-    private final BalancerApi.Actions receiver;
+class ForwardingActions implements BalancerActions {
+    private final BalancerActions receiver;
 
-    ForwardingActions(BalancerApi.Actions receiver) {
+    ForwardingActions(BalancerActions receiver) {
         this.receiver = receiver;
     }
 
--- a/node/src/test/java/tulipshed/decision/GroupAffinityTest.java
+++ b/node/src/test/java/tulipshed/decision/GroupAffinityTest.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
 
 /** Connections of a group stay on few endpoints. */
 class GroupAffinityTest {
--- a/node/src/test/java/tulipshed/decision/HealthCheckComparisonTest.java
+++ b/node/src/test/java/tulipshed/decision/HealthCheckComparisonTest.java
@@ -7,7 +7,10 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.LoadReportSource;
+import tulipshed.decision.api.Outcome;
+import tulipshed.decision.api.Prices;
 
 /** Comparison of two candidates by health checks. */
 class HealthCheckComparisonTest {
@@ -17,7 +20,7 @@
     @Test
     void choosesLessLoadedByReportWhereHealthChecksAreCheap() {
         setup.healthChecks = true;
-        setup.loadReportSource = BalancerApi.LoadReportSource.HEALTH_CHECKS;
+        setup.loadReportSource = LoadReportSource.HEALTH_CHECKS;
         Balancer balancer = setup.balancerWithEndpoints(2);
         balancer.requestArrived(0, request(1));
         List<String> actions = recorder.take();
@@ -37,7 +40,7 @@
     @Test
     void missingResponseDelaysRequestOnlyForWaitTime() {
         setup.healthChecks = true;
-        setup.loadReportSource = BalancerApi.LoadReportSource.HEALTH_CHECKS;
+        setup.loadReportSource = LoadReportSource.HEALTH_CHECKS;
         Balancer balancer = setup.balancerWithEndpoints(2);
         balancer.requestArrived(0, request(1));
         String timer = recorder.take().get(2);
@@ -45,7 +48,7 @@
         assertEquals(
                 1,
                 recorder.take().stream().filter(l -> l.startsWith("start 1 ")).count());
-        balancer.healthCheckCompleted(300_000, endpointName(0), Outcome.TIMEOUT, BalancerApi.LoadReport.NONE);
+        balancer.healthCheckCompleted(300_000, endpointName(0), Outcome.TIMEOUT, LoadReport.NONE);
         assertEquals(List.of(), recorder.take());
     }
 
@@ -53,7 +56,7 @@
     @Test
     void startsNoAttemptForClientThatLeftDuringHealthChecks() {
         setup.healthChecks = true;
-        setup.loadReportSource = BalancerApi.LoadReportSource.HEALTH_CHECKS;
+        setup.loadReportSource = LoadReportSource.HEALTH_CHECKS;
         Balancer balancer = setup.balancerWithEndpoints(2);
         balancer.requestArrived(0, request(1));
         long token = Long.parseLong(recorder.take().get(2).split(" ")[2]);
@@ -68,15 +71,15 @@
     @Test
     void startsNoHealthCheckWhereItIsExpensive() {
         setup.healthChecks = true;
-        setup.loadReportSource = BalancerApi.LoadReportSource.HEALTH_CHECKS;
-        setup.prices = new BalancerApi.Prices(0, 0, 0.5, 0, 0);
+        setup.loadReportSource = LoadReportSource.HEALTH_CHECKS;
+        setup.prices = new Prices(0, 0, 0.5, 0, 0);
         Balancer balancer = setup.balancerWithEndpoints(2);
         balancer.requestArrived(0, request(1));
         recorder.attemptedEndpoint();
     }
 
-    private static BalancerApi.LoadReport report(double load) {
+    private static LoadReport report(double load) {
         double absent = Double.NaN;
-        return new BalancerApi.LoadReport(absent, absent, absent, absent, absent, absent, load, absent);
+        return new LoadReport(absent, absent, absent, absent, absent, absent, load, absent);
     }
 }
--- a/node/src/test/java/tulipshed/decision/LoadSheddingTest.java
+++ b/node/src/test/java/tulipshed/decision/LoadSheddingTest.java
@@ -9,10 +9,10 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
 
 /** Load shedding after endpoints drop connections, where the balancer holds few. */
 class LoadSheddingTest {
--- a/node/src/test/java/tulipshed/decision/ManyEndpointsTest.java
+++ b/node/src/test/java/tulipshed/decision/ManyEndpointsTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.Outcome;
 
 /** Queries cost the same however many endpoints there are, and give what a look at each of them gives. */
 class ManyEndpointsTest {
--- a/node/src/test/java/tulipshed/decision/MigrationTest.java
+++ b/node/src/test/java/tulipshed/decision/MigrationTest.java
@@ -8,7 +8,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /** Migration of established connections off late endpoints. */
 class MigrationTest {
--- a/node/src/test/java/tulipshed/decision/OutlierEjectionTest.java
+++ b/node/src/test/java/tulipshed/decision/OutlierEjectionTest.java
@@ -14,10 +14,10 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
 
 /** Ejection of endpoints that fail or are late. */
 class OutlierEjectionTest {
--- a/node/src/test/java/tulipshed/decision/PlacementTest.java
+++ b/node/src/test/java/tulipshed/decision/PlacementTest.java
@@ -11,10 +11,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.Outcome;
+import tulipshed.decision.api.Prices;
 
 /** Choice of the endpoint of an attempt. */
 class PlacementTest {
@@ -74,7 +75,7 @@
 
     @Test
     void prefersSameZoneForFirstAttemptOnlyWhereCrossingHasPrice() {
-        setup.prices = new BalancerApi.Prices(0.05, 0, 0, 0, 0);
+        setup.prices = new Prices(0.05, 0, 0, 0, 0);
         Balancer balancer = setup.balancerWithEndpoints(40);
         int otherZone = 0;
         for (long id = 1; id <= 20; id++) {
@@ -91,7 +92,7 @@
 
     @Test
     void endpointWhoseEntryNamesAnotherZoneLeavesTheSameZone() {
-        setup.prices = new BalancerApi.Prices(0.05, 0, 0, 0, 0);
+        setup.prices = new Prices(0.05, 0, 0, 0, 0);
         Balancer balancer = setup.balancerWithEndpoints(40);
         List<EndpointInfo> moved = new ArrayList<>();
         for (int i = 2; i < 40; i += 2) {
@@ -107,7 +108,7 @@
 
     @Test
     void reusesIdleConnectionWhereHandshakeHasPrice() {
-        setup.prices = new BalancerApi.Prices(0, 0.1, 0, 0, 0);
+        setup.prices = new Prices(0, 0.1, 0, 0, 0);
         Balancer balancer = setup.balancerWithEndpoints(50);
         for (long id = 1; id <= 5; id++) {
             balancer.requestArrived(0, request(id));
@@ -122,7 +123,7 @@
     /** Of equal idle connections the oldest is taken, so that their endpoint stays the latest one. */
     @Test
     void reusesEndpointOfLatestIdleConnectionAgainWhileItHasAnother() {
-        setup.prices = new BalancerApi.Prices(0, 0.1, 0, 0, 0);
+        setup.prices = new Prices(0, 0.1, 0, 0, 0);
         Balancer balancer = setup.balancerWithEndpoints(3);
         for (long id = 10; id < 40; id++) {
             balancer.connectionAdopted(0, request(id), endpointName(2));
--- a/node/src/test/java/tulipshed/decision/PolicyFilesTest.java
+++ b/node/src/test/java/tulipshed/decision/PolicyFilesTest.java
@@ -4,6 +4,7 @@
 import static com.tngtech.archunit.core.domain.JavaCall.Predicates.target;
 import static com.tngtech.archunit.core.domain.properties.HasName.Predicates.name;
 import static com.tngtech.archunit.core.domain.properties.HasOwner.Predicates.With.owner;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,6 +23,9 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.ProtocolRules;
 
 /** Each class of the decision module that takes a decision is named under {@code policy} in the deployment file. */
 class PolicyFilesTest {
@@ -32,7 +36,6 @@
     /** The classes that hold state, count or wire and decide nothing; the rules below hold them to that. */
     private static final Set<String> TYPES_WITHOUT_DECISIONS = Set.of(
             "ActiveSettings",
-            "BalancerApi",
             "BalancerParts",
             "ConnectionGroup",
             "DecayingCounter",
@@ -49,6 +52,9 @@
             "RequestState",
             "RequestTable");
 
+    /** The package of events, actions, settings and their values: the seam between the module and its callers. */
+    private static final String API_PACKAGE = "tulipshed.decision.api";
+
     private final JavaClasses classes = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("tulipshed.decision");
@@ -74,13 +80,30 @@
         }
     }
 
+    /** What the seam holds has no state of its own beyond its values: interfaces, enums and records. */
+    @Test
+    void theApiPackageHoldsOnlyInterfacesEnumsAndRecords() {
+        classes()
+                .that()
+                .resideInAPackage(API_PACKAGE)
+                .and()
+                .doNotHaveSimpleName("package-info")
+                .should()
+                .beInterfaces()
+                .orShould()
+                .beEnums()
+                .orShould()
+                .beRecords()
+                .check(classes);
+    }
+
     @Test
     void onlyPolicyClassesActOnTheirDecisions() {
         noClasses()
                 .that(decideNothing())
                 .should()
                 .callMethodWhere(target(owner(describe(
-                                "the actions of the balancer", type -> type.isEquivalentTo(BalancerApi.Actions.class))))
+                                "the actions of the balancer", type -> type.isEquivalentTo(BalancerActions.class))))
                         .and(DescribedPredicate.not(target(name("log")))))
                 .check(classes);
     }
@@ -93,7 +116,7 @@
                         "do not wire the parts", type -> !type.getSimpleName().equals("BalancerParts")))
                 .should()
                 .dependOnClassesThat()
-                .belongToAnyOf(java.util.SplittableRandom.class, BalancerApi.ProtocolRules.class)
+                .belongToAnyOf(java.util.SplittableRandom.class, ProtocolRules.class)
                 .check(classes);
     }
 
@@ -101,11 +124,16 @@
         return describe(
                 "are not named as policy",
                 type -> TYPES_WITHOUT_DECISIONS.contains(topLevel(type).getSimpleName())
-                        && !topLevel(type).getSimpleName().equals("BalancerApi"));
+                        || (type.getPackageName().equals(API_PACKAGE) && !type.isInterface() && !isSettings(type)));
+    }
+
+    private static boolean isSettings(JavaClass type) {
+        return type.isEquivalentTo(BalancerSettings.class) || type.isEquivalentTo(ProtocolRules.class);
     }
 
     private Set<String> topLevelTypes() {
         return classes.stream()
+                .filter(type -> !type.getPackageName().equals(API_PACKAGE))
                 .map(PolicyFilesTest::topLevel)
                 .map(JavaClass::getSimpleName)
                 .filter(name -> !name.equals("package-info"))
--- a/node/src/test/java/tulipshed/decision/RandomEventSequenceTest.java
+++ b/node/src/test/java/tulipshed/decision/RandomEventSequenceTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.Idempotency;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.Idempotency;
+import tulipshed.decision.api.Outcome;
 
 /** Long random sequences of legal events; invariants are checked after each action. */
 class RandomEventSequenceTest {
--- a/node/src/test/java/tulipshed/decision/RecordingActions.java
+++ b/node/src/test/java/tulipshed/decision/RecordingActions.java
@@ -2,9 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import tulipshed.decision.api.BalancerActions;
 
 /** Records all actions as lines of text. */
-final class RecordingActions implements BalancerApi.Actions {
+final class RecordingActions implements BalancerActions {
     final List<String> lines = new ArrayList<>();
 
     @Override
--- a/node/src/test/java/tulipshed/decision/RequestLifecycleTest.java
+++ b/node/src/test/java/tulipshed/decision/RequestLifecycleTest.java
@@ -9,7 +9,9 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Idempotency;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.Outcome;
 
 /** Each request receives exactly one final answer. */
 class RequestLifecycleTest {
@@ -71,7 +73,7 @@
     /** Kept by index, these would belong to another class or tenant once an earlier one is removed. */
     @Test
     void reconfigurationKeepsClassOfOpenRequestsAndBucketsOfTenants() {
-        setup.idempotency = BalancerApi.Idempotency.NOT_IDEMPOTENT;
+        setup.idempotency = Idempotency.NOT_IDEMPOTENT;
         Balancer balancer = setup.balancerWithEndpoints(4);
         balancer.requestArrived(0, request(1));
         recorder.attemptedEndpoint();
@@ -122,7 +124,7 @@
         balancer.loadReported(1, 77, 500);
         end(balancer, 1, 77, 0, true, Outcome.OK);
         balancer.requestCancelled(1, 77);
-        balancer.healthCheckCompleted(1, "unknown", Outcome.OK, BalancerApi.LoadReport.NONE);
+        balancer.healthCheckCompleted(1, "unknown", Outcome.OK, LoadReport.NONE);
         balancer.peerMessageReceived(1, 3, new byte[0]);
         balancer.timerFired(1, 12345);
         assertEquals(List.of(), recorder.take());
--- a/node/src/test/java/tulipshed/decision/RetryPolicyTest.java
+++ b/node/src/test/java/tulipshed/decision/RetryPolicyTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import tulipshed.decision.BalancerApi.DeduplicationScope;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.Idempotency;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.DeduplicationScope;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.Idempotency;
+import tulipshed.decision.api.Outcome;
 
 /** Retries, attempt limits and idempotency. */
 class RetryPolicyTest {
--- a/node/src/test/java/tulipshed/decision/SlowStartTest.java
+++ b/node/src/test/java/tulipshed/decision/SlowStartTest.java
@@ -7,8 +7,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
 
 /** Limits for recently started endpoints. */
 class SlowStartTest {
--- a/node/src/test/java/tulipshed/discovery/DiscoveryResponseParsingTest.java
+++ b/node/src/test/java/tulipshed/discovery/DiscoveryResponseParsingTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.config.JsonValues;
 import tulipshed.config.MalformedInputException;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.testing.InputFuzzer;
 import tulipshed.time.WallTime;
 
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
@@ -19,6 +19,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import tulipshed.config.NodeConfig;
 import tulipshed.decision.Balancer;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.ProxyCore;
--- a/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.Outcome;
 import tulipshed.limits.Limits;
 
 /** A client that leaves just as its request is about to be attempted, retried or forwarded. */
--- a/node/src/test/java/tulipshed/lineprotocol/EndpointChangeRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/EndpointChangeRaceTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.Outcome;
 
 /** An endpoint that changes just as a connection to it is made, used or migrated away from. */
 class EndpointChangeRaceTest extends RaceConditionFixture {
--- a/node/src/test/java/tulipshed/lineprotocol/HealthCheckConnectionsTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/HealthCheckConnectionsTest.java
@@ -15,10 +15,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.decision.Balancer;
-import tulipshed.decision.BalancerApi;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerApi;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.Outcome;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.testing.DelegatingBalancer;
@@ -28,7 +29,7 @@
     private record HealthCheckResult(String endpointId, Outcome outcome, LoadReport report) {}
 
     private final BlockingQueue<HealthCheckResult> results = new LinkedBlockingQueue<>();
-    private BalancerApi.Actions actions;
+    private BalancerActions actions;
 
     @BeforeEach
     @Override
@@ -42,7 +43,7 @@
     }
 
     @Override
-    BalancerApi decisionModule(Balancer balancer, BalancerApi.Actions actionsOfCore) {
+    BalancerApi decisionModule(Balancer balancer, BalancerActions actionsOfCore) {
         actions = actionsOfCore;
         return new DelegatingBalancer(balancer) {
             @Override
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFixture.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFixture.java
@@ -21,10 +21,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import tulipshed.config.NodeConfig;
 import tulipshed.decision.Balancer;
-import tulipshed.decision.BalancerApi;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerApi;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.EndpointListEntry;
@@ -44,8 +48,8 @@
 
     final BlockingQueue<Double> latencies = new LinkedBlockingQueue<>();
     final BlockingQueue<Double> loads = new LinkedBlockingQueue<>();
-    final BlockingQueue<BalancerApi.Outcome> outcomes = new LinkedBlockingQueue<>();
-    final BlockingQueue<BalancerApi.LoadReport> loadReports = new LinkedBlockingQueue<>();
+    final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
+    final BlockingQueue<LoadReport> loadReports = new LinkedBlockingQueue<>();
     final List<String> logLines = new CopyOnWriteArrayList<>();
     XnioEventLoop loop;
     ProxyCore core;
@@ -163,7 +167,7 @@
     }
 
     /** The decision module in use; tests that observe more of it override this. Called on the event loop. */
-    BalancerApi decisionModule(Balancer balancer, BalancerApi.Actions actions) {
+    BalancerApi decisionModule(Balancer balancer, BalancerActions actions) {
         return new RecordingModule(balancer);
     }
 
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import tulipshed.decision.BalancerApi;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.Outcome;
 import tulipshed.limits.Limits;
 import tulipshed.transport.UdpSocket;
 
@@ -96,7 +97,7 @@
                 "BUSY queue=1,queue=2; FULL; NaN; NaN",
                 "ERR queue; ERROR; NaN; NaN"
             })
-    void readsInlineLoadReportsWhenConfigured(String input, BalancerApi.Outcome outcome, double queue, double cpu)
+    void readsInlineLoadReportsWhenConfigured(String input, Outcome outcome, double queue, double cpu)
             throws Exception {
         restart("\"How\": \"off\"", "\"How\": \"inline\"");
         try (LineSocket client = connectClient()) {
@@ -105,7 +106,7 @@
                 server.send(input.replace("|", "\r\n") + "\r\n");
                 server.socket.shutdownOutput();
                 assertEquals(outcome, outcomes.poll(5, TimeUnit.SECONDS));
-                BalancerApi.LoadReport report = loadReports.poll(5, TimeUnit.SECONDS);
+                LoadReport report = loadReports.poll(5, TimeUnit.SECONDS);
                 assertEquals(queue, report.queue());
                 assertEquals(cpu, report.cpu());
             }
@@ -118,7 +119,7 @@
             client.send(OPEN_COMMAND);
             try (LineSocket server = acceptUpstream()) {
                 server.send("BUSY queue=9\r\n");
-                assertEquals(BalancerApi.LoadReport.NONE, loadReports.poll(5, TimeUnit.SECONDS));
+                assertEquals(LoadReport.NONE, loadReports.poll(5, TimeUnit.SECONDS));
             }
         }
     }
@@ -190,7 +191,7 @@
         "UP r;MOVE, CANCELLED",
         "UP r, RESET"
     })
-    void mapsEndpointResponsesToOutcomes(String lines, BalancerApi.Outcome outcome) throws Exception {
+    void mapsEndpointResponsesToOutcomes(String lines, Outcome outcome) throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
             try (LineSocket server = acceptUpstream()) {
@@ -206,7 +207,7 @@
         endpointListener.close();
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            assertEquals(BalancerApi.Outcome.CONNECT_FAILED, outcomes.poll(5, TimeUnit.SECONDS));
+            assertEquals(Outcome.CONNECT_FAILED, outcomes.poll(5, TimeUnit.SECONDS));
         }
     }
 
@@ -221,7 +222,7 @@
                 client.send("M 1 x\r\n");
                 assertEquals("MOVE", client.readLine());
                 assertNull(client.readLine());
-                assertEquals(BalancerApi.Outcome.RESET, outcomes.poll(5, TimeUnit.SECONDS));
+                assertEquals(Outcome.RESET, outcomes.poll(5, TimeUnit.SECONDS));
             }
         }
     }
@@ -304,7 +305,7 @@
             String first = server.readLine();
             assertTrue(first == null || server.readLine() == null);
         } catch (java.net.SocketTimeoutException none) {
-            assertEquals(List.of(BalancerApi.Outcome.UNUSED), List.copyOf(outcomes));
+            assertEquals(List.of(Outcome.UNUSED), List.copyOf(outcomes));
         }
     }
 
@@ -368,7 +369,7 @@
             });
             client.send(OPEN_COMMAND);
             assertTrue(client.readLine().matches("BUSY [0-9]+"));
-            assertEquals(BalancerApi.Outcome.UNUSED, outcomes.poll(5, TimeUnit.SECONDS));
+            assertEquals(Outcome.UNUSED, outcomes.poll(5, TimeUnit.SECONDS));
         }
         loop.execute(() -> ports.forEach(UdpSocket::close));
     }
--- a/node/src/test/java/tulipshed/lineprotocol/LoadReportParserTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LoadReportParserTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.LoadReport;
+import tulipshed.decision.api.LoadReport;
 
 /** Load reports are parsed, or rejected as malformed. */
 class LoadReportParserTest {
--- a/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 import tulipshed.limits.Limits;
 import tulipshed.transport.ConnectFailures;
 
--- a/node/src/test/java/tulipshed/lineprotocol/RaceConditionFixture.java
+++ b/node/src/test/java/tulipshed/lineprotocol/RaceConditionFixture.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
 
 /**
  * Forces the order of two concurrent events on real sockets: the event loop is held at the decisive point until the other
--- a/node/src/test/java/tulipshed/peer/PeerSocketTest.java
+++ b/node/src/test/java/tulipshed/peer/PeerSocketTest.java
@@ -25,7 +25,7 @@
 import tulipshed.config.NodeConfig;
 import tulipshed.config.PeerConfig;
 import tulipshed.decision.Balancer;
-import tulipshed.decision.BalancerApi;
+import tulipshed.decision.api.BalancerActions;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.ProxyCore;
@@ -103,7 +103,7 @@
 
     /** Reacts to a message in place of the decision module. */
     private interface MessageHandler {
-        void handle(BalancerApi.Actions actions, int from);
+        void handle(BalancerActions actions, int from);
     }
 
     private void onLoop(Runnable task) throws Exception {
@@ -140,7 +140,7 @@
     void deliversMessagesAndSendsToOnePeerOrAll() throws Exception {
         start(true, (actions, from) -> {
             actions.sendToPeer(from, "to you".getBytes(UTF_8));
-            actions.sendToPeer(BalancerApi.Actions.ALL_PEERS, "to all".getBytes(UTF_8));
+            actions.sendToPeer(BalancerActions.ALL_PEERS, "to all".getBytes(UTF_8));
         });
         sendFromPeer("a");
         sendFromPeer("a");
@@ -213,7 +213,7 @@
     @Test
     void datagramThatTheKernelRefusesIsDroppedAndOthersAreSent() throws Exception {
         start(true, new InetSocketAddress("255.255.255.255", 9), (actions, from) -> {
-            actions.sendToPeer(BalancerApi.Actions.ALL_PEERS, "to all".getBytes(UTF_8));
+            actions.sendToPeer(BalancerActions.ALL_PEERS, "to all".getBytes(UTF_8));
             actions.sendToPeer(from, "to you".getBytes(UTF_8));
         });
         for (int i = 0; i < 3; i++) {
--- a/node/src/test/java/tulipshed/proxy/ActiveSettingsTest.java
+++ b/node/src/test/java/tulipshed/proxy/ActiveSettingsTest.java
@@ -4,9 +4,9 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.RequestClass;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.RequestClass;
 
 /** The settings in force and their replacement. */
 class ActiveSettingsTest {
@@ -15,7 +15,7 @@
     /** Otherwise the decision module would take an earlier request for one of the class that has its index now. */
     @Test
     void deliversNewSettingsAfterEarlierEvents() {
-        Settings old = ProxyCoreFixture.nodeSettings();
+        BalancerSettings old = ProxyCoreFixture.nodeSettings();
         List<RequestClass> classes = old.classes();
         fixture.core.attemptEstablished(fixture.startAttempt(2000));
         fixture.takeRecorded();
@@ -44,7 +44,7 @@
 
     @Test
     void capsRetryDelayAtThatOfTheSettings() {
-        Settings settings = ProxyCoreFixture.nodeSettings();
+        BalancerSettings settings = ProxyCoreFixture.nodeSettings();
         double maxRetryAfterMs = settings.limits().maxRetryAfterUs() / 1000.0;
         ActiveSettings active = new ActiveSettings(settings);
         assertEquals(maxRetryAfterMs, active.retryAfterMs(maxRetryAfterMs + 1));
--- a/node/src/test/java/tulipshed/proxy/AttemptManagerTest.java
+++ b/node/src/test/java/tulipshed/proxy/AttemptManagerTest.java
@@ -6,8 +6,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.Outcome;
 
 /** Start and forwarding of attempts. */
 class AttemptManagerTest {
--- a/node/src/test/java/tulipshed/proxy/EndpointDrainerTest.java
+++ b/node/src/test/java/tulipshed/proxy/EndpointDrainerTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointStatus;
 
 /** Attempts that must leave a draining endpoint. */
 class EndpointDrainerTest {
--- a/node/src/test/java/tulipshed/proxy/EndpointRegistryTest.java
+++ b/node/src/test/java/tulipshed/proxy/EndpointRegistryTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
 
 /** What the core knows of endpoints by their list. */
 class EndpointRegistryTest {
--- a/node/src/test/java/tulipshed/proxy/EstablishedConnectionsTest.java
+++ b/node/src/test/java/tulipshed/proxy/EstablishedConnectionsTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
 /** Connections established through this process. */
--- a/node/src/test/java/tulipshed/proxy/HealthCheckDispatcherTest.java
+++ b/node/src/test/java/tulipshed/proxy/HealthCheckDispatcherTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointStatus;
 
 /** Health checks that the decision module asks for. */
 class HealthCheckDispatcherTest {
--- a/node/src/test/java/tulipshed/proxy/NodeMetricsTest.java
+++ b/node/src/test/java/tulipshed/proxy/NodeMetricsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /** What the core counts. */
 class NodeMetricsTest {
--- a/node/src/test/java/tulipshed/proxy/ProxyCoreFixture.java
+++ b/node/src/test/java/tulipshed/proxy/ProxyCoreFixture.java
@@ -13,14 +13,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 import tulipshed.config.NodeConfig;
-import tulipshed.decision.BalancerApi;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointListKind;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.LoadReport;
-import tulipshed.decision.BalancerApi.NewRequest;
-import tulipshed.decision.BalancerApi.Outcome;
-import tulipshed.decision.BalancerApi.RequestClass;
+import tulipshed.decision.api.BalancerActions;
+import tulipshed.decision.api.BalancerApi;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.EndpointStatus;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
+import tulipshed.decision.api.RequestClass;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.time.ManualClock;
@@ -38,7 +40,7 @@
     /** The attempts that the core opened, in order. */
     final List<Attempt> attempts = new ArrayList<>();
     /** Takes decisions; they are carried out at the end of the next batch. */
-    Actions decisions;
+    BalancerActions decisions;
     /** What this fixture, as decision module, answers for the eligible endpoints of a pool; 0 for other pools. */
     final Map<String, Integer> eligibleByPool = new HashMap<>();
     /** The id of the request of which the decision module was notified last. */
@@ -46,7 +48,7 @@
     /** What this fixture, as connector, answers. */
     boolean mustLeaveDraining;
 
-    final Settings settings;
+    final BalancerSettings settings;
     final ProxyCore core;
     private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
     private final List<Timer> timers = new ArrayList<>();
@@ -89,13 +91,13 @@
     }
 
     /** The settings of {@code node.json}. */
-    static Settings nodeSettings() {
+    static BalancerSettings nodeSettings() {
         return NodeConfig.load(Map.of("PROXY_CONFIG", NODE_SETTINGS.toString())).settings();
     }
 
     /** The settings with other classes. */
-    static Settings withClasses(Settings settings, List<RequestClass> classes) {
-        return new Settings(
+    static BalancerSettings withClasses(BalancerSettings settings, List<RequestClass> classes) {
+        return new BalancerSettings(
                 settings.nodeIndex(),
                 settings.nodeCount(),
                 settings.zone(),
@@ -315,7 +317,7 @@
     }
 
     @Override
-    public void reconfigure(long nowUs, Settings settings) {
+    public void reconfigure(long nowUs, BalancerSettings settings) {
         recorded.add("settings " + settings.classes().size());
     }
 
--- a/node/src/test/java/tulipshed/proxy/RequestLifecycleTest.java
+++ b/node/src/test/java/tulipshed/proxy/RequestLifecycleTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import tulipshed.decision.BalancerApi.Outcome;
+import tulipshed.decision.api.Outcome;
 
 /** The one final response of each request. */
 class RequestLifecycleTest {
--- a/node/src/test/java/tulipshed/proxy/RequestRoutingTest.java
+++ b/node/src/test/java/tulipshed/proxy/RequestRoutingTest.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import tulipshed.config.NodeConfig;
-import tulipshed.decision.BalancerApi.EndpointStatus;
-import tulipshed.decision.BalancerApi.Settings;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.operators.OperatorsFile;
 import tulipshed.routing.Router;
 
@@ -85,11 +85,11 @@
         assertEquals(List.of(), fixture.takeRecorded(), "routes are no longer polled");
     }
 
-    /** Settings may drop a class that a rule assigns, before the rules are reloaded. */
+    /** BalancerSettings may drop a class that a rule assigns, before the rules are reloaded. */
     @Test
     void ignoresClassThatSettingsNoLongerName() {
         fixture.core.useRouter(router("(classify (rule r (when true) (class \"slot-booking\")))"));
-        Settings settings = ProxyCoreFixture.nodeSettings();
+        BalancerSettings settings = ProxyCoreFixture.nodeSettings();
         fixture.core.reconfigure(
                 ProxyCoreFixture.withClasses(settings, settings.classes().subList(0, 2)));
         fixture.takeRecorded();
--- a/node/src/test/java/tulipshed/quic/EndsTest.java
+++ b/node/src/test/java/tulipshed/quic/EndsTest.java
@@ -14,6 +14,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 import tulipshed.connectionid.ConnectionId;
+import tulipshed.decision.api.Outcome;
 import tulipshed.quic.QuicFigures.Figure;
 import tulipshed.quic.StandIns.Client;
 import tulipshed.quic.StandIns.Client.Heard;
@@ -88,9 +89,7 @@
             assertEquals("served", open(first).what());
             QuicSession session = onLoop(() -> front.table.path(first.server).session());
             onLoop(() -> {
-                core.attemptEnded(
-                        core.metrics().activeRequests() > 0 ? session.flow() : null,
-                        tulipshed.decision.BalancerApi.Outcome.RESET);
+                core.attemptEnded(core.metrics().activeRequests() > 0 ? session.flow() : null, Outcome.RESET);
                 session.abandon(session.flow());
                 return null;
             });
@@ -335,7 +334,7 @@
                 client.send(close(client));
                 // Its attempt fails in the turn in which the close is still unread.
                 QuicSession session = front.table.path(client.first).session();
-                core.attemptEnded(session.flow(), tulipshed.decision.BalancerApi.Outcome.FULL);
+                core.attemptEnded(session.flow(), Outcome.FULL);
                 session.abandon(session.flow());
                 return null;
             });
--- a/node/src/test/java/tulipshed/quic/MigrationTest.java
+++ b/node/src/test/java/tulipshed/quic/MigrationTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import tulipshed.connectionid.ConnectionId;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.quic.QuicFigures.Figure;
 import tulipshed.quic.StandIns.Client;
 import tulipshed.quic.StandIns.Client.Heard;
--- a/node/src/test/java/tulipshed/quic/QuicFrontTest.java
+++ b/node/src/test/java/tulipshed/quic/QuicFrontTest.java
@@ -17,7 +17,7 @@
 import tulipshed.config.NodeConfig;
 import tulipshed.connectionid.ConnectionId;
 import tulipshed.connectionid.ServerIds;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.quic.StandIns.Client;
 import tulipshed.quic.StandIns.Client.Heard;
 import tulipshed.quic.StandIns.Server;
--- a/node/src/test/java/tulipshed/routing/RouterTest.java
+++ b/node/src/test/java/tulipshed/routing/RouterTest.java
@@ -15,8 +15,8 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import tulipshed.config.NodeConfig;
-import tulipshed.decision.BalancerApi.EndpointInfo;
-import tulipshed.decision.BalancerApi.EndpointStatus;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointStatus;
 import tulipshed.operators.OperatorsFile;
 
 class RouterTest {
--- a/node/src/test/java/tulipshed/simadapter/AdapterTest.java
+++ b/node/src/test/java/tulipshed/simadapter/AdapterTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.decision.Balancer;
-import tulipshed.decision.BalancerApi.Actions;
+import tulipshed.decision.api.BalancerActions;
 import tulipshed.testing.DelegatingBalancer;
 
 /** Tests of the adapter with recorded input and output lines. */
@@ -91,7 +91,7 @@
                     @Override
                     public void peerMessageReceived(long at, int from, byte[] body) {
                         actions.sendToPeer(from, body);
-                        actions.sendToPeer(Actions.ALL_PEERS, new byte[] {1, 2});
+                        actions.sendToPeer(BalancerActions.ALL_PEERS, new byte[] {1, 2});
                     }
                 });
         assertTrue(
--- a/node/src/test/java/tulipshed/testing/DelegatingBalancer.java
+++ b/node/src/test/java/tulipshed/testing/DelegatingBalancer.java
@@ -3,7 +3,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tulipshed.decision.BalancerApi;
+import tulipshed.decision.api.BalancerApi;
+import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.NewRequest;
+import tulipshed.decision.api.Outcome;
 
 /** A balancer that passes every event to another one; tests override the events that they observe. */
 public class DelegatingBalancer implements BalancerApi {
@@ -81,7 +87,7 @@
     }
 
     @Override
-    public void reconfigure(long now, Settings settings) {
+    public void reconfigure(long now, BalancerSettings settings) {
         delegate.reconfigure(now, settings);
     }
 
