--- a/emulator/src/main/java/tulipshed/emulator/acceptance/Verdict.java
+++ b/emulator/src/main/java/tulipshed/emulator/acceptance/AcceptanceResult.java
@@ -1,9 +1,9 @@
 package tulipshed.emulator.acceptance;
 
 import java.util.Locale;
-import tulipshed.emulator.invariants.Rule;
-import tulipshed.emulator.invariants.RuleReport;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.invariants.Invariant;
+import tulipshed.emulator.invariants.InvariantReport;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.scenario.Scenario;
 
 /**
@@ -11,8 +11,8 @@
  * how far the class that came off worst lies above what the gate wants of it, how near the nodes came to pushing a cold
  * member over by the operators' formula and by the stricter rule here, and why the gate is missed, or null.
  */
-public record Verdict(
-        DayKind kind,
+public record AcceptanceResult(
+        ScenarioKind kind,
         long seed,
         int nodes,
         int members,
@@ -41,19 +41,19 @@
 
     private static final double TENANT_PART = 1.0 / 3;
 
-    static double wants(DayKind kind, double seesLate, double plainest) {
+    static double wants(ScenarioKind kind, double seesLate, double plainest) {
         double half = PART * seesLate;
-        return kind == DayKind.CALM ? Math.max(half, Math.min(plainest - PLAIN_LESS, seesLate - LATE_LESS)) : half;
+        return kind == ScenarioKind.CALM ? Math.max(half, Math.min(plainest - PLAIN_LESS, seesLate - LATE_LESS)) : half;
     }
 
     /** Judges the node by what it, one who sees true states late, and the plainest policy served on the same day. */
-    public static Verdict of(DayKind kind, long seed, Outcome node, Outcome late, Outcome plain) {
+    public static AcceptanceResult of(ScenarioKind kind, long seed, RunResult node, RunResult late, RunResult plain) {
         double served = node.figure("service");
         double wants = wants(kind, late.figure("service"), plain.figure("service"));
         Scenario.ClassOf worst = null;
         double classMargin = Double.POSITIVE_INFINITY;
         for (Scenario.ClassOf c : node.scenario().classes()) {
-            double above = node.figure(Outcome.served(c)) - PART * late.figure(Outcome.served(c));
+            double above = node.figure(RunResult.served(c)) - PART * late.figure(RunResult.served(c));
             if (counts(c, node, late) && above < classMargin) {
                 classMargin = above;
                 worst = c;
@@ -71,11 +71,11 @@
                     Locale.ROOT,
                     "class %s served %.3f of its worth, the gate wants %.3f",
                     worst.name(),
-                    node.figure(Outcome.served(worst)),
-                    PART * late.figure(Outcome.served(worst)));
+                    node.figure(RunResult.served(worst)),
+                    PART * late.figure(RunResult.served(worst)));
         }
         fault = fault == null ? tenantBelow(node, late) : fault;
-        return new Verdict(
+        return new AcceptanceResult(
                 kind,
                 seed,
                 node.scenario().nodes().count(),
@@ -93,27 +93,27 @@
     }
 
     /** Whether a class is judged by itself: it is asked for or worth enough, and can be served. */
-    private static boolean counts(Scenario.ClassOf c, Outcome node, Outcome late) {
+    private static boolean counts(Scenario.ClassOf c, RunResult node, RunResult late) {
         double worth = 0;
         for (Scenario.ClassOf other : node.scenario().classes()) {
-            worth += node.figure(Outcome.asked(other)) * other.worth();
+            worth += node.figure(RunResult.asked(other)) * other.worth();
         }
-        double asked = node.figure(Outcome.asked(c));
+        double asked = node.figure(RunResult.asked(c));
         return (asked >= CLASS_ASKED || asked * c.worth() >= CLASS_ASKED * worth)
-                && late.figure(Outcome.served(c)) >= CLASS_SERVED;
+                && late.figure(RunResult.served(c)) >= CLASS_SERVED;
     }
 
     /** What is wrong where a tenant with enough of the worth inside shares gets too little; null where none does. */
-    private static String tenantBelow(Outcome node, Outcome late) {
+    private static String tenantBelow(RunResult node, RunResult late) {
         for (Scenario.TenantOf t : node.scenario().tenants()) {
             if (node.scenario().tenants().size() > 1 && t.share() >= TENANT_SHARE) {
-                double wants = TENANT_PART * late.figure(Outcome.served(t));
-                if (node.figure(Outcome.served(t)) < wants) {
+                double wants = TENANT_PART * late.figure(RunResult.served(t));
+                if (node.figure(RunResult.served(t)) < wants) {
                     return String.format(
                             Locale.ROOT,
                             "tenant %s was served %.3f of its worth, the gate wants %.3f",
                             t.name(),
-                            node.figure(Outcome.served(t)),
+                            node.figure(RunResult.served(t)),
                             wants);
                 }
             }
@@ -122,14 +122,14 @@
     }
 
     /** A day on which the node's own code threw. */
-    static Verdict crashed(DayKind kind, long seed, Throwable why) {
+    static AcceptanceResult crashed(ScenarioKind kind, long seed, Throwable why) {
         StackTraceElement at = why.getStackTrace().length > 0 ? why.getStackTrace()[0] : null;
-        return new Verdict(
+        return new AcceptanceResult(
                 kind, seed, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, "crash: " + why + (at == null ? "" : " at " + at));
     }
 
-    private static String broken(RuleReport rules) {
-        for (Rule r : Rule.values()) {
+    private static String broken(InvariantReport rules) {
+        for (Invariant r : Invariant.values()) {
             if (rules.broken(r) > 0) {
                 return "rule " + r.name().toLowerCase(Locale.ROOT).replace('_', '-') + " broken " + rules.broken(r)
                         + " times, first at " + Math.round(rules.first(r).atMs()) + " ms: "
--- a/emulator/src/main/java/tulipshed/emulator/acceptance/Gate.java
+++ b/emulator/src/main/java/tulipshed/emulator/acceptance/AcceptanceRunner.java
@@ -10,31 +10,32 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.model.World;
 import tulipshed.emulator.scenario.Overrides;
 
 /** Plays days and judges them. What comes of each depends on its kind, seed and size alone. */
-public final class Gate {
+public final class AcceptanceRunner {
     private static final String SEES_LATE = "sees-late-1000";
     private static final String PLAINEST = "random";
 
-    private final DayDraw.Size size;
+    private final ScenarioGenerator.Size size;
     private final String policy;
     private final Map<String, String> set;
-    private final DayDraw.Beside beside;
+    private final ScenarioGenerator.Beside beside;
 
     /**
      * A gate for nodes whose decisions are those of a policy.
      *
      * @param set figures that replace those of the days, by path
      */
-    public Gate(DayDraw.Size size, String policy, Map<String, String> set) {
-        this(size, DayDraw.Beside.NOTHING, policy, set);
+    public AcceptanceRunner(ScenarioGenerator.Size size, String policy, Map<String, String> set) {
+        this(size, ScenarioGenerator.Beside.NOTHING, policy, set);
     }
 
     /** A gate of days with more beside what is drawn. */
-    public Gate(DayDraw.Size size, DayDraw.Beside beside, String policy, Map<String, String> set) {
+    public AcceptanceRunner(
+            ScenarioGenerator.Size size, ScenarioGenerator.Beside beside, String policy, Map<String, String> set) {
         this.size = size;
         this.beside = beside;
         this.policy = policy;
@@ -42,20 +43,20 @@
     }
 
     /** Plays one day three times: by the node, by one who sees true states late, and by the plainest. */
-    public Verdict play(DayKind kind, long seed) {
-        Outcome late = run(kind, seed, SEES_LATE);
-        Outcome plain = run(kind, seed, PLAINEST);
+    public AcceptanceResult play(ScenarioKind kind, long seed) {
+        RunResult late = run(kind, seed, SEES_LATE);
+        RunResult plain = run(kind, seed, PLAINEST);
         try {
-            return Verdict.of(kind, seed, run(kind, seed, policy), late, plain);
+            return AcceptanceResult.of(kind, seed, run(kind, seed, policy), late, plain);
         } catch (RuntimeException | AssertionError e) {
-            return Verdict.crashed(kind, seed, e);
+            return AcceptanceResult.crashed(kind, seed, e);
         }
     }
 
-    private Outcome run(DayKind kind, long seed, String by) {
+    private RunResult run(ScenarioKind kind, long seed, String by) {
         Map<String, String> figures = new TreeMap<>(set);
         figures.put("policy", by);
-        return new World(DayDraw.scenario(kind, seed, size, beside, new Overrides(figures)), seed, 1).run();
+        return new World(ScenarioGenerator.scenario(kind, seed, size, beside, new Overrides(figures)), seed, 1).run();
     }
 
     /**
@@ -63,18 +64,19 @@
      *
      * @param threads days at a time; verdicts are the same for any number
      */
-    public List<Verdict> play(List<DayKind> kinds, long firstSeed, int seeds, int threads, Consumer<Verdict> listener) {
+    public List<AcceptanceResult> play(
+            List<ScenarioKind> kinds, long firstSeed, int seeds, int threads, Consumer<AcceptanceResult> listener) {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<Verdict>> days = new ArrayList<>();
-            for (DayKind k : kinds) {
+            List<Future<AcceptanceResult>> days = new ArrayList<>();
+            for (ScenarioKind k : kinds) {
                 for (long s = firstSeed; s < firstSeed + seeds; s++) {
                     long seed = s;
                     days.add(pool.submit(() -> play(k, seed)));
                 }
             }
-            List<Verdict> out = new ArrayList<>();
-            for (Future<Verdict> d : days) {
+            List<AcceptanceResult> out = new ArrayList<>();
+            for (Future<AcceptanceResult> d : days) {
                 out.add(d.get());
                 listener.accept(out.get(out.size() - 1));
             }
--- a/emulator/src/main/java/tulipshed/emulator/acceptance/DayDraw.java
+++ b/emulator/src/main/java/tulipshed/emulator/acceptance/ScenarioGenerator.java
@@ -12,14 +12,14 @@
  * Draws a day of a kind from a seed, as the text of a scenario: whoever wants to look at one keeps the text and plays it
  * like any other. The ranges are those that the operators state for their site.
  */
-public final class DayDraw {
+public final class ScenarioGenerator {
     private static final int LENGTH_S = 45;
     private static final int SETTLE_S = 3;
     private static final double MEAN_OF_USUAL = 0.68; // what all classes ask for in the mean, of the first one's load
     private static final double CORES_A_MEMBER = 2.1; // cores times their speed, in the mean
     private static final int CALLS_A_MEMBER = 4; // of discovery: a list is asked for again after each change
 
-    private final DayKind kind;
+    private final ScenarioKind kind;
     private final UniformRandomProvider random;
     private final StringBuilder text = new StringBuilder();
     private final Beside beside;
@@ -36,11 +36,11 @@
         public static final Beside NOTHING = new Beside(0, "");
     }
 
-    private DayDraw(DayKind kind, long seed, Size size, Beside beside) {
+    private ScenarioGenerator(ScenarioKind kind, long seed, Size size, Beside beside) {
         this.kind = kind;
         this.beside = beside;
         // One number, which the source spreads over its state: seeds that follow on each other draw nothing alike.
-        random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * DayKind.values().length + kind.ordinal());
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * ScenarioKind.values().length + kind.ordinal());
         // One site in six days has no zones.
         sites = random.nextInt(6) == 0 ? 1 : 3 + random.nextInt(3);
         nodes = (int) Math.max(1, Math.round(size.nodes * between(0.92, 1.08)));
@@ -48,13 +48,13 @@
     }
 
     /** The text of the day. */
-    public static String text(DayKind kind, long seed, Size size) {
+    public static String text(ScenarioKind kind, long seed, Size size) {
         return text(kind, seed, size, Beside.NOTHING);
     }
 
     /** The text of the day with more beside it. */
-    public static String text(DayKind kind, long seed, Size size, Beside beside) {
-        DayDraw d = new DayDraw(kind, seed, size, beside);
+    public static String text(ScenarioKind kind, long seed, Size size, Beside beside) {
+        ScenarioGenerator d = new ScenarioGenerator(kind, seed, size, beside);
         d.site();
         d.day();
         d.oneOfTheSite();
@@ -64,7 +64,7 @@
     }
 
     /** The day, played by that policy. */
-    static Scenario scenario(DayKind kind, long seed, Size size, Beside beside, Overrides overrides) {
+    static Scenario scenario(ScenarioKind kind, long seed, Size size, Beside beside, Overrides overrides) {
         return ScenarioReader.read(
                 kind.word() + "-" + seed, text(kind, seed, size, beside).getBytes(StandardCharsets.UTF_8), overrides);
     }
@@ -140,7 +140,7 @@
                 between(150, 900),
                 between(0.94, 1.5),
                 between(0.3, 0.9));
-        double calls = kind == DayKind.HERD ? between(0.15, 0.4) : between(0.5, 1.5);
+        double calls = kind == ScenarioKind.HERD ? between(0.15, 0.4) : between(0.5, 1.5);
         say(
                 "(discovery (lag-ms %.0f) (detect-ms %.0f) (silent-ms %.0f) (calls-per-s %.1f) (waiting %d))",
                 between(500, 2500),
@@ -255,7 +255,7 @@
     /** One of the site's own troubles comes beside each day's. */
     private void oneOfTheSite() {
         double at = between(25, 31);
-        switch (random.nextInt(kind == DayKind.CALM ? 2 : 5)) {
+        switch (random.nextInt(kind == ScenarioKind.CALM ? 2 : 5)) {
             case 0 -> {
                 for (int i = 0; i < 3; i++) {
                     trouble(
--- a/emulator/src/main/java/tulipshed/emulator/acceptance/DayKind.java
+++ b/emulator/src/main/java/tulipshed/emulator/acceptance/ScenarioKind.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 
 /** The kinds of day, by the operators' names. */
-public enum DayKind {
+public enum ScenarioKind {
     /** No fault; a burst, and traffic that shifts between zones. */
     CALM,
     /** Half of the members replaced in steps while all nodes are restarted by tenths, and discovery moves. */
@@ -26,7 +26,7 @@
 
     /** All names, in the order in which they are played. */
     public static List<String> words() {
-        return Arrays.stream(values()).map(DayKind::word).toList();
+        return Arrays.stream(values()).map(ScenarioKind::word).toList();
     }
 
     /**
@@ -34,11 +34,11 @@
      *
      * @throws IllegalArgumentException where there is none, with the nearest
      */
-    public static DayKind of(String word) {
+    public static ScenarioKind of(String word) {
         return Arrays.stream(values())
                 .filter(k -> k.word().equals(word))
                 .findFirst()
                 .orElseThrow(() -> new IllegalArgumentException("no day is called " + word + "; expected one of "
-                        + String.join(", ", words()) + tulipshed.sexpr.Spelling.hint(word, words())));
+                        + String.join(", ", words()) + tulipshed.sexpr.NameSuggestions.hint(word, words())));
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/cli/AcceptanceCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/AcceptanceCommand.java
@@ -12,10 +12,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tulipshed.emulator.acceptance.DayDraw;
-import tulipshed.emulator.acceptance.DayKind;
-import tulipshed.emulator.acceptance.Gate;
-import tulipshed.emulator.acceptance.Verdict;
+import tulipshed.emulator.acceptance.AcceptanceResult;
+import tulipshed.emulator.acceptance.AcceptanceRunner;
+import tulipshed.emulator.acceptance.ScenarioGenerator;
+import tulipshed.emulator.acceptance.ScenarioKind;
 
 /** Plays the days of the standing test; exit code 1 where one of them fails. */
 @Command(
@@ -85,15 +85,15 @@
             throw new IllegalArgumentException(
                     "--seeds, --threads, --nodes and --members are 1 or more, --quiet-s 0 or more");
         }
-        List<DayKind> kinds = (days.isEmpty() ? DayKind.words() : days)
-                .stream().map(DayKind::of).distinct().toList();
-        DayDraw.Size size = new DayDraw.Size(nodes, members);
-        DayDraw.Beside beside = new DayDraw.Beside(quietS, String.join("\n", forms));
+        List<ScenarioKind> kinds = (days.isEmpty() ? ScenarioKind.words() : days)
+                .stream().map(ScenarioKind::of).distinct().toList();
+        ScenarioGenerator.Size size = new ScenarioGenerator.Size(nodes, members);
+        ScenarioGenerator.Beside beside = new ScenarioGenerator.Beside(quietS, String.join("\n", forms));
         PrintWriter w = spec.commandLine().getOut();
         if (print) {
             kinds.forEach(k -> {
                 for (long s = first; s < first + seeds; s++) {
-                    w.print(DayDraw.text(k, s, size, beside));
+                    w.print(ScenarioGenerator.text(k, s, size, beside));
                 }
             });
             w.flush();
@@ -115,40 +115,41 @@
                 "refused",
                 "strain");
         long began = System.nanoTime();
-        List<Verdict> all = new Gate(size, beside, policy, set).play(kinds, first, seeds, threads, v -> {
-            w.printf(
-                    Locale.ROOT,
-                    "%-6s %5d  %5d x %-7d %7.3f %10.3f %9.3f %6.3f %7.3f %9.2f %8.2f %7.3f%s%n",
-                    v.kind().word(),
-                    v.seed(),
-                    v.nodes(),
-                    v.members(),
-                    v.served(),
-                    v.seesLate(),
-                    v.plainest(),
-                    v.wants(),
-                    v.margin(),
-                    v.attempts(),
-                    v.refused(),
-                    v.strain(),
-                    v.passed() ? "" : "  FAILED");
-            w.flush();
-        });
+        List<AcceptanceResult> all = new AcceptanceRunner(size, beside, policy, set)
+                .play(kinds, first, seeds, threads, v -> {
+                    w.printf(
+                            Locale.ROOT,
+                            "%-6s %5d  %5d x %-7d %7.3f %10.3f %9.3f %6.3f %7.3f %9.2f %8.2f %7.3f%s%n",
+                            v.kind().word(),
+                            v.seed(),
+                            v.nodes(),
+                            v.members(),
+                            v.served(),
+                            v.seesLate(),
+                            v.plainest(),
+                            v.wants(),
+                            v.margin(),
+                            v.attempts(),
+                            v.refused(),
+                            v.strain(),
+                            v.passed() ? "" : "  FAILED");
+                    w.flush();
+                });
         w.printf(
                 Locale.ROOT,
                 "%d days in %.1f s, lowest margin %.3f%n",
                 all.size(),
                 (System.nanoTime() - began) / 1e9,
-                all.stream().mapToDouble(Verdict::margin).min().orElse(0));
+                all.stream().mapToDouble(AcceptanceResult::margin).min().orElse(0));
         w.printf(
                 Locale.ROOT,
                 "highest strain of slow start %.3f by the operators' formula, %.3f by the rule here%n",
-                all.stream().mapToDouble(Verdict::strain).max().orElse(0),
-                all.stream().mapToDouble(Verdict::ownStrain).max().orElse(0));
+                all.stream().mapToDouble(AcceptanceResult::strain).max().orElse(0),
+                all.stream().mapToDouble(AcceptanceResult::ownStrain).max().orElse(0));
         all.stream()
-                .filter(v -> v.passed() && v.margin() < (v.kind() == DayKind.CALM ? NEAR_CALM : NEAR))
+                .filter(v -> v.passed() && v.margin() < (v.kind() == ScenarioKind.CALM ? NEAR_CALM : NEAR))
                 .forEach(v -> w.printf(Locale.ROOT, "near: %s, margin %.3f%n", v.day(), v.margin()));
-        List<Verdict> failed = all.stream().filter(v -> !v.passed()).toList();
+        List<AcceptanceResult> failed = all.stream().filter(v -> !v.passed()).toList();
         failed.forEach(v -> w.printf("%s --nodes %d --members %d: %s%n", v.day(), nodes, members, v.fault()));
         w.println(
                 failed.isEmpty()
--- a/emulator/src/main/java/tulipshed/emulator/cli/CompareCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/CompareCommand.java
@@ -119,7 +119,7 @@
             for (String figure : figures) {
                 if (!left.get(pairs.get(0)).containsKey(figure)) {
                     throw new IllegalArgumentException("no figure is called " + figure
-                            + tulipshed.sexpr.Spelling.hint(
+                            + tulipshed.sexpr.NameSuggestions.hint(
                                     figure, left.get(pairs.get(0)).keySet()));
                 }
                 double[] x = pairs.stream()
@@ -128,7 +128,8 @@
                 double[] y = pairs.stream()
                         .mapToDouble(k -> ((Number) right.get(k).get(figure)).doubleValue())
                         .toArray();
-                w.println((part.isEmpty() ? "" : "  ") + Pairs.of(x, y).verdict(figure, a, b, !LESS.contains(figure)));
+                w.println((part.isEmpty() ? "" : "  ")
+                        + PairedDifferences.of(x, y).verdict(figure, a, b, !LESS.contains(figure)));
             }
         });
         w.flush();
--- a/emulator/src/main/java/tulipshed/emulator/cli/Experiment.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/Experiment.java
@@ -13,10 +13,10 @@
 import tulipshed.emulator.scenario.Overrides;
 import tulipshed.emulator.scenario.Scenario;
 import tulipshed.emulator.scenario.ScenarioReader;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Problems;
+import tulipshed.sexpr.NameSuggestions;
 import tulipshed.sexpr.SexprReader;
-import tulipshed.sexpr.Spelling;
 
 /**
  * A plan of many runs: some scenarios, each for every combination of the figures that vary, or for some drawn by chance,
@@ -36,9 +36,9 @@
     private int draws;
     private int seeds = 1;
     private int firstSeed = 1;
-    private final Problems problems;
+    private final Diagnostics problems;
 
-    private Experiment(Problems problems) {
+    private Experiment(Diagnostics problems) {
         this.problems = problems;
     }
 
@@ -48,7 +48,7 @@
      * @throws IllegalArgumentException with all that is wrong, a line each
      */
     static Experiment load(Path file) {
-        Problems problems = new Problems(file.toString());
+        Diagnostics problems = new Diagnostics(file.toString());
         Experiment e = new Experiment(problems);
         try {
             for (Form f : SexprReader.read(Files.readAllBytes(file), BOUNDS, problems)) {
@@ -64,7 +64,7 @@
             throw new UncheckedIOException(x);
         }
         if (problems.none() && e.scenarios.isEmpty()) {
-            problems.add(tulipshed.sexpr.Place.START, "no (scenario \"FILE\")");
+            problems.add(tulipshed.sexpr.SourcePosition.START, "no (scenario \"FILE\")");
         }
         if (!problems.none()) {
             throw new IllegalArgumentException(problems.toString());
@@ -97,7 +97,8 @@
                 }
             }
             default ->
-                problems.add(s.place(), "nothing is called " + s.head() + " here" + Spelling.hint(s.head(), KNOWN));
+                problems.add(
+                        s.place(), "nothing is called " + s.head() + " here" + NameSuggestions.hint(s.head(), KNOWN));
         }
     }
 
@@ -161,7 +162,7 @@
                 for (Map<String, String> p : points) {
                     Overrides o = new Overrides(p);
                     Scenario s = ScenarioReader.load(file, o);
-                    out.add(new Planned(Runs.key(s, o, seed), s, o, seed));
+                    out.add(new Planned(RunKeys.key(s, o, seed), s, o, seed));
                 }
             }
         }
--- a/emulator/src/main/java/tulipshed/emulator/cli/FaultInjectionCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/FaultInjectionCommand.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import tulipshed.emulator.faultinjection.TrialRun;
-import tulipshed.emulator.faultinjection.Verdict;
+import tulipshed.emulator.faultinjection.FaultInjectionResult;
+import tulipshed.emulator.faultinjection.FaultInjectionRun;
 import tulipshed.emulator.scenario.Scenario;
 
 /** Plays a scenario with real nodes whose links to members and discovery fail as it says, and judges what came of it. */
@@ -66,8 +66,8 @@
         PrintWriter out = spec.commandLine().getOut();
         int worst = 0;
         for (long seed = options.seed; seed < options.seed + seeds; seed++) {
-            try (TrialRun trial = new TrialRun(s, seed, jar)) {
-                Verdict v = trial.play(new Verdict.Bounds(attempts, 1000 * wholeS, whole));
+            try (FaultInjectionRun trial = new FaultInjectionRun(s, seed, jar)) {
+                FaultInjectionResult v = trial.play(new FaultInjectionResult.Bounds(attempts, 1000 * wholeS, whole));
                 tell(out, s, seed, v);
                 if (v.breachMs() >= 0) {
                     out.println("  what the nodes said around the first breach:");
@@ -81,7 +81,7 @@
         return worst;
     }
 
-    private static void tell(PrintWriter out, Scenario s, long seed, Verdict v) {
+    private static void tell(PrintWriter out, Scenario s, long seed, FaultInjectionResult v) {
         out.printf(
                 Locale.ROOT,
                 "%s --seed %d: %s%n",
--- a/emulator/src/main/java/tulipshed/emulator/cli/LoadTestCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/LoadTestCommand.java
@@ -13,9 +13,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import tulipshed.emulator.loadtest.LoadRun;
+import tulipshed.emulator.loadtest.LoadTestRun;
 import tulipshed.emulator.loadtest.NodeUsage;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.results.Results;
 import tulipshed.emulator.scenario.Overrides;
 import tulipshed.emulator.scenario.Scenario;
@@ -45,8 +45,8 @@
         Path jar = node.path();
         Overrides overrides = options.overrides();
         Scenario scenario = options.scenario(overrides);
-        try (LoadRun run = new LoadRun(scenario, options.seed, jar)) {
-            Outcome o = run.run().as("sockets");
+        try (LoadTestRun run = new LoadTestRun(scenario, options.seed, jar)) {
+            RunResult o = run.run().as("sockets");
             PrintWriter w = spec.commandLine().getOut();
             w.printf(
                     Locale.ROOT,
@@ -63,7 +63,7 @@
             w.flush();
             if (out != null) {
                 try (Results results = new Results(out)) {
-                    String key = Runs.key(o.scenario(), overrides, options.seed);
+                    String key = RunKeys.key(o.scenario(), overrides, options.seed);
                     results.writeNodes(key, usage);
                     results.write(key, overrides.values(), o);
                 }
--- a/emulator/src/main/java/tulipshed/emulator/cli/Pairs.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/PairedDifferences.java
@@ -6,12 +6,12 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** Differences over pairs of runs that had the same chance, and what they show. */
-record Pairs(int count, double meanA, double meanB, double difference, double low, double high) {
+record PairedDifferences(int count, double meanA, double meanB, double difference, double low, double high) {
     private static final int RESAMPLES = 10_000;
     private static final double OUTSIDE = 0.025; // on each side of the interval
 
     /** Of two figures each, in pairs; the interval is the percentile bootstrap's, 95 in 100. */
-    static Pairs of(double[] a, double[] b) {
+    static PairedDifferences of(double[] a, double[] b) {
         int n = a.length;
         double[] difference = new double[n];
         for (int i = 0; i < n; i++) {
@@ -27,7 +27,7 @@
             means[r] = sum / n;
         }
         Arrays.sort(means);
-        return new Pairs(
+        return new PairedDifferences(
                 n,
                 mean(a),
                 mean(b),
--- a/emulator/src/main/java/tulipshed/emulator/cli/Plots.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/Plots.java
@@ -66,7 +66,7 @@
         if (values.length < 2) {
             return 0;
         }
-        double mean = Pairs.mean(values);
+        double mean = PairedDifferences.mean(values);
         double square = 0;
         for (double v : values) {
             square += (v - mean) * (v - mean);
--- a/emulator/src/main/java/tulipshed/emulator/cli/ReportCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/ReportCommand.java
@@ -73,7 +73,7 @@
             List<Map<String, Object>> runs = results.read("run");
             if (!runs.get(0).containsKey(x)) {
                 throw new IllegalArgumentException("no column is called " + x
-                        + tulipshed.sexpr.Spelling.hint(x, runs.get(0).keySet()));
+                        + tulipshed.sexpr.NameSuggestions.hint(x, runs.get(0).keySet()));
             }
             page.append("<!doctype html><html lang=en><meta charset=utf-8><title>")
                     .append(escape(folder.getFileName().toString()))
@@ -155,7 +155,7 @@
             double[] values = points.get(xs[i]).stream()
                     .mapToDouble(r -> Plots.number(r, figure))
                     .toArray();
-            ys[i] = Pairs.mean(values);
+            ys[i] = PairedDifferences.mean(values);
             errors[i] = Plots.error(values);
         }
         return new Plots.Line(name, xs, ys, errors);
@@ -176,7 +176,7 @@
                         .append(String.format(
                                 Locale.ROOT,
                                 "%.3f",
-                                Pairs.mean(rows.stream()
+                                PairedDifferences.mean(rows.stream()
                                         .mapToDouble(r -> Plots.number(r, f))
                                         .toArray())));
             }
--- a/emulator/src/main/java/tulipshed/emulator/cli/RunCommand.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/RunCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.model.World;
 import tulipshed.emulator.results.Results;
 import tulipshed.emulator.scenario.Overrides;
@@ -34,7 +34,7 @@
     public Integer call() {
         Overrides overrides = options.overrides();
         Scenario scenario = options.scenario(overrides);
-        Outcome o = new World(scenario, options.seed, threads).run();
+        RunResult o = new World(scenario, options.seed, threads).run();
         PrintWriter w = spec.commandLine().getOut();
         w.printf(
                 Locale.ROOT,
@@ -52,7 +52,7 @@
         w.flush();
         if (out != null) {
             try (Results results = new Results(out)) {
-                results.write(Runs.key(scenario, overrides, options.seed), overrides.values(), o);
+                results.write(RunKeys.key(scenario, overrides, options.seed), overrides.values(), o);
             }
         }
         return 0;
--- a/emulator/src/main/java/tulipshed/emulator/cli/Runs.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/RunKeys.java
@@ -9,8 +9,8 @@
 import tulipshed.emulator.scenario.Scenario;
 
 /** Names runs by all that they depend on, so that none is done twice and none is taken for another. */
-final class Runs {
-    private Runs() {}
+final class RunKeys {
+    private RunKeys() {}
 
     static String key(Scenario scenario, Overrides overrides, long seed) {
         try {
--- a/emulator/src/main/java/tulipshed/emulator/engine/Part.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/Actor.java
@@ -4,14 +4,14 @@
  * One part of the emulated world: a node, a pool member, discovery. It owns its state; all that others learn of it they
  * learn from messages, so parts may run at the same time.
  */
-public abstract class Part {
+public abstract class Actor {
     private final int id;
     private Shard shard;
     private long sent;
     private long seen;
 
     /** A part by a number of its own, which orders what arrives at the same moment. */
-    protected Part(int id) {
+    protected Actor(int id) {
         this.id = id;
     }
 
@@ -42,7 +42,7 @@
     }
 
     /** Sends to another part; at least the engine's window must lie between. */
-    protected final void send(double atMs, Part to, int kind, Object what, double value) {
+    protected final void send(double atMs, Actor to, int kind, Object what, double value) {
         shard.send(new Message(atMs, to, id, sent++, kind, what, value));
     }
 
--- a/emulator/src/main/java/tulipshed/emulator/engine/Engine.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/Engine.java
@@ -12,7 +12,7 @@
 public final class Engine {
     private final Shard[] shards;
     private final double windowMs;
-    private final List<Part> parts = new ArrayList<>();
+    private final List<Actor> parts = new ArrayList<>();
 
     /**
      * An engine on that many threads.
@@ -36,7 +36,7 @@
     }
 
     /** Adds a part; all are there before the first run. */
-    public void add(Part part) {
+    public void add(Actor part) {
         // A mixed number: neighbours are of one sort, and would be alone on a shard with their work.
         part.on(shards[Math.floorMod(Integer.hashCode(part.id() * 0x9E3779B9) >>> 8, shards.length)]);
         parts.add(part);
@@ -123,7 +123,7 @@
     /** A number that differs, but for chance, where any part was told anything else or in another order. */
     public long trace() {
         long sum = 0;
-        for (Part p : parts) {
+        for (Actor p : parts) {
             sum += p.seen() * (2L * p.id() + 1);
         }
         return sum;
--- a/emulator/src/main/java/tulipshed/emulator/engine/Message.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/Message.java
@@ -3,7 +3,7 @@
 /** Something that arrives at a part at a moment. Messages of one moment come in the order of sender and number. */
 public final class Message implements Comparable<Message> {
     final double atMs;
-    final Part to;
+    final Actor to;
     final int from;
     final long number;
     /** What it is, in the terms of the part that it goes to. */
@@ -13,7 +13,7 @@
     /** A figure that goes with it. */
     public final double value;
 
-    Message(double atMs, Part to, int from, long number, int kind, Object what, double value) {
+    Message(double atMs, Actor to, int from, long number, int kind, Object what, double value) {
         this.atMs = atMs;
         this.to = to;
         this.from = from;
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/Fault.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/Fault.java
@@ -18,7 +18,7 @@
         double untilMs,
         Set<Integer> nodes,
         Set<Integer> members,
-        Condition condition,
+        LinkState condition,
         double share,
         boolean midLine) {
 
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/Relays.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/FaultInjectionProxy.java
@@ -13,19 +13,19 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.stream.Collectors;
 import org.apache.commons.rng.UniformRandomProvider;
-import tulipshed.emulator.loadtest.Ways;
+import tulipshed.emulator.loadtest.NetworkPaths;
 
 /**
  * All links of a trial, on one thread of their own. What a round of reading shows is told ends first: a node ends one flow
  * before it opens the next, but two sockets have no order.
  */
-final class Relays implements AutoCloseable {
+final class FaultInjectionProxy implements AutoCloseable {
     private static final int READ_BYTES = 64 * 1024;
     private static final long TURN_MS = 1;
 
     private final Selector selector = Selector.open();
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final List<StreamLink> links = new ArrayList<>();
+    private final List<ProxiedLink> links = new ArrayList<>();
     private final ByteBuffer scratch = ByteBuffer.allocateDirect(READ_BYTES);
     private final List<Runnable> ends = new ArrayList<>();
     private final List<First> firsts = new ArrayList<>();
@@ -40,7 +40,7 @@
     private record First(long connection, boolean end, Runnable what) {}
 
     /** Links whose jitter is drawn from {@code random}. */
-    Relays(UniformRandomProvider random) throws IOException {
+    FaultInjectionProxy(UniformRandomProvider random) throws IOException {
         this.random = random;
         thread = new Thread(this::turns, "relays");
         thread.setDaemon(true);
@@ -48,8 +48,8 @@
     }
 
     /** A link to an address; the ear, which may be null, is told on the relays' thread. */
-    StreamLink link(InetSocketAddress to, Ways.Ear ear) throws IOException {
-        StreamLink link = new StreamLink(this, to, ear);
+    ProxiedLink link(InetSocketAddress to, NetworkPaths.Ear ear) throws IOException {
+        ProxiedLink link = new ProxiedLink(this, to, ear);
         on(() -> {
             links.add(link);
             try {
@@ -81,20 +81,20 @@
                     task.run();
                 }
                 for (SelectionKey k : selector.selectedKeys()) {
-                    if (k.attachment() instanceof StreamLink l) {
+                    if (k.attachment() instanceof ProxiedLink l) {
                         l.accept();
                     } else if (k.isValid()) {
-                        ((Carried) k.attachment()).ready();
+                        ((ProxiedConnection) k.attachment()).ready();
                     }
                 }
                 selector.selectedKeys().clear();
-                links.forEach(StreamLink::deliver);
+                links.forEach(ProxiedLink::deliver);
                 ends.forEach(Runnable::run);
                 tellFirsts();
                 ends.clear();
                 firsts.clear();
             }
-            for (StreamLink l : links) {
+            for (ProxiedLink l : links) {
                 l.close();
             }
             selector.close();
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/Verdict.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/FaultInjectionResult.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import tulipshed.emulator.invariants.Rule;
-import tulipshed.emulator.loadtest.LoadRun;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.invariants.Invariant;
+import tulipshed.emulator.loadtest.LoadTestRun;
+import tulipshed.emulator.model.RunResult;
 
 /**
  * What came of one trial. Runs in real time differ, so it is held to invariants and to bounds, never to a figure of one
@@ -16,12 +16,12 @@
  * @param served by second, of what clients wanted
  * @param breachMs where the first breach of a rule was, or a negative number
  */
-public record Verdict(
+public record FaultInjectionResult(
         List<String> breaches,
         List<String> voids,
         List<Double> served,
         List<String> schedule,
-        Outcome outcome,
+        RunResult outcome,
         double relaysLateMs,
         double toolLateMs,
         double breachMs) {
@@ -37,10 +37,11 @@
      */
     public record Bounds(double attempts, double wholeMs, double whole) {}
 
-    static Verdict of(Schedule schedule, Outcome o, LoadRun run, double relaysLateMs, Bounds bounds) {
+    static FaultInjectionResult of(
+            LinkFaultSchedule schedule, RunResult o, LoadTestRun run, double relaysLateMs, Bounds bounds) {
         List<String> breaches = new ArrayList<>();
         double breachMs = -1;
-        for (Rule r : Rule.values()) {
+        for (Invariant r : Invariant.values()) {
             if (o.rules().broken(r) > 0) {
                 double at = o.rules().first(r).atMs();
                 breachMs = breachMs < 0 ? at : Math.min(breachMs, at);
@@ -84,7 +85,7 @@
         if (Double.isNaN(before) || Double.isNaN(after)) {
             voids.add("no second before the first fault, or after all is to be whole: nothing is shown of that");
         }
-        return new Verdict(
+        return new FaultInjectionResult(
                 breaches,
                 voids,
                 served,
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/TrialRun.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/FaultInjectionRun.java
@@ -5,56 +5,56 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import tulipshed.emulator.loadtest.LoadRun;
-import tulipshed.emulator.loadtest.Ways;
-import tulipshed.emulator.model.Outcome;
-import tulipshed.emulator.model.Seeds;
+import tulipshed.emulator.loadtest.LoadTestRun;
+import tulipshed.emulator.loadtest.NetworkPaths;
+import tulipshed.emulator.model.RandomStreams;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.scenario.Scenario;
 
 /** One trial: real nodes in the emulator's world, each link between them and it through a relay, under a schedule of faults. */
-public final class TrialRun implements AutoCloseable, Ways {
+public final class FaultInjectionRun implements AutoCloseable, NetworkPaths {
     private static final int DRAWS = 31; // apart from the world's own chances
     private static final int JITTER = 32;
 
-    private final Schedule schedule;
+    private final LinkFaultSchedule schedule;
     private final List<Double> changes;
-    private final Relays relays;
-    private final LoadRun run;
+    private final FaultInjectionProxy relays;
+    private final LoadTestRun run;
     /** By node, then member. */
-    private final List<List<StreamLink>> members = new ArrayList<>();
+    private final List<List<ProxiedLink>> members = new ArrayList<>();
 
-    private final List<StreamLink> discovery = new ArrayList<>();
+    private final List<ProxiedLink> discovery = new ArrayList<>();
     private double turnedMs = -1;
 
     /** The trial of a scenario, with the faults that its seed draws. */
-    public TrialRun(Scenario s, long seed, Path jar) throws IOException {
+    public FaultInjectionRun(Scenario s, long seed, Path jar) throws IOException {
         this(s, seed, jar, draw(s, seed));
     }
 
-    TrialRun(Scenario s, long seed, Path jar, Schedule schedule) throws IOException {
+    FaultInjectionRun(Scenario s, long seed, Path jar, LinkFaultSchedule schedule) throws IOException {
         this.schedule = schedule;
         changes = schedule.changes();
         for (int n = 0; n < s.nodes().count(); n++) {
             members.add(new ArrayList<>());
         }
-        relays = new Relays(Seeds.random(seed, JITTER, 0));
+        relays = new FaultInjectionProxy(RandomStreams.random(seed, JITTER, 0));
         try {
-            run = new LoadRun(Schedule.rest(s), seed, jar, this);
+            run = new LoadTestRun(LinkFaultSchedule.rest(s), seed, jar, this);
         } catch (IOException | RuntimeException e) {
             relays.close();
             throw e;
         }
     }
 
-    static Schedule draw(Scenario s, long seed) {
+    static LinkFaultSchedule draw(Scenario s, long seed) {
         int members = s.kinds().stream().mapToInt(Scenario.MemberKind::count).sum();
-        return Schedule.draw(s, members, Seeds.random(seed, DRAWS, 0));
+        return LinkFaultSchedule.draw(s, members, RandomStreams.random(seed, DRAWS, 0));
     }
 
     /** Plays it. */
-    public Verdict play(Verdict.Bounds bounds) throws IOException, InterruptedException {
-        Outcome o = run.run();
-        return Verdict.of(schedule, o, run, relays.lateMs(), bounds);
+    public FaultInjectionResult play(FaultInjectionResult.Bounds bounds) throws IOException, InterruptedException {
+        RunResult o = run.run();
+        return FaultInjectionResult.of(schedule, o, run, relays.lateMs(), bounds);
     }
 
     /** Where its nodes listen. */
@@ -71,14 +71,14 @@
 
     @Override
     public InetSocketAddress toMember(int node, int member, InetSocketAddress there, Ear ear) throws IOException {
-        StreamLink link = relays.link(there, ear);
+        ProxiedLink link = relays.link(there, ear);
         members.get(node).add(link);
         return link.address();
     }
 
     @Override
     public InetSocketAddress toDiscovery(int node, InetSocketAddress there) throws IOException {
-        StreamLink link = relays.link(there, null);
+        ProxiedLink link = relays.link(there, null);
         discovery.add(link);
         return link.address();
     }
@@ -111,7 +111,7 @@
         }
     }
 
-    private void become(StreamLink link, Condition now) {
+    private void become(ProxiedLink link, LinkState now) {
         relays.on(() -> link.become(now));
     }
 
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/Schedule.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/LinkFaultSchedule.java
@@ -18,7 +18,7 @@
  * The faults of links and processes of one trial, from its scenario and seed alone; the scenario's other troubles are the
  * world's. Without I/O and without a clock.
  */
-final class Schedule {
+final class LinkFaultSchedule {
     private static final int NODES_SEND = 1;
     private static final int MEMBERS_SEND = 2;
 
@@ -26,14 +26,14 @@
     private final double firstMs;
     private final double lastMs;
 
-    private Schedule(List<Fault> faults, List<Trouble> troubles) {
+    private LinkFaultSchedule(List<Fault> faults, List<Trouble> troubles) {
         this.faults = List.copyOf(faults);
         firstMs = troubles.stream().mapToDouble(Trouble::atMs).min().orElse(0);
         lastMs = troubles.stream().mapToDouble(t -> t.atMs() + t.overMs()).max().orElse(0);
     }
 
     /** Draws who is struck (docs/fleet-trials.md has what the figures of each trouble mean); members are {@code 0} to {@code members - 1}, and stand at sites in turn as nodes do. */
-    static Schedule draw(Scenario s, int members, UniformRandomProvider random) {
+    static LinkFaultSchedule draw(Scenario s, int members, UniformRandomProvider random) {
         List<Fault> out = new ArrayList<>();
         Set<Integer> nodes = all(s.nodes().count(), i -> true);
         for (Trouble t : s.troubles()) {
@@ -61,9 +61,9 @@
                 }
                 case "silence-members" -> out.add(links(t, until, nodes, chosen(random, t, members), held(0)));
                 case "cut-links" -> each(out, t, until, s, members, random, held(t.count()));
-                case "deaf-links" -> each(out, t, until, s, members, random, new Condition(false, false, true, 0, 0));
+                case "deaf-links" -> each(out, t, until, s, members, random, new LinkState(false, false, true, 0, 0));
                 case "slow-links" ->
-                    each(out, t, until, s, members, random, new Condition(false, false, false, t.factor(), t.factor()));
+                    each(out, t, until, s, members, random, new LinkState(false, false, false, t.factor(), t.factor()));
                 case "reset-links" ->
                     out.add(new Fault(
                             t.kind(),
@@ -71,7 +71,7 @@
                             t.atMs(),
                             nodes,
                             all(members, m -> true),
-                            Condition.SOUND,
+                            LinkState.SOUND,
                             t.share(),
                             t.count() == 1));
                 case "mute-discovery" ->
@@ -83,13 +83,13 @@
                             until,
                             chosen(random, t, s.nodes().count()),
                             Set.of(),
-                            Condition.SOUND,
+                            LinkState.SOUND,
                             0,
                             false));
                 default -> {}
             }
         }
-        return new Schedule(out, s.troubles());
+        return new LinkFaultSchedule(out, s.troubles());
     }
 
     /** The same scenario without the troubles that are made here. */
@@ -112,8 +112,8 @@
                         .toList());
     }
 
-    private static Condition held(int direction) {
-        return new Condition(direction != MEMBERS_SEND, direction != NODES_SEND, direction == 0, 0, 0);
+    private static LinkState held(int direction) {
+        return new LinkState(direction != MEMBERS_SEND, direction != NODES_SEND, direction == 0, 0, 0);
     }
 
     private static Set<Integer> all(int of, IntPredicate which) {
@@ -127,7 +127,7 @@
         return new TreeSet<>(numbers.subList(0, Math.min(of, Math.max(1, count))));
     }
 
-    private static Fault links(Trouble t, double until, Set<Integer> nodes, Set<Integer> members, Condition c) {
+    private static Fault links(Trouble t, double until, Set<Integer> nodes, Set<Integer> members, LinkState c) {
         return new Fault(t.kind(), t.atMs(), until, nodes, members, c, 0, false);
     }
 
@@ -143,7 +143,7 @@
             Scenario s,
             int members,
             UniformRandomProvider random,
-            Condition c) {
+            LinkState c) {
         for (int n = 0; n < s.nodes().count(); n++) {
             Set<Integer> struck = new LinkedHashSet<>();
             for (int m = 0; m < members; m++) {
@@ -172,8 +172,8 @@
     }
 
     /** How the link between a node and a member is at a moment. */
-    Condition member(int node, int member, double nowMs) {
-        Condition c = Condition.SOUND;
+    LinkState member(int node, int member, double nowMs) {
+        LinkState c = LinkState.SOUND;
         for (Fault f : faults) {
             if (f.at(nowMs) && f.nodes().contains(node) && f.members().contains(member)) {
                 c = c.and(f.condition());
@@ -183,8 +183,8 @@
     }
 
     /** How the link between a node and discovery is at a moment. */
-    Condition discovery(int node, double nowMs) {
-        Condition c = Condition.SOUND;
+    LinkState discovery(int node, double nowMs) {
+        LinkState c = LinkState.SOUND;
         for (Fault f : faults) {
             if (f.at(nowMs) && f.members().isEmpty() && f.nodes().contains(node)) {
                 c = c.and(f.condition());
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/Condition.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/LinkState.java
@@ -9,12 +9,12 @@
  * @param delayMs how long each piece takes more, in either direction
  * @param jitterMs up to so much on top, by chance; pieces of one direction stay in order
  */
-record Condition(boolean holdsOut, boolean holdsBack, boolean deaf, double delayMs, double jitterMs) {
-    static final Condition SOUND = new Condition(false, false, false, 0, 0);
+record LinkState(boolean holdsOut, boolean holdsBack, boolean deaf, double delayMs, double jitterMs) {
+    static final LinkState SOUND = new LinkState(false, false, false, 0, 0);
 
     /** Both at the same time: whatever either holds is held, the longer delay counts. */
-    Condition and(Condition o) {
-        return new Condition(
+    LinkState and(LinkState o) {
+        return new LinkState(
                 holdsOut || o.holdsOut,
                 holdsBack || o.holdsBack,
                 deaf || o.deaf,
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/Carried.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/ProxiedConnection.java
@@ -10,12 +10,12 @@
 import java.util.ArrayDeque;
 
 /** One connection over a link: two sockets, and in each direction what has been read and not yet been passed on. */
-final class Carried {
+final class ProxiedConnection {
     private static final int HELD_BYTES = 256 * 1024;
     private static final int LINE_BYTES = 4096;
 
-    private final StreamLink link;
-    private final Relays relays;
+    private final ProxiedLink link;
+    private final FaultInjectionProxy relays;
     private final Side node;
     private final Side other;
     private final StringBuilder first = new StringBuilder();
@@ -48,7 +48,9 @@
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             key = channel.register(
-                    relays.selector(), connecting ? SelectionKey.OP_CONNECT : SelectionKey.OP_READ, Carried.this);
+                    relays.selector(),
+                    connecting ? SelectionKey.OP_CONNECT : SelectionKey.OP_READ,
+                    ProxiedConnection.this);
         }
 
         void interest() {
@@ -61,7 +63,8 @@
     }
 
     /** Carries a connection on to an address, or nowhere where that is null. */
-    Carried(StreamLink link, Relays relays, SocketChannel from, InetSocketAddress to) throws IOException {
+    ProxiedConnection(ProxiedLink link, FaultInjectionProxy relays, SocketChannel from, InetSocketAddress to)
+            throws IOException {
         this.link = link;
         this.relays = relays;
         number = relays.nextConnection();
@@ -135,7 +138,7 @@
     }
 
     private long dueNs(Side towards) {
-        Condition c = link.condition();
+        LinkState c = link.condition();
         double ms = c.delayMs() + (c.jitterMs() > 0 ? c.jitterMs() * relays.chance() : 0);
         long due = System.nanoTime() + (long) (ms * 1e6);
         return towards == null ? due : Math.max(towards.lastNs, due);
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/StreamLink.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/ProxiedLink.java
@@ -10,21 +10,21 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import tulipshed.emulator.loadtest.Ways;
+import tulipshed.emulator.loadtest.NetworkPaths;
 
 /** One link: an address of its own, whose connections are carried on to another under what the link is going through. */
-final class StreamLink {
+final class ProxiedLink {
     private static final int BACKLOG = 256;
 
-    private final Relays relays;
+    private final FaultInjectionProxy relays;
     private final InetSocketAddress to;
-    private final Ways.Ear ear;
+    private final NetworkPaths.Ear ear;
     private final ServerSocketChannel listener;
-    private final Set<Carried> carried = new LinkedHashSet<>();
-    private Condition condition = Condition.SOUND;
+    private final Set<ProxiedConnection> carried = new LinkedHashSet<>();
+    private LinkState condition = LinkState.SOUND;
     private long changedNs = System.nanoTime();
 
-    StreamLink(Relays relays, InetSocketAddress to, Ways.Ear ear) throws IOException {
+    ProxiedLink(FaultInjectionProxy relays, InetSocketAddress to, NetworkPaths.Ear ear) throws IOException {
         this.relays = relays;
         this.to = to;
         this.ear = ear;
@@ -45,11 +45,11 @@
 
     void accept() throws IOException {
         for (SocketChannel c = listener.accept(); c != null; c = listener.accept()) {
-            carried.add(new Carried(this, relays, c, condition.deaf() ? null : to));
+            carried.add(new ProxiedConnection(this, relays, c, condition.deaf() ? null : to));
         }
     }
 
-    Condition condition() {
+    LinkState condition() {
         return condition;
     }
 
@@ -58,18 +58,18 @@
         return changedNs;
     }
 
-    Ways.Ear ear() {
+    NetworkPaths.Ear ear() {
         return ear;
     }
 
-    void become(Condition changed) {
+    void become(LinkState changed) {
         if (changed.equals(condition)) {
             return;
         }
         boolean heard = condition.deaf() && !changed.deaf();
         condition = changed;
         changedNs = System.nanoTime();
-        for (Carried c : List.copyOf(carried)) {
+        for (ProxiedConnection c : List.copyOf(carried)) {
             if (heard && c.unheard()) {
                 c.reset(false);
             } else {
@@ -80,17 +80,17 @@
 
     /** Breaks what is open, the oldest share of it; {@code midLine} lets half of what a side is owed through before. */
     void reset(double share, boolean midLine) {
-        List<Carried> all = new ArrayList<>(carried);
+        List<ProxiedConnection> all = new ArrayList<>(carried);
         all.subList(0, (int) Math.round(all.size() * share)).forEach(c -> c.reset(midLine));
     }
 
     void deliver() {
         if (!carried.isEmpty()) {
-            List.copyOf(carried).forEach(Carried::deliver);
+            List.copyOf(carried).forEach(ProxiedConnection::deliver);
         }
     }
 
-    void ended(Carried c) {
+    void ended(ProxiedConnection c) {
         carried.remove(c);
     }
 
--- a/emulator/src/main/java/tulipshed/emulator/invariants/Rule.java
+++ b/emulator/src/main/java/tulipshed/emulator/invariants/Invariant.java
@@ -1,7 +1,7 @@
 package tulipshed.emulator.invariants;
 
 /** What is checked. */
-public enum Rule {
+public enum Invariant {
     /** A transaction gets one final answer, and no more. */
     ONE_ANSWER,
     /** The answer comes before the client gives up, or within the slack after. */
--- a/emulator/src/main/java/tulipshed/emulator/invariants/RuleReport.java
+++ b/emulator/src/main/java/tulipshed/emulator/invariants/InvariantReport.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /** How often each rule was broken, how much was checked, and the first breach of each with what led to it. */
-public final class RuleReport {
+public final class InvariantReport {
     /** The first breach of a rule. */
     public record Breach(double atMs, int where, String what) {}
 
-    private final long[] broken = new long[Rule.values().length];
-    private final Map<Rule, Breach> first = new EnumMap<>(Rule.class);
+    private final long[] broken = new long[Invariant.values().length];
+    private final Map<Invariant, Breach> first = new EnumMap<>(Invariant.class);
     private long answers;
     private long sent;
 
     /** A rule was broken at a node or member, by number. */
-    public void broken(Rule rule, double atMs, int where, String what) {
+    public void broken(Invariant rule, double atMs, int where, String what) {
         broken[rule.ordinal()]++;
         keep(rule, new Breach(atMs, where, what));
     }
@@ -27,7 +27,7 @@
         sent++;
     }
 
-    private void keep(Rule rule, Breach b) {
+    private void keep(Invariant rule, Breach b) {
         Breach had = first.get(rule);
         if (had == null || b.atMs() < had.atMs() || (b.atMs() == had.atMs() && b.where() < had.where())) {
             first.put(rule, b);
@@ -35,7 +35,7 @@
     }
 
     /** Adds what another has found; in whichever order, the sum is the same. */
-    public void add(RuleReport other) {
+    public void add(InvariantReport other) {
         for (int i = 0; i < broken.length; i++) {
             broken[i] += other.broken[i];
         }
@@ -44,7 +44,7 @@
         sent += other.sent;
     }
 
-    public long broken(Rule rule) {
+    public long broken(Invariant rule) {
         return broken[rule.ordinal()];
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** The first breach of a rule, or null. */
-    public Breach first(Rule rule) {
+    public Breach first(Invariant rule) {
         return first.get(rule);
     }
 
@@ -69,7 +69,7 @@
     @Override
     public String toString() {
         StringBuilder out = new StringBuilder();
-        for (Rule r : Rule.values()) {
+        for (Invariant r : Invariant.values()) {
             out.append(r.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'))
                     .append(' ')
                     .append(broken(r))
--- a/emulator/src/main/java/tulipshed/emulator/invariants/NodeRules.java
+++ b/emulator/src/main/java/tulipshed/emulator/invariants/NodeInvariants.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /** Holds one node to the rules, told all that it was told and all that it did. */
-public final class NodeRules {
+public final class NodeInvariants {
     private static final int REMEMBERED = 24; // steps of one transaction, for the trace of a breach
 
     private final int node;
-    private final RuleReport report;
+    private final InvariantReport report;
     private final double slackMs;
     private final double drainMs;
     private final Map<Integer, Double> notServingSince = new HashMap<>();
@@ -58,14 +58,14 @@
      * @param slackMs how long after the client's wait an answer still counts
      * @param drainMs how long after the news of a drain something may still be sent
      */
-    public NodeRules(int node, RuleReport report, double slackMs, double drainMs) {
+    public NodeInvariants(int node, InvariantReport report, double slackMs, double drainMs) {
         this.node = node;
         this.report = report;
         this.slackMs = slackMs;
         this.drainMs = drainMs;
     }
 
-    private void broken(Rule rule, double atMs, Watched w, String what) {
+    private void broken(Invariant rule, double atMs, Watched w, String what) {
         report.broken(rule, atMs, node, "node " + node + ", transaction " + w.id + ": " + what + w.trace());
     }
 
@@ -81,16 +81,16 @@
         report.send();
         w.step(atMs, "sent to " + member);
         if (w.out > 0) {
-            broken(Rule.ONE_FLOW, atMs, w, "a second flow out");
+            broken(Invariant.ONE_FLOW, atMs, w, "a second flow out");
         }
         if (w.answers > 0 || w.left) {
-            broken(Rule.ONE_FLOW, atMs, w, "a flow for a transaction that is over");
+            broken(Invariant.ONE_FLOW, atMs, w, "a flow for a transaction that is over");
         }
         w.out++;
         Double since = notServingSince.get(member);
         if (since != null && atMs > since + drainMs) {
             broken(
-                    Rule.DRAIN,
+                    Invariant.DRAIN,
                     atMs,
                     w,
                     "sent to member " + member + " " + Math.round(atMs - since) + " ms after it was told not to serve");
@@ -112,10 +112,10 @@
             return;
         }
         if (w.answers > 1) {
-            broken(Rule.ONE_ANSWER, atMs, w, "another final answer");
+            broken(Invariant.ONE_ANSWER, atMs, w, "another final answer");
         }
         if (atMs > w.deadlineMs + slackMs + (atMs < heldUpUntilMs ? heldUpMs : 0)) {
-            broken(Rule.IN_TIME, atMs, w, "answered " + Math.round(atMs - w.deadlineMs) + " ms late");
+            broken(Invariant.IN_TIME, atMs, w, "answered " + Math.round(atMs - w.deadlineMs) + " ms late");
         }
         w.steps = w.answers == 1 && "served".equals(how) ? null : w.steps;
     }
@@ -129,7 +129,7 @@
     /** The node ends the connection of a client by itself: one that was given no answer is lost. */
     public void closed(double atMs, Watched w) {
         if (w.answers == 0 && !w.left) {
-            broken(Rule.ONE_ANSWER, atMs, w, "closed with no answer");
+            broken(Invariant.ONE_ANSWER, atMs, w, "closed with no answer");
             w.left = true;
         }
     }
@@ -142,7 +142,7 @@
     /** The client's wait and the slack are over. */
     public void waited(double atMs, Watched w) {
         if (w.answers == 0 && !w.left) {
-            broken(Rule.ONE_ANSWER, atMs, w, "no answer");
+            broken(Invariant.ONE_ANSWER, atMs, w, "no answer");
             w.left = true;
         }
     }
--- a/emulator/src/main/java/tulipshed/emulator/invariants/ColdRule.java
+++ b/emulator/src/main/java/tulipshed/emulator/invariants/SlowStartInvariant.java
@@ -11,7 +11,7 @@
  * stricter in two ways: never more than three requests are chance, however large the budget, and the budget is that of the
  * capacity that the member had over the window, which rises, not that of the present one.
  */
-public final class ColdRule {
+public final class SlowStartInvariant {
     private static final double TOLD = 2.0 / 3; // of the work, from nodes that knew, makes it a breach
     private static final double MOST_CHANCE = 3; // requests
     private static final double SMALL_BUDGET = 30; // requests, below which the operators leave more to chance
@@ -30,7 +30,7 @@
      *
      * @param request what one request is in the mean, in the unit of the work; 0 leaves nothing to chance
      */
-    public ColdRule(int member, double factor, double windowMs, double request) {
+    public SlowStartInvariant(int member, double factor, double windowMs, double request) {
         this.member = member;
         this.request = request;
         this.factor = factor;
@@ -114,10 +114,10 @@
     }
 
     /** It fell: a breach where those who pushed it knew that it was cold. */
-    public void fell(double atMs, RuleReport report, double ageMs) {
+    public void fell(double atMs, InvariantReport report, double ageMs) {
         if (isTold()) {
             report.broken(
-                    Rule.COLD,
+                    Invariant.COLD,
                     atMs,
                     member,
                     "member " + member + ", " + Math.round(ageMs) + " ms old, was sent "
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/Wire.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/LineConnection.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** One connection that speaks lines; bounded, and told of by one listener. */
-final class Wire {
+final class LineConnection {
     private static final int LONGEST = 4096;
 
     private final SocketChannel channel;
@@ -23,22 +23,22 @@
 
     /** Who hears of it. */
     interface Listener {
-        void line(Wire wire, String line);
+        void line(LineConnection wire, String line);
 
         /** The other side ended it, in good order or not; nothing comes after. */
-        void ended(Wire wire, boolean reset);
+        void ended(LineConnection wire, boolean reset);
     }
 
     /** A connection towards an address. */
-    static Wire connect(Selector selector, InetSocketAddress to, Listener listener) throws IOException {
+    static LineConnection connect(Selector selector, InetSocketAddress to, Listener listener) throws IOException {
         SocketChannel c = SocketChannel.open();
         c.configureBlocking(false);
         boolean connected = c.connect(to);
-        return new Wire(c, selector, listener, connected);
+        return new LineConnection(c, selector, listener, connected);
     }
 
     /** One that was accepted. */
-    Wire(SocketChannel channel, Selector selector, Listener listener, boolean connected) throws IOException {
+    LineConnection(SocketChannel channel, Selector selector, Listener listener, boolean connected) throws IOException {
         this.channel = channel;
         this.listener = listener;
         channel.configureBlocking(false);
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/LoadRun.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/LoadTestRun.java
@@ -22,10 +22,10 @@
 import java.util.stream.Stream;
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.demo.StubDiscovery;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.model.World;
-import tulipshed.emulator.policy.MemberNews;
-import tulipshed.emulator.policy.Try;
+import tulipshed.emulator.policy.ClientRequest;
+import tulipshed.emulator.policy.EndpointListing;
 import tulipshed.emulator.scenario.Scenario;
 import tulipshed.emulator.scenario.ScenarioReader;
 import tulipshed.time.SystemWallClock;
@@ -35,7 +35,7 @@
  * world's clock is the machine's. Clients come when the scenario says, however slow answers are, and their waits count from
  * the moment at which they wanted to ask, so that a stalled node cannot hide its stall.
  */
-public final class LoadRun implements AutoCloseable {
+public final class LoadTestRun implements AutoCloseable {
     /** Where in a try's number its node's stands. */
     static final int TRIES = 40;
 
@@ -54,18 +54,18 @@
     private final List<StubDiscovery> discoveries = new ArrayList<>();
 
     private final Queue<Told> told = new ConcurrentLinkedQueue<>();
-    private final List<SocketMember> members = new ArrayList<>();
+    private final List<SocketEndpoint> members = new ArrayList<>();
     /** By node: where it reaches each member. */
     private final List<List<InetSocketAddress>> addresses = new ArrayList<>();
 
-    private final Ways ways;
+    private final NetworkPaths ways;
     private final Queue<Heard> heard = new ConcurrentLinkedQueue<>();
-    private final Map<Object, Try> carried = new HashMap<>();
+    private final Map<Object, ClientRequest> carried = new HashMap<>();
     private final Set<String> left = new HashSet<>();
     private final List<Double> served = new ArrayList<>();
     private final List<NodeProcess> processes = new ArrayList<>();
     private final List<SocketNode> nodes = new ArrayList<>();
-    private final Map<String, Try> tries = new HashMap<>();
+    private final Map<String, ClientRequest> tries = new HashMap<>();
     private final Map<String, Integer> numbers = new HashMap<>();
     private final Map<Integer, Double> started = new HashMap<>();
     private final World world;
@@ -82,7 +82,7 @@
     private record Heard(double atMs, int member, Object connection, String line) {}
 
     /** Sets everything up but the nodes, which reach members and discovery straight. */
-    public LoadRun(Scenario s, long seed, Path jar) throws IOException {
+    public LoadTestRun(Scenario s, long seed, Path jar) throws IOException {
         this(s, seed, jar, null);
     }
 
@@ -92,7 +92,7 @@
      * @param ways of nodes to members and discovery; null for straight ones
      * @throws IllegalArgumentException where the scenario is larger than one machine's sockets are good for
      */
-    public LoadRun(Scenario s, long seed, Path jar, Ways ways) throws IOException {
+    public LoadTestRun(Scenario s, long seed, Path jar, NetworkPaths ways) throws IOException {
         this.ways = ways;
         if (s.nodes().count() > MOST_NODES
                 || s.lengthMs() > LONGEST_MS
@@ -133,7 +133,7 @@
         }
         Descriptors.require(s, world.memberCount());
         for (int m = 0; m < world.memberCount(); m++) {
-            members.add(new SocketMember(m, this, selector));
+            members.add(new SocketEndpoint(m, this, selector));
             numbers.put(world.nameOf(m), m);
         }
         for (int n = 0; n < processes.size(); n++) {
@@ -167,7 +167,7 @@
     }
 
     /** One member's, at the node's end; called on the links' thread. */
-    private final class MemberEar implements Ways.Ear {
+    private final class MemberEar implements NetworkPaths.Ear {
         private final int member;
 
         MemberEar(int member) {
@@ -189,14 +189,14 @@
     private void hearLinks() {
         for (Heard h = heard.poll(); h != null; h = heard.poll()) {
             if (h.line() == null) {
-                Try over = carried.remove(h.connection());
+                ClientRequest over = carried.remove(h.connection());
                 if (over != null) {
                     nodeOf(over).rules().over(h.atMs(), over.watched, "over at the node's end");
                 }
                 continue;
             }
             String[] words = h.line().split(" ");
-            Try t = words.length > 1 ? tries.get(words[1]) : null;
+            ClientRequest t = words.length > 1 ? tries.get(words[1]) : null;
             if (t != null) {
                 carried.put(h.connection(), t);
                 nodeOf(t).rules().sent(h.atMs(), t.watched, h.member());
@@ -216,7 +216,7 @@
         }
     }
 
-    private void news(MemberNews n) {
+    private void news(EndpointListing n) {
         var e = n.listed().info();
         long startedMs = startedEpochMs(n, new SystemWallClock().now().epochMs(), nowMs());
         String state =
@@ -245,7 +245,7 @@
     }
 
     /** When a member says that it started, by its own clock; 0 where it does not say. */
-    static long startedEpochMs(MemberNews n, long epochMs, double nowMs) {
+    static long startedEpochMs(EndpointListing n, long epochMs, double nowMs) {
         long startedUs = n.listed().info().startedUs();
         return startedUs == 0 ? 0 : epochMs - Math.round(nowMs - startedUs / 1000.0 - n.clockOffMs());
     }
@@ -280,7 +280,7 @@
     }
 
     /** Starts the nodes, plays the day and tells what came of it. */
-    public Outcome run() throws IOException, InterruptedException {
+    public RunResult run() throws IOException, InterruptedException {
         processes.forEach(NodeProcess::start);
         UsageSampler sampler =
                 new UsageSampler(processes.stream().map(NodeProcess::usage).toList());
@@ -291,7 +291,7 @@
         }
     }
 
-    private Outcome play() throws IOException, InterruptedException {
+    private RunResult play() throws IOException, InterruptedException {
         long waitFrom = System.nanoTime();
         while (!processes.stream().allMatch(NodeProcess::serves)) {
             if ((System.nanoTime() - waitFrom) / 1e6 > START_MS) {
@@ -343,10 +343,10 @@
         for (Iterator<SelectionKey> i = ready.iterator(); i.hasNext(); ) {
             SelectionKey k = i.next();
             i.remove();
-            if (k.attachment() instanceof SocketMember m) {
+            if (k.attachment() instanceof SocketEndpoint m) {
                 m.accept();
             } else if (k.isValid()) {
-                ((Wire) k.attachment()).ready();
+                ((LineConnection) k.attachment()).ready();
             }
         }
     }
@@ -458,32 +458,32 @@
 
     // ---- For nodes and members ----
 
-    Wire connect(InetSocketAddress to, Wire.Listener listener) throws IOException {
-        return Wire.connect(selector, to, listener);
+    LineConnection connect(InetSocketAddress to, LineConnection.Listener listener) throws IOException {
+        return LineConnection.connect(selector, to, listener);
     }
 
     /** What a client's connection is called on the wire; it is found by it until it is forgotten. */
-    String remember(Try t) {
+    String remember(ClientRequest t) {
         String id = id(t);
         tries.put(id, t);
         return id;
     }
 
-    void forget(Try t) {
+    void forget(ClientRequest t) {
         if (tries.remove(id(t)) != null && ways != null) {
             left.add(id(t));
         }
     }
 
-    private static String id(Try t) {
+    private static String id(ClientRequest t) {
         return String.format("%016x", t.id);
     }
 
-    Try find(String id) {
+    ClientRequest find(String id) {
         return tries.get(id);
     }
 
-    SocketNode nodeOf(Try t) {
+    SocketNode nodeOf(ClientRequest t) {
         return nodes.get((int) (t.id >>> TRIES));
     }
 
@@ -503,7 +503,7 @@
     public void close() throws IOException {
         processes.forEach(p -> p.stop(false));
         discoveries.forEach(StubDiscovery::close);
-        for (SocketMember m : members) {
+        for (SocketEndpoint m : members) {
             m.close();
         }
         selector.close();
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/Ways.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/NetworkPaths.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 
 /** How the nodes of a run reach members and discovery: over links, each with an address of its own. */
-public interface Ways {
+public interface NetworkPaths {
     /** Hears of the connections over one link, as the node's end has them; called on a thread of the links. */
     interface Ear {
         /** The node has written its first line. */
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/NodeConfigWriter.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/NodeConfigWriter.java
@@ -9,7 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import tulipshed.emulator.policy.MemberNews;
+import tulipshed.emulator.policy.EndpointListing;
 import tulipshed.emulator.scenario.Scenario;
 import tulipshed.emulator.scenario.Scenario.ClassOf;
 import tulipshed.emulator.scenario.Scenario.TenantOf;
@@ -26,7 +26,7 @@
             long seed,
             InetSocketAddress listen,
             InetSocketAddress discovery,
-            MemberNews.Batch known,
+            EndpointListing.Batch known,
             List<InetSocketAddress> members)
             throws IOException {
         ObjectNode all;
@@ -39,7 +39,7 @@
                 .put("seed", String.format("%016x", seed));
         ((ObjectNode) all.get("limits")).put("sockets", 8192);
         ArrayNode servers = ((ObjectNode) all.get("known")).putArray("servers");
-        for (MemberNews n : known.news()) {
+        for (EndpointListing n : known.news()) {
             servers.addObject()
                     .put("id", n.listed().info().id())
                     .put("addr", text(members.get(n.member())))
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketMember.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketEndpoint.java
@@ -8,17 +8,17 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import tulipshed.decision.api.Outcome;
-import tulipshed.emulator.policy.Flow;
-import tulipshed.emulator.policy.Try;
+import tulipshed.emulator.policy.ClientRequest;
+import tulipshed.emulator.policy.EmulatedAttempt;
 
 /** The sockets of one member: what nodes send it goes to the emulated member, and back. */
-final class SocketMember {
+final class SocketEndpoint {
     private final int number;
-    private final LoadRun run;
+    private final LoadTestRun run;
     private final Selector selector;
     private final ServerSocketChannel listener;
 
-    SocketMember(int number, LoadRun run, Selector selector) throws IOException {
+    SocketEndpoint(int number, LoadTestRun run, Selector selector) throws IOException {
         this.number = number;
         this.run = run;
         this.selector = selector;
@@ -36,7 +36,7 @@
         for (SocketChannel c = listener.accept(); c != null; c = listener.accept()) {
             run.accepted();
             // Its key in the selector keeps it.
-            new Wire(c, selector, new Arriving(), true);
+            new LineConnection(c, selector, new Arriving(), true);
         }
     }
 
@@ -45,11 +45,11 @@
     }
 
     /** A connection whose first line has not come, and then that of its flow. */
-    private final class Arriving implements Wire.Listener {
-        private Flow flow;
+    private final class Arriving implements LineConnection.Listener {
+        private EmulatedAttempt flow;
 
         @Override
-        public void line(Wire wire, String line) {
+        public void line(LineConnection wire, String line) {
             if (flow != null) {
                 if (!flow.over && line.startsWith("M ") && run.runs(number)) {
                     wire.say(line);
@@ -57,7 +57,7 @@
                 return;
             }
             String[] words = line.split(" ");
-            Try t = words.length > 1 && words[0].equals("OPEN") ? run.find(words[1]) : null;
+            ClientRequest t = words.length > 1 && words[0].equals("OPEN") ? run.find(words[1]) : null;
             if (t == null && words.length > 1 && run.hasLeft(words[1])) {
                 // Held on its way for longer than its client waited.
                 wire.reset();
@@ -72,7 +72,7 @@
         }
 
         @Override
-        public void ended(Wire wire, boolean reset) {
+        public void ended(LineConnection wire, boolean reset) {
             if (flow != null) {
                 run.nodeOf(flow.of).closedByNode(flow);
             }
@@ -80,8 +80,8 @@
     }
 
     /** What the emulated member made of a flow, in the member's own words. */
-    static void end(Flow f, Outcome outcome) {
-        Wire w = (Wire) f.kept;
+    static void end(EmulatedAttempt f, Outcome outcome) {
+        LineConnection w = (LineConnection) f.kept;
         if (w == null || w.over()) {
             return;
         }
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
@@ -8,32 +8,32 @@
 import java.util.Set;
 import tulipshed.decision.api.Outcome;
 import tulipshed.emulator.engine.Message;
-import tulipshed.emulator.invariants.NodeRules;
+import tulipshed.emulator.invariants.NodeInvariants;
 import tulipshed.emulator.model.Kinds;
-import tulipshed.emulator.model.NodeSide;
+import tulipshed.emulator.model.NodeActor;
 import tulipshed.emulator.model.World;
-import tulipshed.emulator.policy.Flow;
-import tulipshed.emulator.policy.MemberNews;
-import tulipshed.emulator.policy.Try;
-import tulipshed.emulator.policy.Wish;
+import tulipshed.emulator.policy.ClientDemand;
+import tulipshed.emulator.policy.ClientRequest;
+import tulipshed.emulator.policy.EmulatedAttempt;
+import tulipshed.emulator.policy.EndpointListing;
 
 /** A node that is a process: its clients connect to it over loopback, its flows arrive at the members' sockets. */
-final class SocketNode extends NodeSide {
-    private final LoadRun run;
+final class SocketNode extends NodeActor {
+    private final LoadTestRun run;
     private final NodeProcess process;
     private static final double SOCKETS_MS = 50; // by which each time limit is longer there
     private static final double SAYS_MS = 2000;
     private static final double HEARS_MS = 600; // a sound connection brings a line back at once
     private static final double LISTENS_ON_MS = 300; // after a refusal, for a second answer
     private static final double STILL_CHECK_MS = 50;
-    private NodeRules rules;
+    private NodeInvariants rules;
     private long lastTry;
     private long served;
     private long endpointConnections;
     private final Set<Client> standing = new HashSet<>();
     private final ProcessPauses pauses = new ProcessPauses();
 
-    SocketNode(int id, int number, World world, LoadRun run, NodeProcess process) {
+    SocketNode(int id, int number, World world, LoadTestRun run, NodeProcess process) {
         super(id, number, world);
         this.run = run;
         this.process = process;
@@ -53,18 +53,18 @@
                 served);
     }
 
-    NodeRules rules() {
+    NodeInvariants rules() {
         return rules;
     }
 
     @Override
-    protected void begin(MemberNews.Batch list) {
+    protected void begin(EndpointListing.Batch list) {
         rules = newRules(SOCKETS_MS);
         clients.next(0);
     }
 
     @Override
-    protected Flow alreadyOpen(Wish w, int member) {
+    protected EmulatedAttempt alreadyOpen(ClientDemand w, int member) {
         throw new IllegalArgumentException("over sockets, set clients.come-at-first to 1");
     }
 
@@ -74,18 +74,18 @@
     }
 
     /** One client's connection to the node. */
-    private final class Client implements Wire.Listener {
-        private final Try t;
-        private Wire wire;
+    private final class Client implements LineConnection.Listener {
+        private final ClientRequest t;
+        private LineConnection wire;
         private boolean here = true;
         private double saidMs = Double.NaN;
 
-        Client(Try t) {
+        Client(ClientRequest t) {
             this.t = t;
         }
 
         @Override
-        public void line(Wire from, String line) {
+        public void line(LineConnection from, String line) {
             now();
             String word = line.contains(" ") ? line.substring(0, line.indexOf(' ')) : line;
             if (t.standing) {
@@ -128,7 +128,7 @@
         }
 
         @Override
-        public void ended(Wire from, boolean reset) {
+        public void ended(LineConnection from, boolean reset) {
             now();
             drop();
             if (t.standing) {
@@ -192,25 +192,25 @@
      * Judges a first answer. While its process was stopped a node could do nothing: its answer is owed all the same, by as
      * much later as it was stopped.
      */
-    private void judgeAnswer(Try t, String how) {
+    private void judgeAnswer(ClientRequest t, String how) {
         rules.heldUp(Double.POSITIVE_INFINITY, dueMs(t) - latestMs(t));
         rules.answered(nowMs, t.watched, how);
         rules.heldUp(0, 0);
     }
 
-    private static double latestMs(Try t) {
+    private static double latestMs(ClientRequest t) {
         return t.deadlineMs + SLACK_MS + SOCKETS_MS;
     }
 
     /** When the answer to a client is owed at the latest; infinite while the process is stopped. */
-    private double dueMs(Try t) {
+    private double dueMs(ClientRequest t) {
         return pauses.dueMs(t.askedMs, latestMs(t));
     }
 
     @Override
-    protected void asked(Wish w, double graceMs) {
-        Try t = new Try(
-                (long) number << LoadRun.TRIES | ++lastTry,
+    protected void asked(ClientDemand w, double graceMs) {
+        ClientRequest t = new ClientRequest(
+                (long) number << LoadTestRun.TRIES | ++lastTry,
                 w,
                 nowMs,
                 nowMs + graceMs,
@@ -241,7 +241,7 @@
     }
 
     @Override
-    protected boolean unanswered(Try t) {
+    protected boolean unanswered(ClientRequest t) {
         if (!t.owed) {
             return false;
         }
@@ -254,14 +254,14 @@
         return true;
     }
 
-    private void waitedInVain(Try t) {
+    private void waitedInVain(ClientRequest t) {
         t.owed = false;
         rules.waited(nowMs, t.watched);
         ((Client) t.kept).gone();
     }
 
     /** After the day's end: judges a client whose answer is overdue. */
-    void judgeOverdue(Try t) {
+    void judgeOverdue(ClientRequest t) {
         now();
         if (t.owed && dueMs(t) < nowMs) {
             waitedInVain(t);
@@ -269,10 +269,10 @@
     }
 
     /** The node's flow for a client has arrived at a member. */
-    Flow dialled(Try t, int member, Wire wire) {
+    EmulatedAttempt dialled(ClientRequest t, int member, LineConnection wire) {
         now();
         endpointConnections++;
-        Flow f = new Flow(t, member, nowMs, run.toldStartMs(member), this);
+        EmulatedAttempt f = new EmulatedAttempt(t, member, nowMs, run.toldStartMs(member), this);
         t.attempts++;
         // One that was held on its way comes after the one that took its place.
         t.flow = t.flow == null || t.flow.over ? f : t.flow;
@@ -286,7 +286,7 @@
     }
 
     /** The node has ended a flow, because its client left or because it did not want to wait. */
-    void closedByNode(Flow f) {
+    void closedByNode(EmulatedAttempt f) {
         now();
         if (!f.over) {
             f.over = true;
@@ -296,7 +296,7 @@
     }
 
     /** Over links, the node's end of them says when a flow is over. */
-    private void over(Flow f, String how) {
+    private void over(EmulatedAttempt f, String how) {
         if (!run.linked()) {
             rules.over(nowMs, f.of.watched, how);
         }
@@ -316,19 +316,19 @@
     @Override
     protected void hear(Message m) {
         switch (m.kind) {
-            case Kinds.UP -> up((Flow) m.what);
+            case Kinds.UP -> up((EmulatedAttempt) m.what);
             case Kinds.ENDED -> {
-                Flow f = (Flow) m.what;
+                EmulatedAttempt f = (EmulatedAttempt) m.what;
                 if (!f.over) {
                     f.over = true;
                     over(f, "" + Outcome.values()[(int) m.value]);
-                    SocketMember.end(f, Outcome.values()[(int) m.value]);
+                    SocketEndpoint.end(f, Outcome.values()[(int) m.value]);
                 }
             }
             case Kinds.DELAY -> {
-                Flow f = (Flow) m.what;
+                EmulatedAttempt f = (EmulatedAttempt) m.what;
                 if (!f.over) {
-                    ((Wire) f.kept).say("LOAD " + Math.round(m.value));
+                    ((LineConnection) f.kept).say("LOAD " + Math.round(m.value));
                 }
             }
             case Kinds.SAYS -> {
@@ -363,9 +363,9 @@
         }
     }
 
-    private void up(Flow f) {
+    private void up(EmulatedAttempt f) {
         if (!f.over) {
-            ((Wire) f.kept).say("UP r" + Long.toHexString(f.of.id));
+            ((LineConnection) f.kept).say("UP r" + Long.toHexString(f.of.id));
         }
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/Clients.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Clients.java
@@ -1,8 +1,8 @@
 package tulipshed.emulator.model;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import tulipshed.emulator.policy.Try;
-import tulipshed.emulator.policy.Wish;
+import tulipshed.emulator.policy.ClientDemand;
+import tulipshed.emulator.policy.ClientRequest;
 import tulipshed.emulator.scenario.Scenario;
 
 /** What clients at one node do: come, wait, try again here or at another node, and come back when they are cut off. */
@@ -10,7 +10,7 @@
     private static final double LEAST_LEFT_MS = 30; // of a wait, to try once more
     private static final double NO_NODE_MS = 20; // until a client whose node is not there tries another
 
-    private final NodeSide node;
+    private final NodeActor node;
     private final World world;
     private final Scenario.Clients ways;
     private final UniformRandomProvider random;
@@ -18,7 +18,7 @@
     private double impatientUntilMs;
     private double giveUpShare;
 
-    Clients(NodeSide node, World world, UniformRandomProvider random) {
+    Clients(NodeActor node, World world, UniformRandomProvider random) {
         this.node = node;
         this.world = world;
         this.random = random;
@@ -47,7 +47,7 @@
     public void next(double nowMs) {
         double perSecond = ways.perSecond() * world.shareOf(node.number) * factor;
         if (perSecond > 0) {
-            node.remindSelf(nowMs + Seeds.exponential(random, 1000 / perSecond), Kinds.ARRIVAL, null);
+            node.remindSelf(nowMs + RandomStreams.exponential(random, 1000 / perSecond), Kinds.ARRIVAL, null);
         } else if (ways.perSecond() > 0) {
             node.remindSelf(nowMs + 1000, Kinds.ARRIVAL, this);
         }
@@ -55,7 +55,7 @@
 
     public void arrives(double nowMs) {
         if (factor > 0) {
-            Wish w = world.wish(random, nowMs);
+            ClientDemand w = world.wish(random, nowMs);
             world.wants(node.tally(), w, nowMs);
             w.firstAskedMs = nowMs;
             asks(nowMs, w);
@@ -64,18 +64,18 @@
         next(nowMs);
     }
 
-    private boolean counted(Wish w) {
+    private boolean counted(ClientDemand w) {
         return w.firstAskedMs >= world.scenario.settleMs();
     }
 
-    private void asks(double nowMs, Wish w) {
+    private void asks(double nowMs, ClientDemand w) {
         node.tally().at(node.tally().came, nowMs);
         if (counted(w)) {
             node.tally().asked[w.requestClass]++;
         }
     }
 
-    public void comes(double nowMs, Wish w) {
+    public void comes(double nowMs, ClientDemand w) {
         double deadline = world.scenario.classes().get(w.requestClass).deadlineMs();
         double left = w.firstAskedMs + deadline - nowMs;
         if (left < LEAST_LEFT_MS || w.tries >= ways.tries()) {
@@ -89,7 +89,7 @@
     }
 
     /** After many failures a client waits longer before it begins anew. */
-    private void rests(double nowMs, Wish w) {
+    private void rests(double nowMs, ClientDemand w) {
         if (counted(w)) {
             node.tally().lost[w.requestClass]++;
         }
@@ -101,7 +101,7 @@
         node.tally().left++;
     }
 
-    private void begins(double atMs, Wish w) {
+    private void begins(double atMs, ClientDemand w) {
         if (atMs < w.untilMs) {
             w.tries = 0;
             w.firstAskedMs = atMs;
@@ -110,19 +110,19 @@
         }
     }
 
-    public void waited(double nowMs, Try t) {
+    public void waited(double nowMs, ClientRequest t) {
         if (node.unanswered(t)) {
             again(nowMs, t.wish, backoffMs(t.wish));
         }
     }
 
-    private double backoffMs(Wish w) {
+    private double backoffMs(ClientDemand w) {
         double most = Math.min(ways.longestBackoffMs(), ways.backoffMs() * Math.pow(2, Math.max(0, w.tries - 1)));
         return most * (0.5 + 0.5 * random.nextDouble());
     }
 
     /** Turned away: most wait as they are told, the others as they see fit. */
-    public void refused(double nowMs, Try t, double retryAfterMs) {
+    public void refused(double nowMs, ClientRequest t, double retryAfterMs) {
         boolean heeds = retryAfterMs > 0 && random.nextDouble() < ways.heed();
         double wait = nowMs < impatientUntilMs
                 ? ways.backoffMs() * random.nextDouble()
@@ -130,7 +130,7 @@
         again(nowMs, t.wish, wait);
     }
 
-    public void again(double nowMs, Wish w, double waitMs) {
+    public void again(double nowMs, ClientDemand w, double waitMs) {
         double deadline = world.scenario.classes().get(w.requestClass).deadlineMs();
         if (nowMs + waitMs + LEAST_LEFT_MS > w.firstAskedMs + deadline || w.tries >= ways.tries()) {
             rests(nowMs, w);
@@ -140,8 +140,8 @@
     }
 
     /** A client has its connection; the way back to it counts. */
-    public void served(double nowMs, Try t) {
-        Wish w = t.wish;
+    public void served(double nowMs, ClientRequest t) {
+        ClientDemand w = t.wish;
         double took = nowMs + world.scenario.network().withinMs() - w.firstAskedMs;
         Scenario.ClassOf c = world.scenario.classes().get(w.requestClass);
         node.tally().setupUs.recordValue(Math.min(3_600_000_000L, Math.round(took * 1000)));
@@ -151,7 +151,7 @@
     }
 
     /** A connection broke, or was moved: its client comes back for the rest of what it wanted. */
-    public void returns(double nowMs, Try t) {
+    public void returns(double nowMs, ClientRequest t) {
         t.wish.returning = true;
         begins(nowMs + ways.returnMs() * (0.5 + random.nextDouble()), t.wish);
     }
--- a/emulator/src/main/java/tulipshed/emulator/model/Tally.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Counters.java
@@ -1,14 +1,14 @@
 package tulipshed.emulator.model;
 
 import org.HdrHistogram.Histogram;
-import tulipshed.emulator.invariants.RuleReport;
+import tulipshed.emulator.invariants.InvariantReport;
 import tulipshed.emulator.scenario.Scenario;
 
 /**
  * What one thread counts. All of it are whole numbers, so that the sum over threads does not depend on how many there
  * were.
  */
-public final class Tally {
+public final class Counters {
     private static final long LONGEST_US = 3_600_000_000L;
 
     final int seconds;
@@ -55,9 +55,9 @@
     /** How many set-ups a member held, by number, looked at at every tick. */
     final long[] queue = new long[64];
 
-    final RuleReport rules = new RuleReport();
+    final InvariantReport rules = new InvariantReport();
 
-    Tally(Scenario s) {
+    Counters(Scenario s) {
         int classes = s.classes().size();
         settled = (int) Math.ceil(s.settleMs() / 1000);
         worth = s.classes().stream().mapToDouble(Scenario.ClassOf::worth).toArray();
@@ -81,9 +81,9 @@
     }
 
     /** What all threads of a world have counted. */
-    static Tally sum(World world) {
-        Tally sum = new Tally(world.scenario);
-        for (Tally t : world.tallies) {
+    static Counters sum(World world) {
+        Counters sum = new Counters(world.scenario);
+        for (Counters t : world.tallies) {
             sum.add(t);
         }
         return sum;
@@ -133,7 +133,7 @@
         }
     }
 
-    void add(Tally o) {
+    void add(Counters o) {
         long[][] mine = arrays();
         long[][] others = o.arrays();
         for (int i = 0; i < mine.length; i++) {
--- a/emulator/src/main/java/tulipshed/emulator/model/DiscoveryPart.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedDiscovery.java
@@ -10,22 +10,22 @@
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
+import tulipshed.emulator.engine.Actor;
 import tulipshed.emulator.engine.Message;
-import tulipshed.emulator.engine.Part;
-import tulipshed.emulator.policy.MemberNews;
+import tulipshed.emulator.policy.EndpointListing;
 import tulipshed.proxy.EndpointListEntry;
 
 /**
  * Discovery: knows the members after a time, tells those that watch, answers calls one after the other at a fixed rate, and
  * fails those that would wait too long. Dark, it fails all and forgets who watches.
  */
-final class DiscoveryPart extends Part {
+final class EmulatedDiscovery extends Actor {
     private static final InetSocketAddress NOWHERE = InetSocketAddress.createUnresolved("emulator", 1);
 
     private final World world;
-    private final MemberNews[] now;
+    private final EndpointListing[] now;
     private final double[] clockOffMs;
-    private final List<MemberNews> changes = new ArrayList<>();
+    private final List<EndpointListing> changes = new ArrayList<>();
     private final BitSet watching = new BitSet();
     /** How many of the changes have had their time to become known. */
     private int told;
@@ -34,15 +34,15 @@
     private double darkUntilMs;
     private double laterMs;
     private double lastDueMs;
-    Consumer<MemberNews> onNews = n -> {};
+    Consumer<EndpointListing> onNews = n -> {};
     Consumer<Double> onDark = ms -> {};
     long calls;
     long failedCalls;
 
-    DiscoveryPart(int id, World world) {
+    EmulatedDiscovery(int id, World world) {
         super(id);
         this.world = world;
-        now = new MemberNews[world.members.length];
+        now = new EndpointListing[world.members.length];
         clockOffMs = new double[world.members.length];
         for (int m = 0; m < world.listedAtStart; m++) {
             now[m] = news(m, EndpointStatus.SERVING, 0);
@@ -54,19 +54,19 @@
     }
 
     /** What every node is told at its start of the day. */
-    MemberNews.Batch atStart() {
-        List<MemberNews> all = new ArrayList<>();
-        for (MemberNews n : now) {
+    EndpointListing.Batch atStart() {
+        List<EndpointListing> all = new ArrayList<>();
+        for (EndpointListing n : now) {
             if (n != null) {
                 all.add(n);
             }
         }
-        return new MemberNews.Batch(EndpointListKind.CACHED, List.copyOf(all));
+        return new EndpointListing.Batch(EndpointListKind.CACHED, List.copyOf(all));
     }
 
-    private MemberNews news(int member, EndpointStatus state, double startedMs) {
-        MemberPart m = world.members[member];
-        return new MemberNews(
+    private EndpointListing news(int member, EndpointStatus state, double startedMs) {
+        EmulatedEndpoint m = world.members[member];
+        return new EndpointListing(
                 member,
                 new EndpointListEntry(
                         new EndpointInfo(
@@ -86,8 +86,8 @@
             case Kinds.CLOCK -> stepClock(nowMs, (Integer) message.what, message.value);
             case Kinds.LATE -> laterMs = message.value;
             case Kinds.TELL -> tell(nowMs, (Integer) message.what);
-            case Kinds.ANSWER -> answer(nowMs, (NodeSide) message.what, (int) message.value);
-            case Kinds.WATCH -> call(nowMs, (NodeSide) message.what, (int) message.value);
+            case Kinds.ANSWER -> answer(nowMs, (NodeActor) message.what, (int) message.value);
+            case Kinds.WATCH -> call(nowMs, (NodeActor) message.what, (int) message.value);
             case Kinds.DARK -> {
                 darkUntilMs = nowMs + message.value;
                 onDark.accept(message.value);
@@ -105,7 +105,7 @@
     }
 
     private void change(double nowMs, int member, EndpointStatus state, double startedMs) {
-        MemberNews n = news(member, state, startedMs);
+        EndpointListing n = news(member, state, startedMs);
         if (state == EndpointStatus.REMOVED && now[member] == null) {
             return;
         }
@@ -132,19 +132,19 @@
         }
         told = change + 1;
         onNews.accept(changes.get(change));
-        MemberNews.Batch batch = new MemberNews.Batch(EndpointListKind.CHANGES, List.of(changes.get(change)));
+        EndpointListing.Batch batch = new EndpointListing.Batch(EndpointListKind.CHANGES, List.of(changes.get(change)));
         for (int n = watching.nextSetBit(0); n >= 0; n = watching.nextSetBit(n + 1)) {
             toNode(nowMs, world.nodes[n], batch, change + 1);
         }
     }
 
     /** Over a cut it arrives once the way is back. */
-    private void toNode(double nowMs, NodeSide node, MemberNews.Batch batch, int version) {
+    private void toNode(double nowMs, NodeActor node, EndpointListing.Batch batch, int version) {
         double sentMs = world.cuts.backMs(site(), node.site, nowMs);
         send(sentMs + world.wayToDiscovery(node), node, Kinds.LIST, batch, version);
     }
 
-    private void call(double nowMs, NodeSide from, int version) {
+    private void call(double nowMs, NodeActor from, int version) {
         calls++;
         if (world.scenario.discovery().pushed()) {
             remind(Math.max(nowMs, darkUntilMs), Kinds.ANSWER, from, version);
@@ -164,31 +164,31 @@
     }
 
     /** From here on the node hears of what becomes known; what it is told of before is in this answer. */
-    private void answer(double nowMs, NodeSide to, int version) {
+    private void answer(double nowMs, NodeActor to, int version) {
         if (nowMs < darkUntilMs) {
             fail(nowMs, to);
             return;
         }
         watching.set(to.number);
         if (version < 0) {
-            toNode(nowMs, to, new MemberNews.Batch(EndpointListKind.COMPLETE, complete()), told);
+            toNode(nowMs, to, new EndpointListing.Batch(EndpointListKind.COMPLETE, complete()), told);
             return;
         }
-        List<MemberNews> since = version < told ? List.copyOf(changes.subList(version, told)) : List.of();
-        toNode(nowMs, to, new MemberNews.Batch(EndpointListKind.CHANGES, since), told);
+        List<EndpointListing> since = version < told ? List.copyOf(changes.subList(version, told)) : List.of();
+        toNode(nowMs, to, new EndpointListing.Batch(EndpointListKind.CHANGES, since), told);
     }
 
     /** The whole list as it is known by now. */
-    private List<MemberNews> complete() {
-        Map<Integer, MemberNews> all = new TreeMap<>();
+    private List<EndpointListing> complete() {
+        Map<Integer, EndpointListing> all = new TreeMap<>();
         world.atStart.news().forEach(n -> all.put(n.member(), n));
         changes.subList(0, told).forEach(n -> all.put(n.member(), n));
         all.values().removeIf(n -> n.listed().info().status() == EndpointStatus.REMOVED);
         return List.copyOf(all.values());
     }
 
-    private void fail(double nowMs, NodeSide node) {
+    private void fail(double nowMs, NodeActor node) {
         failedCalls++;
-        toNode(nowMs, node, new MemberNews.Batch(EndpointListKind.FAILED, List.of()), -1);
+        toNode(nowMs, node, new EndpointListing.Batch(EndpointListKind.FAILED, List.of()), -1);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/MemberPart.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
@@ -7,19 +7,19 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.Outcome;
+import tulipshed.emulator.engine.Actor;
 import tulipshed.emulator.engine.Message;
-import tulipshed.emulator.engine.Part;
-import tulipshed.emulator.invariants.ColdRule;
-import tulipshed.emulator.policy.Flow;
-import tulipshed.emulator.policy.Host;
+import tulipshed.emulator.invariants.SlowStartInvariant;
+import tulipshed.emulator.policy.EmulatedAttempt;
 import tulipshed.emulator.policy.PolicyFactory;
+import tulipshed.emulator.policy.PolicyHost;
 import tulipshed.emulator.scenario.Scenario;
 
 /**
  * A pool member: set-ups wait for its cores in order of arrival; standing connections ask for work that goes on, and where
  * that is more than it can do, work piles up and messages take long (docs/emulator-design.md gives the model).
  */
-final class MemberPart extends Part implements Host.Truth {
+final class EmulatedEndpoint extends Actor implements PolicyHost.Truth {
     private static final double TICK_MS = 150;
     private static final double NOTE_MS = 1000;
     private static final double SILENT_MS = 2000; // until a client gives up a member that says nothing
@@ -33,11 +33,11 @@
     private final World world;
     private final Scenario.MemberModel model;
     private final UniformRandomProvider random;
-    private final ColdRule cold;
+    private final SlowStartInvariant cold;
     private final double noteFromMs;
-    private final Standing standing;
-    private final MemberFaults faults;
-    private final MemberPast past;
+    private final EstablishedLoad standing;
+    private final EndpointFaults faults;
+    private final EndpointHistory past;
     private final double[] freeAtMs;
     private final double[] inTime;
     private final double cap;
@@ -58,7 +58,7 @@
     private boolean noted;
     private final Set<Integer> noticed = new HashSet<>();
 
-    MemberPart(int id, int number, Scenario.MemberKind kind, World world) {
+    EmulatedEndpoint(int id, int number, Scenario.MemberKind kind, World world) {
         super(id);
         this.number = number;
         this.kind = kind;
@@ -66,7 +66,7 @@
         model = world.scenario.members();
         name = "m-" + number;
         site = "s" + number % world.scenario.network().sites();
-        random = Seeds.random(world.seed, id, 0);
+        random = RandomStreams.random(world.seed, id, 0);
         int classes = world.scenario.classes().size();
         double shares = world.scenario.classes().stream()
                 .mapToDouble(Scenario.ClassOf::share)
@@ -74,12 +74,12 @@
         double usual = world.scenario.classes().stream()
                 .mapToDouble(c -> c.share() / shares * c.load())
                 .sum();
-        cold = new ColdRule(number, model.fallFactor(), model.fallMs(), usual);
+        cold = new SlowStartInvariant(number, model.fallFactor(), model.fallMs(), usual);
         cap = usual > 0 ? model.cap() * kind.cores() * kind.speed() / usual : Double.MAX_VALUE;
         freeAtMs = new double[kind.cores()];
-        standing = new Standing(classes, world.scenario.tenants().size(), model.groupLoad());
-        faults = new MemberFaults(random);
-        past = PolicyFactory.looksBack(world.scenario.policy()) ? new MemberPast() : null;
+        standing = new EstablishedLoad(classes, world.scenario.tenants().size(), model.groupLoad());
+        faults = new EndpointFaults(random);
+        past = PolicyFactory.looksBack(world.scenario.policy()) ? new EndpointHistory() : null;
         inTime = new double[classes];
         loadBySecond = new float[(int) Math.ceil(world.scenario.lengthMs() / 1000) + 1];
         noteFromMs = world.scenario.classes().stream()
@@ -98,11 +98,11 @@
     }
 
     /** A connection that stands when the day begins. */
-    void holds(Flow f) {
+    void holds(EmulatedAttempt f) {
         standing.add(f);
     }
 
-    private Tally tally() {
+    private Counters tally() {
         return world.tallies[shardNumber()];
     }
 
@@ -170,17 +170,17 @@
     }
 
     @Override
-    public Host.Truth at(double ms) {
+    public PolicyHost.Truth at(double ms) {
         return past == null ? this : past.at(ms, this);
     }
 
     @Override
     protected void take(double nowMs, Message m) {
         switch (m.kind) {
-            case Kinds.DIAL -> dial(nowMs, (Flow) m.what);
-            case Kinds.TAKEN -> taken(nowMs, (Flow) m.what, (int) m.value);
-            case Kinds.DROP -> drop(nowMs, (Flow) m.what);
-            case Kinds.LOAD -> standing.load((Flow) m.what, m.value);
+            case Kinds.DIAL -> dial(nowMs, (EmulatedAttempt) m.what);
+            case Kinds.TAKEN -> taken(nowMs, (EmulatedAttempt) m.what, (int) m.value);
+            case Kinds.DROP -> drop(nowMs, (EmulatedAttempt) m.what);
+            case Kinds.LOAD -> standing.load((EmulatedAttempt) m.what, m.value);
             case Kinds.TICK -> tick(nowMs);
             case Kinds.DRAINED -> sendAway(nowMs);
             case Kinds.DIES -> die(nowMs, m.value > 0);
@@ -191,24 +191,24 @@
                 pausedUntilMs = Math.max(pausedUntilMs, nowMs + m.value);
             }
             case Kinds.CUT -> cut(nowMs);
-            case Kinds.FAULT -> faults.share((MemberFaults.Fate) m.what, m.value);
-            case Kinds.NOTICED -> end(nowMs, (Flow) m.what, Outcome.RESET);
+            case Kinds.FAULT -> faults.share((EndpointFaults.Fate) m.what, m.value);
+            case Kinds.NOTICED -> end(nowMs, (EmulatedAttempt) m.what, Outcome.RESET);
             default -> throw new IllegalStateException("a member is sent " + m.kind);
         }
     }
 
     // ---- Connections ----
 
-    private void tell(double nowMs, Flow f, int kind, double value) {
-        NodeSide node = (NodeSide) f.from;
+    private void tell(double nowMs, EmulatedAttempt f, int kind, double value) {
+        NodeActor node = (NodeActor) f.from;
         send(world.cuts.backMs(node.site, this, nowMs) + world.wayMs(site, node.site, random), node, kind, f, value);
     }
 
-    private void end(double nowMs, Flow f, Outcome outcome) {
+    private void end(double nowMs, EmulatedAttempt f, Outcome outcome) {
         tell(nowMs, f, Kinds.ENDED, outcome.ordinal());
     }
 
-    private void dial(double nowMs, Flow f) {
+    private void dial(double nowMs, EmulatedAttempt f) {
         if (!alive) {
             if (resets) {
                 end(nowMs, f, Outcome.CONNECT_FAILED);
@@ -220,7 +220,7 @@
             end(nowMs, f, alive ? Outcome.ERROR : Outcome.RESET);
             return;
         }
-        double work = model.exponential() ? Seeds.exponential(random, model.setupMs()) : model.setupMs();
+        double work = model.exponential() ? RandomStreams.exponential(random, model.setupMs()) : model.setupMs();
         push(nowMs, f);
         if (!alive) {
             end(nowMs, f, Outcome.RESET);
@@ -244,7 +244,7 @@
         remind(freeAtMs[core], Kinds.TAKEN, f, generation);
     }
 
-    private void taken(double nowMs, Flow f, int of) {
+    private void taken(double nowMs, EmulatedAttempt f, int of) {
         if (of != generation) {
             if (resets) {
                 end(nowMs, f, Outcome.RESET);
@@ -252,7 +252,7 @@
             return;
         }
         // Set up while nobody could hear of it, it stands once the way is back, if it is still wanted.
-        double until = Math.max(pausedUntilMs, world.cuts.backMs(((NodeSide) f.from).site, this, nowMs));
+        double until = Math.max(pausedUntilMs, world.cuts.backMs(((NodeActor) f.from).site, this, nowMs));
         if (nowMs < until) {
             remind(until, Kinds.TAKEN, f, of);
             return;
@@ -274,7 +274,7 @@
         }
     }
 
-    private void drop(double nowMs, Flow f) {
+    private void drop(double nowMs, EmulatedAttempt f) {
         f.dropped = true;
         if (f.place >= 0) {
             account(nowMs);
@@ -306,7 +306,7 @@
         return messageMs + backlogMs + Math.max(0, pausedUntilMs - nowMs);
     }
 
-    private void push(double nowMs, Flow from) {
+    private void push(double nowMs, EmulatedAttempt from) {
         if (!cold(nowMs)) {
             return;
         }
@@ -335,7 +335,7 @@
         remind(nowMs + TICK_MS, Kinds.TICK, null, 0);
         account(nowMs);
         double passed = nowMs - tickedMs;
-        Tally t = tally();
+        Counters t = tally();
         t.queue[Math.min(t.queue.length - 1, pending)]++;
         double able = able(nowMs);
         double busy = (standing.cores() + (passed > 0 ? setupWorkMs / passed : 0)) / able;
@@ -374,14 +374,14 @@
             // On one connection of each node, once more when it is back under.
             noted = delay > noteFromMs;
             noticed.clear();
-            for (Flow f : standing.flows()) {
-                if (noticed.add(((NodeSide) f.from).number)) {
+            for (EmulatedAttempt f : standing.flows()) {
+                if (noticed.add(((NodeActor) f.from).number)) {
                     tell(nowMs, f, Kinds.DELAY, delay);
                 }
             }
         }
         if (backlogMs > model.resetBacklogMs()) {
-            List<Flow> heaviest = new ArrayList<>(standing.flows());
+            List<EmulatedAttempt> heaviest = new ArrayList<>(standing.flows());
             heaviest.sort(
                     (a, b) -> a.load != b.load ? Double.compare(b.load, a.load) : Integer.compare(a.place, b.place));
             int many = (int) Math.ceil(standing.size() * model.resetShare());
@@ -390,7 +390,7 @@
         }
     }
 
-    private void reset(double nowMs, Flow f, Outcome outcome) {
+    private void reset(double nowMs, EmulatedAttempt f, Outcome outcome) {
         account(nowMs);
         standing.remove(f);
         tally().at(outcome == Outcome.RESET ? tally().resets : tally().moves, nowMs);
@@ -403,8 +403,8 @@
     private void cut(double nowMs) {
         account(nowMs);
         for (int i = standing.size() - 1; i >= 0; i--) {
-            Flow f = standing.get(i);
-            if (world.cuts.backMs(((NodeSide) f.from).site, this, nowMs) > nowMs) {
+            EmulatedAttempt f = standing.get(i);
+            if (world.cuts.backMs(((NodeActor) f.from).site, this, nowMs) > nowMs) {
                 standing.remove(f);
                 tally().at(tally().resets, nowMs);
             }
@@ -429,7 +429,7 @@
         say(nowMs, "ends with " + standing.size() + " connections" + (withReset ? "" : ", in silence"));
         resets = withReset;
         for (int i = standing.size() - 1; i >= 0; i--) {
-            Flow f = standing.get(i);
+            EmulatedAttempt f = standing.get(i);
             if (withReset) {
                 reset(nowMs, f, Outcome.RESET);
             } else {
--- a/emulator/src/main/java/tulipshed/emulator/model/NodePart.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedNode.java
@@ -5,27 +5,27 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.Outcome;
 import tulipshed.emulator.engine.Message;
-import tulipshed.emulator.invariants.NodeRules;
-import tulipshed.emulator.policy.Flow;
-import tulipshed.emulator.policy.Host;
+import tulipshed.emulator.invariants.NodeInvariants;
+import tulipshed.emulator.policy.ClientDemand;
+import tulipshed.emulator.policy.ClientRequest;
+import tulipshed.emulator.policy.EmulatedAttempt;
+import tulipshed.emulator.policy.EndpointListing;
 import tulipshed.emulator.policy.HotRestart;
-import tulipshed.emulator.policy.MemberNews;
 import tulipshed.emulator.policy.Policy;
-import tulipshed.emulator.policy.Try;
-import tulipshed.emulator.policy.Wish;
+import tulipshed.emulator.policy.PolicyHost;
 import tulipshed.emulator.scenario.Scenario;
 
 /** A node: the policy that decides, what the node does about it, and the checkers that watch. Its clients are in {@link Clients}. */
-final class NodePart extends NodeSide implements Host {
+final class EmulatedNode extends NodeActor implements PolicyHost {
     private static final double SILENT_MS = 2000; // until a client gives up a way that says nothing
     private static final double LATE_MS = 500; // after a client's wait an answer is late; later it is none
 
-    private final List<Try> tries = new ArrayList<>();
-    private final KnownList known;
-    private final HoldUps holdUps;
+    private final List<ClientRequest> tries = new ArrayList<>();
+    private final NotifiedEndpoints known;
+    private final ProcessStalls holdUps;
     private final boolean isHotRestarted;
     private Policy policy;
-    private NodeRules rules;
+    private NodeInvariants rules;
     private int generation;
     private boolean up = true;
     private boolean taking = true;
@@ -33,26 +33,26 @@
 
     private record Later(int generation, Runnable what) {}
 
-    NodePart(int id, int number, World world) {
+    EmulatedNode(int id, int number, World world) {
         super(id, number, world);
-        known = new KnownList(world.atStart);
-        holdUps = new HoldUps(Seeds.random(world.seed, id, 2));
+        known = new NotifiedEndpoints(world.atStart);
+        holdUps = new ProcessStalls(RandomStreams.random(world.seed, id, 2));
         isHotRestarted =
                 world.scenario.troubles().stream().anyMatch(t -> t.kind().equals("hot-restart-nodes"));
     }
 
     @Override
-    protected void begin(MemberNews.Batch list) {
+    protected void begin(EndpointListing.Batch list) {
         start(list);
         clients.next(0);
     }
 
-    private void start(MemberNews.Batch list) {
+    private void start(EndpointListing.Batch list) {
         rules = newRules();
-        rules.heldUp(holdUps.excusesUntilMs(), HoldUps.LONGEST_MS);
+        rules.heldUp(holdUps.excusesUntilMs(), ProcessStalls.LONGEST_MS);
         policy = isHotRestarted ? new HotRestart(this, world.policies) : world.policies.apply(this);
         policy.settle();
-        MemberNews.Batch cached = new MemberNews.Batch(EndpointListKind.CACHED, list.news());
+        EndpointListing.Batch cached = new EndpointListing.Batch(EndpointListKind.CACHED, list.news());
         told(cached);
         hears(cached);
         if (world.scenario.discovery().pushed()) {
@@ -72,30 +72,30 @@
                     }
                 });
             }
-            case Kinds.UP -> turn(() -> up((Flow) m.what));
+            case Kinds.UP -> turn(() -> up((EmulatedAttempt) m.what));
             case Kinds.ENDED -> {
                 if (m.from() == id()) {
                     // It is this side that gives the way up.
-                    closes((Flow) m.what);
+                    closes((EmulatedAttempt) m.what);
                 }
-                turn(() -> ended((Flow) m.what, Outcome.values()[(int) m.value]));
+                turn(() -> ended((EmulatedAttempt) m.what, Outcome.values()[(int) m.value]));
             }
-            case Kinds.DELAY -> turn(() -> delayed((Flow) m.what, m.value));
-            case Kinds.LIST -> list((MemberNews.Batch) m.what, (int) m.value);
-            case Kinds.LIFE_OVER -> turn(() -> lifeOver((Flow) m.what));
-            case Kinds.LOAD_CHANGES -> turn(() -> loadChanges((Flow) m.what));
-            case Kinds.LEAVES -> leaves((Try) m.what);
+            case Kinds.DELAY -> turn(() -> delayed((EmulatedAttempt) m.what, m.value));
+            case Kinds.LIST -> list((EndpointListing.Batch) m.what, (int) m.value);
+            case Kinds.LIFE_OVER -> turn(() -> lifeOver((EmulatedAttempt) m.what));
+            case Kinds.LOAD_CHANGES -> turn(() -> loadChanges((EmulatedAttempt) m.what));
+            case Kinds.LEAVES -> leaves((ClientRequest) m.what);
             case Kinds.STOP -> stop(m.value > 0);
             case Kinds.LEFT -> leftInGoodOrder((int) m.value);
             case Kinds.START -> starts();
-            case Kinds.SEND_AWAY -> turn(() -> sendAway((Try) m.what));
+            case Kinds.SEND_AWAY -> turn(() -> sendAway((ClientRequest) m.what));
             case Kinds.CUT -> cut();
-            case Kinds.OVERDUE -> overdue((Try) m.what);
+            case Kinds.OVERDUE -> overdue((ClientRequest) m.what);
             case Kinds.RELOAD -> turn(this::reload);
             case Kinds.HOT_RESTART -> turn(this::hotRestart);
             case Kinds.HOLD_UPS -> {
                 holdUps.begin(nowMs, m.value);
-                rules.heldUp(holdUps.excusesUntilMs(), HoldUps.LONGEST_MS);
+                rules.heldUp(holdUps.excusesUntilMs(), ProcessStalls.LONGEST_MS);
             }
             case Kinds.RESUME -> holdUps.resume(nowMs, this::settled);
             default -> throw new IllegalStateException("a node is sent " + m.kind);
@@ -138,13 +138,13 @@
         return holdUps.writtenMs(nowMs);
     }
 
-    private void tell(Try t, String what) {
+    private void tell(ClientRequest t, String what) {
         if (world.tells(nowMs)) {
             world.tell(nowMs, "n-" + number + (t == null ? "" : ", n-" + number + "/" + t.id) + ": " + what);
         }
     }
 
-    private String at(Flow f) {
+    private String at(EmulatedAttempt f) {
         return world.members[f.member].name;
     }
 
@@ -157,8 +157,9 @@
 
     /** A client asks here; the policy owes it an answer. */
     @Override
-    protected void asked(Wish w, double graceMs) {
-        Try t = new Try(++lastTry, w, nowMs, nowMs + graceMs, rules.asked(nowMs, lastTry, nowMs + graceMs));
+    protected void asked(ClientDemand w, double graceMs) {
+        ClientRequest t =
+                new ClientRequest(++lastTry, w, nowMs, nowMs + graceMs, rules.asked(nowMs, lastTry, nowMs + graceMs));
         keep(t);
         tell(
                 t,
@@ -176,14 +177,14 @@
         });
     }
 
-    private void keep(Try t) {
+    private void keep(ClientRequest t) {
         t.place = tries.size();
         tries.add(t);
     }
 
-    private void forget(Try t) {
+    private void forget(ClientRequest t) {
         if (t.place >= 0) {
-            Try last = tries.remove(tries.size() - 1);
+            ClientRequest last = tries.remove(tries.size() - 1);
             if (last != t) {
                 tries.set(t.place, last);
                 last.place = t.place;
@@ -194,10 +195,10 @@
 
     /** A connection that stands when the day begins. */
     @Override
-    protected Flow alreadyOpen(Wish w, int member) {
-        Try t = new Try(++lastTry, w, 0, 0, rules.asked(0, lastTry, 0));
+    protected EmulatedAttempt alreadyOpen(ClientDemand w, int member) {
+        ClientRequest t = new ClientRequest(++lastTry, w, 0, 0, rules.asked(0, lastTry, 0));
         keep(t);
-        Flow f = new Flow(t, member, 0, Double.NaN, this);
+        EmulatedAttempt f = new EmulatedAttempt(t, member, 0, Double.NaN, this);
         t.flow = f;
         t.attempts = 1;
         rules.sent(0, t.watched, member);
@@ -207,15 +208,15 @@
         return f;
     }
 
-    private void stands(Flow f) {
+    private void stands(EmulatedAttempt f) {
         remind(Math.max(nowMs, f.of.wish.untilMs), Kinds.LIFE_OVER, f, 0);
         double changes = world.scenario.clients().loadChangesPerS();
         if (changes > 0) {
-            remind(nowMs + Seeds.exponential(random, 1000 / changes), Kinds.LOAD_CHANGES, f, 0);
+            remind(nowMs + RandomStreams.exponential(random, 1000 / changes), Kinds.LOAD_CHANGES, f, 0);
         }
     }
 
-    private void leaves(Try t) {
+    private void leaves(ClientRequest t) {
         if (t.owed && t.place >= 0) {
             tell(t, "the client leaves before it is answered");
             rules.left(t.watched);
@@ -229,7 +230,7 @@
         }
     }
 
-    private void hasLeft(Try t) {
+    private void hasLeft(ClientRequest t) {
         if (t.arrived) {
             policy.left(t);
             policy.settle();
@@ -242,7 +243,7 @@
      * for over a while: late and never are two breaches.
      */
     @Override
-    protected boolean unanswered(Try t) {
+    protected boolean unanswered(ClientRequest t) {
         if (t.place < 0 || t.standing || t.watched.answered()) {
             return false;
         }
@@ -251,7 +252,7 @@
         return true;
     }
 
-    private void overdue(Try t) {
+    private void overdue(ClientRequest t) {
         rules.waited(nowMs, t.watched);
         turn(() -> {
             if (t.place >= 0 && !t.standing) {
@@ -260,7 +261,7 @@
         });
     }
 
-    private void over(Try t) {
+    private void over(ClientRequest t) {
         forget(t);
         if (t.flow != null) {
             giveUp(t.flow);
@@ -269,12 +270,12 @@
 
     // ---- Flows ----
 
-    private void closes(Flow f) {
+    private void closes(EmulatedAttempt f) {
         sendToMember(f.member, Kinds.DROP, f, 0);
     }
 
-    private void up(Flow f) {
-        Try t = f.of;
+    private void up(EmulatedAttempt f) {
+        ClientRequest t = f.of;
         if (t.place < 0 || f.over || !policy.up(f)) {
             closes(f);
             return;
@@ -290,8 +291,8 @@
         stands(f);
     }
 
-    private void ended(Flow f, Outcome outcome) {
-        Try t = f.of;
+    private void ended(EmulatedAttempt f, Outcome outcome) {
+        ClientRequest t = f.of;
         if (t.place < 0 || f.over) {
             return;
         }
@@ -310,15 +311,15 @@
         }
     }
 
-    private void delayed(Flow f, double ms) {
+    private void delayed(EmulatedAttempt f, double ms) {
         if (f.of.place >= 0 && f.of.standing && !f.over) {
             tell(f.of, "messages at " + at(f) + " take " + Math.round(ms) + " ms");
             policy.delayed(f, ms);
         }
     }
 
-    private void lifeOver(Flow f) {
-        Try t = f.of;
+    private void lifeOver(EmulatedAttempt f) {
+        ClientRequest t = f.of;
         if (t.place >= 0 && t.standing && !f.over) {
             f.over = true;
             t.flow = null;
@@ -328,20 +329,20 @@
         }
     }
 
-    private void loadChanges(Flow f) {
-        Try t = f.of;
+    private void loadChanges(EmulatedAttempt f) {
+        ClientRequest t = f.of;
         if (t.place < 0 || !t.standing || f.over) {
             return;
         }
         t.wish.load = t.wish.usualLoad
-                * Seeds.lognormal(random, world.scenario.clients().loadSwing());
+                * RandomStreams.lognormal(random, world.scenario.clients().loadSwing());
         sendToMember(f.member, Kinds.LOAD, f, t.wish.load);
         if (world.scenario.clients().tellsLoad()) {
             policy.loadChanged(f);
         }
         remind(
                 nowMs
-                        + Seeds.exponential(
+                        + RandomStreams.exponential(
                                 random, 1000 / world.scenario.clients().loadChangesPerS()),
                 Kinds.LOAD_CHANGES,
                 f,
@@ -350,7 +351,7 @@
 
     // ---- The list ----
 
-    private void list(MemberNews.Batch batch, int version) {
+    private void list(EndpointListing.Batch batch, int version) {
         if (!up) {
             if (world.scenario.discovery().pushed()) {
                 // What the agent has counts as told to the next process from its first moment.
@@ -366,15 +367,15 @@
         turn(() -> hears(batch));
     }
 
-    private void told(MemberNews.Batch batch) {
-        for (MemberNews n : batch.news()) {
+    private void told(EndpointListing.Batch batch) {
+        for (EndpointListing n : batch.news()) {
             rules.told(nowMs, n.member(), n.serving());
             known.started(n);
         }
         known.missing(batch).forEach(m -> rules.told(nowMs, m, false));
     }
 
-    private void hears(MemberNews.Batch batch) {
+    private void hears(EndpointListing.Batch batch) {
         if (world.tells(nowMs)) {
             tell(
                     null,
@@ -407,7 +408,7 @@
         if (politely) {
             // The front layer sends it nothing more, and what stands is asked to come again over a time.
             taking = false;
-            for (Try t : tries) {
+            for (ClientRequest t : tries) {
                 remind(nowMs + world.scenario.nodes().leaveMs() * random.nextDouble(), Kinds.SEND_AWAY, t, 0);
             }
             remind(nowMs + world.scenario.nodes().leaveMs() + 1, Kinds.LEFT, null, generation);
@@ -427,7 +428,7 @@
         }
         policy.shutDown(List.copyOf(tries));
         policy.settle();
-        for (Try t : tries) {
+        for (ClientRequest t : tries) {
             if (t.owed) {
                 rules.closed(writeMs(), t.watched);
             }
@@ -441,9 +442,9 @@
         up = taking = false;
         generation++;
         holdUps.end();
-        for (Try t : List.copyOf(tries)) {
+        for (ClientRequest t : List.copyOf(tries)) {
             forget(t);
-            Flow f = t.flow;
+            EmulatedAttempt f = t.flow;
             if (f != null) {
                 f.over = true;
                 t.flow = null;
@@ -474,7 +475,7 @@
         }
     }
 
-    private void sendAway(Try t) {
+    private void sendAway(ClientRequest t) {
         if (up && t.place >= 0 && t.standing) {
             move(t);
         }
@@ -485,8 +486,8 @@
      * is reset once the way is back.
      */
     private void cut() {
-        for (Try t : tries) {
-            Flow f = t.flow;
+        for (ClientRequest t : tries) {
+            EmulatedAttempt f = t.flow;
             double backMs = f == null ? nowMs : world.cuts.backMs(site, world.members[f.member], nowMs);
             if (t.standing && backMs > nowMs) {
                 double noticed = nowMs + SILENT_MS * (0.5 + 0.5 * random.nextDouble());
@@ -523,7 +524,7 @@
 
     @Override
     public long seed() {
-        return Seeds.of(world.seed, id(), 100 + generation);
+        return RandomStreams.of(world.seed, id(), 100 + generation);
     }
 
     @Override
@@ -537,8 +538,8 @@
     }
 
     @Override
-    public Flow dial(Try t, int member) {
-        Flow f = new Flow(t, member, nowMs, known.startedMs(member), this);
+    public EmulatedAttempt dial(ClientRequest t, int member) {
+        EmulatedAttempt f = new EmulatedAttempt(t, member, nowMs, known.startedMs(member), this);
         t.attempts++;
         t.flow = f;
         tell(t, "attempt " + t.attempts + " to " + at(f));
@@ -556,7 +557,7 @@
     }
 
     @Override
-    public void giveUp(Flow f) {
+    public void giveUp(EmulatedAttempt f) {
         if (f.over) {
             return;
         }
@@ -569,18 +570,18 @@
     }
 
     @Override
-    public void refuse(Try t, double retryAfterMs) {
+    public void refuse(ClientRequest t, double retryAfterMs) {
         tell(t, "refused, to come again in " + Math.round(retryAfterMs) + " ms");
         turnedAway(t, "refused", tally().refused, retryAfterMs);
     }
 
     @Override
-    public void fail(Try t) {
+    public void fail(ClientRequest t) {
         tell(t, "failed");
         turnedAway(t, "failed", tally().failed, 0);
     }
 
-    private void turnedAway(Try t, String how, long[] count, double retryAfterMs) {
+    private void turnedAway(ClientRequest t, String how, long[] count, double retryAfterMs) {
         double answeredMs = writeMs();
         rules.answered(answeredMs, t.watched, how);
         if (t.place < 0) {
@@ -594,8 +595,8 @@
     }
 
     @Override
-    public void move(Try t) {
-        Flow f = t.flow;
+    public void move(ClientRequest t) {
+        EmulatedAttempt f = t.flow;
         if (t.place < 0 || !t.standing || f == null) {
             return;
         }
@@ -621,7 +622,7 @@
         if (world.scenario.discovery().pushed() || world.cuts.backMs(site, world.discovery.site(), nowMs) <= nowMs) {
             send(nowMs + world.wayToDiscovery(this), world.discovery, Kinds.WATCH, this, known.version());
         } else {
-            remind(nowMs + SILENT_MS, Kinds.LIST, new MemberNews.Batch(EndpointListKind.FAILED, List.of()), -1);
+            remind(nowMs + SILENT_MS, Kinds.LIST, new EndpointListing.Batch(EndpointListKind.FAILED, List.of()), -1);
         }
     }
 
--- a/emulator/src/main/java/tulipshed/emulator/model/MemberFaults.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EndpointFaults.java
@@ -3,7 +3,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** What goes wrong between a member and those that ask it for a connection: shares of the askings, 0 on a good day. */
-final class MemberFaults {
+final class EndpointFaults {
     /** What becomes of one asking. */
     enum Fate {
         SERVED,
@@ -17,7 +17,7 @@
     private final double[] shares = new double[Fate.values().length];
     private boolean any;
 
-    MemberFaults(UniformRandomProvider random) {
+    EndpointFaults(UniformRandomProvider random) {
         this.random = random;
     }
 
--- a/emulator/src/main/java/tulipshed/emulator/model/MemberPast.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EndpointHistory.java
@@ -1,9 +1,9 @@
 package tulipshed.emulator.model;
 
-import tulipshed.emulator.policy.Host;
+import tulipshed.emulator.policy.PolicyHost;
 
 /** How a member was, tick by tick, for as long as anybody may ask: what those see that see true states late. */
-final class MemberPast {
+final class EndpointHistory {
     private static final int TICKS = 48; // of 150 ms: a little over 7 s
 
     private record State(
@@ -14,14 +14,14 @@
             double backlogMs,
             double strain,
             double[] promised)
-            implements Host.Truth {
+            implements PolicyHost.Truth {
         @Override
         public boolean holds(int group) {
             throw new UnsupportedOperationException("groups are not kept");
         }
 
         @Override
-        public Host.Truth at(double ms) {
+        public PolicyHost.Truth at(double ms) {
             return this;
         }
     }
@@ -30,13 +30,13 @@
     private int count;
 
     /** It is like this now. */
-    void note(double atMs, Host.Truth now) {
+    void note(double atMs, PolicyHost.Truth now) {
         states[count++ % TICKS] =
                 new State(atMs, now.alive(), now.capacity(), now.load(), now.backlogMs(), now.strain(), new double[1]);
     }
 
     /** The newest state that is at least that old, or the oldest kept; the state now where none is kept. */
-    Host.Truth at(double ms, Host.Truth now) {
+    PolicyHost.Truth at(double ms, PolicyHost.Truth now) {
         for (int i = count - 1; i >= Math.max(0, count - TICKS); i--) {
             State s = states[i % TICKS];
             if (s.atMs <= ms || i == Math.max(0, count - TICKS)) {
--- a/emulator/src/main/java/tulipshed/emulator/model/Standing.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EstablishedLoad.java
@@ -4,11 +4,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import tulipshed.emulator.policy.Flow;
+import tulipshed.emulator.policy.EmulatedAttempt;
 
 /** The connections that stand at one member, and what they ask of it: their own work, and once that of each group. */
-final class Standing {
-    private final List<Flow> flows = new ArrayList<>();
+final class EstablishedLoad {
+    private final List<EmulatedAttempt> flows = new ArrayList<>();
     private final Map<Integer, Integer> groups = new HashMap<>();
     private final int[][] counts;
     private final double groupLoad;
@@ -19,7 +19,7 @@
      *
      * @param groupLoad work of a group that is there at all, in cores
      */
-    Standing(int classes, int tenants, double groupLoad) {
+    EstablishedLoad(int classes, int tenants, double groupLoad) {
         counts = new int[classes][tenants];
         this.groupLoad = groupLoad;
     }
@@ -32,12 +32,12 @@
         return flows.isEmpty();
     }
 
-    Flow get(int place) {
+    EmulatedAttempt get(int place) {
         return flows.get(place);
     }
 
     /** All of them, to be changed only by {@link #remove}. */
-    List<Flow> flows() {
+    List<EmulatedAttempt> flows() {
         return flows;
     }
 
@@ -51,7 +51,7 @@
         return groups.containsKey(group);
     }
 
-    void add(Flow f) {
+    void add(EmulatedAttempt f) {
         f.place = flows.size();
         flows.add(f);
         counts[f.requestClass][f.tenant]++;
@@ -61,8 +61,8 @@
         }
     }
 
-    void remove(Flow f) {
-        Flow last = flows.remove(flows.size() - 1);
+    void remove(EmulatedAttempt f) {
+        EmulatedAttempt last = flows.remove(flows.size() - 1);
         if (last != f) {
             flows.set(f.place, last);
             last.place = f.place;
@@ -77,7 +77,7 @@
     }
 
     /** A connection asks for so much from now on, in cores. */
-    void load(Flow f, double now) {
+    void load(EmulatedAttempt f, double now) {
         if (f.place >= 0) {
             cores += now - f.load;
         }
@@ -85,7 +85,7 @@
     }
 
     /** What has stood for a while is counted; as well served where {@code inTime} is not null, by class. */
-    void count(Tally t, double nowMs, double passedMs, double[] inTime) {
+    void count(Counters t, double nowMs, double passedMs, double[] inTime) {
         for (int c = 0; c < counts.length; c++) {
             for (int tenant = 0; tenant < counts[c].length; tenant++) {
                 if (counts[c][tenant] > 0) {
--- a/emulator/src/main/java/tulipshed/emulator/model/Troubles.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/FaultSchedule.java
@@ -6,26 +6,26 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.ListSampler;
 import tulipshed.decision.api.EndpointStatus;
-import tulipshed.emulator.engine.Part;
+import tulipshed.emulator.engine.Actor;
 import tulipshed.emulator.scenario.Scenario;
 import tulipshed.emulator.scenario.Scenario.Trouble;
 
 /** Plans a day's troubles: whom each strikes and when, by chance from the seed, before the day begins. */
-final class Troubles {
-    private static final Map<String, MemberFaults.Fate> FATES = Map.of(
+final class FaultSchedule {
+    private static final Map<String, EndpointFaults.Fate> FATES = Map.of(
             "lose-answers",
-            MemberFaults.Fate.ANSWER_LOST,
+            EndpointFaults.Fate.ANSWER_LOST,
             "spoil-answers",
-            MemberFaults.Fate.ANSWER_SPOILT,
+            EndpointFaults.Fate.ANSWER_SPOILT,
             "reset-requests",
-            MemberFaults.Fate.RESET);
+            EndpointFaults.Fate.RESET);
 
     private final World world;
     private final UniformRandomProvider random;
     private final Planner planner;
 
     /** Where the plan comes from; it only sends. */
-    private static final class Planner extends Part {
+    private static final class Planner extends Actor {
         Planner() {
             super(2);
         }
@@ -35,12 +35,12 @@
             throw new IllegalStateException("nothing is sent to the planner");
         }
 
-        void plan(double atMs, Part to, int kind, Object what, double value) {
+        void plan(double atMs, Actor to, int kind, Object what, double value) {
             send(atMs, to, kind, what, value);
         }
     }
 
-    Troubles(World world, UniformRandomProvider random) {
+    FaultSchedule(World world, UniformRandomProvider random) {
         this.world = world;
         this.random = random;
         planner = new Planner();
@@ -86,7 +86,7 @@
             } else if (t.kind().endsWith("-members") && !t.kind().equals("silence-members")) {
                 members(t);
             } else if (FATES.containsKey(t.kind())) {
-                for (MemberPart m : world.members) {
+                for (EmulatedEndpoint m : world.members) {
                     fault(t, m, FATES.get(t.kind()), t.share());
                 }
             } else {
@@ -95,14 +95,14 @@
         }
     }
 
-    private void fault(Trouble t, MemberPart member, MemberFaults.Fate fate, double share) {
+    private void fault(Trouble t, EmulatedEndpoint member, EndpointFaults.Fate fate, double share) {
         planner.plan(t.atMs(), member, Kinds.FAULT, fate, share);
         planner.plan(t.atMs() + t.overMs(), member, Kinds.FAULT, fate, 0);
     }
 
     /** Who is out of whose reach, and when; from a chance of its own, as the world must know it before all else. */
     static void cuts(World world) {
-        UniformRandomProvider random = Seeds.random(world.seed, 0, 2);
+        UniformRandomProvider random = RandomStreams.random(world.seed, 0, 2);
         for (Trouble t : world.scenario.troubles()) {
             double untilMs = t.atMs() + t.overMs();
             if (t.kind().equals("partition")) {
@@ -115,7 +115,7 @@
 
     /** By how much each node's own clock is ahead of the world's time; its origin is nobody else's affair. */
     static double[] nodeClocks(World world) {
-        UniformRandomProvider random = Seeds.random(world.seed, 0, 3);
+        UniformRandomProvider random = RandomStreams.random(world.seed, 0, 3);
         double[] off = new double[world.nodes.length];
         for (Trouble t : world.scenario.troubles()) {
             if (t.kind().equals("node-clocks")) {
@@ -149,7 +149,7 @@
     private void members(Trouble t) {
         Scenario.MemberModel model = world.scenario.members();
         for (int m : chosen(t, world.listedAtStart)) {
-            MemberPart member = world.members[m];
+            EmulatedEndpoint member = world.members[m];
             double at = t.kind().startsWith("slow")
                             || t.kind().startsWith("pause")
                             || t.kind().startsWith("failing")
@@ -182,7 +182,7 @@
                     planner.plan(at, member, Kinds.SLOW, null, Math.max(1, t.factor()));
                     planner.plan(at + t.overMs(), member, Kinds.SLOW, null, 1);
                 }
-                case "failing-members" -> fault(t, member, MemberFaults.Fate.ERROR, Math.min(1, t.factor()));
+                case "failing-members" -> fault(t, member, EndpointFaults.Fate.ERROR, Math.min(1, t.factor()));
                 case "pause-members" -> planner.plan(at, member, Kinds.PAUSE, null, t.overMs());
                 default -> throw new IllegalStateException(t.kind());
             }
@@ -203,13 +203,13 @@
             }
             case "dark-list" -> planner.plan(t.atMs(), world.discovery, Kinds.DARK, null, t.overMs());
             case "burst" -> {
-                for (NodeSide n : world.nodes) {
+                for (NodeActor n : world.nodes) {
                     planner.plan(t.atMs(), n, Kinds.RATE, null, t.factor());
                     planner.plan(t.atMs() + t.overMs(), n, Kinds.RATE, null, 1);
                 }
             }
             case "impatient" -> {
-                for (NodeSide n : world.nodes) {
+                for (NodeActor n : world.nodes) {
                     planner.plan(t.atMs(), n, Kinds.IMPATIENT, null, t.overMs());
                 }
             }
@@ -222,7 +222,7 @@
                 }
             }
             case "reload" -> {
-                for (NodeSide n : world.nodes) {
+                for (NodeActor n : world.nodes) {
                     planner.plan(within(t), n, Kinds.RELOAD, null, 0);
                 }
             }
@@ -253,7 +253,7 @@
                 planner.plan(t.atMs() + t.overMs(), world.discovery, Kinds.LATE, null, 0);
             }
             case "early-clients" -> {
-                for (NodeSide n : world.nodes) {
+                for (NodeActor n : world.nodes) {
                     planner.plan(t.atMs(), n, Kinds.EARLY, null, t.share());
                     planner.plan(
                             t.atMs() + t.overMs(),
@@ -266,10 +266,10 @@
             case "shift" -> shift(t);
             case "lose-zone" -> zone(t);
             case "partition", "silence-members" -> {
-                for (NodeSide n : world.nodes) {
+                for (NodeActor n : world.nodes) {
                     planner.plan(t.atMs(), n, Kinds.CUT, null, 0);
                 }
-                for (MemberPart m : world.members) {
+                for (EmulatedEndpoint m : world.members) {
                     planner.plan(t.atMs(), m, Kinds.CUT, null, 0);
                 }
             }
@@ -283,11 +283,11 @@
     private void shift(Trouble t) {
         String site = site(t, world);
         double there = 0;
-        for (NodeSide n : world.nodes) {
+        for (NodeActor n : world.nodes) {
             there += n.site.equals(site) ? world.shareOf(n.number) : 0;
         }
         double others = there < 1 ? Math.max(0, (1 - t.factor() * there) / (1 - there)) : 1;
-        for (NodeSide n : world.nodes) {
+        for (NodeActor n : world.nodes) {
             planner.plan(t.atMs(), n, Kinds.RATE, null, n.site.equals(site) && there < 1 ? t.factor() : others);
             planner.plan(t.atMs() + t.overMs(), n, Kinds.RATE, null, 1);
         }
--- a/emulator/src/main/java/tulipshed/emulator/model/Cuts.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/NetworkPartitions.java
@@ -8,7 +8,7 @@
  * both ends of a way may ask at the same time. What is sent into a cut is not lost: it arrives once the cut is over, as
  * what TCP repeats does.
  */
-final class Cuts {
+final class NetworkPartitions {
     private record Cut(String site, int member, double fromMs, double untilMs) {}
 
     private final List<Cut> cuts = new ArrayList<>();
@@ -33,7 +33,7 @@
     }
 
     /** From when on a site and a member at another hear each other, in milliseconds of the day. */
-    double backMs(String site, MemberPart member, double nowMs) {
+    double backMs(String site, EmulatedEndpoint member, double nowMs) {
         return backMs(site, member.site, member.number, nowMs);
     }
 
--- a/emulator/src/main/java/tulipshed/emulator/model/KnownList.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/NotifiedEndpoints.java
@@ -9,16 +9,16 @@
 import java.util.TreeMap;
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
-import tulipshed.emulator.policy.MemberNews;
+import tulipshed.emulator.policy.EndpointListing;
 
 /** What a node was told of members, over all its processes. */
-final class KnownList {
-    private final MemberNews.Batch atStart;
-    private final List<MemberNews.Batch> heard = new ArrayList<>();
+final class NotifiedEndpoints {
+    private final EndpointListing.Batch atStart;
+    private final List<EndpointListing.Batch> heard = new ArrayList<>();
     private final Map<Integer, Double> started = new HashMap<>();
     private int version;
 
-    KnownList(MemberNews.Batch atStart) {
+    NotifiedEndpoints(EndpointListing.Batch atStart) {
         this.atStart = atStart;
     }
 
@@ -33,14 +33,14 @@
     }
 
     /** What discovery told, up to that version. */
-    void hear(MemberNews.Batch batch, int upTo) {
+    void hear(EndpointListing.Batch batch, int upTo) {
         version = Math.max(version, upTo);
         if (!batch.news().isEmpty()) {
             heard.add(batch);
         }
     }
 
-    void started(MemberNews n) {
+    void started(EndpointListing n) {
         long us = n.listed().info().startedUs();
         if (us > 0) {
             started.put(n.member(), us / 1000.0);
@@ -53,16 +53,16 @@
     }
 
     /** The list as this node last had it. */
-    MemberNews.Batch remembered() {
-        Map<Integer, MemberNews> last = last();
+    EndpointListing.Batch remembered() {
+        Map<Integer, EndpointListing> last = last();
         last.values().removeIf(n -> n.listed().info().status() == EndpointStatus.REMOVED);
-        return new MemberNews.Batch(EndpointListKind.CACHED, List.copyOf(last.values()));
+        return new EndpointListing.Batch(EndpointListKind.CACHED, List.copyOf(last.values()));
     }
 
-    private Map<Integer, MemberNews> last() {
-        Map<Integer, MemberNews> last = new TreeMap<>();
+    private Map<Integer, EndpointListing> last() {
+        Map<Integer, EndpointListing> last = new TreeMap<>();
         atStart.news().forEach(n -> last.put(n.member(), n));
-        for (MemberNews.Batch b : heard) {
+        for (EndpointListing.Batch b : heard) {
             if (b.kind() == EndpointListKind.COMPLETE) {
                 last.clear();
             }
@@ -72,7 +72,7 @@
     }
 
     /** Members once told of that a complete list does not name: it says that they are gone. */
-    List<Integer> missing(MemberNews.Batch complete) {
+    List<Integer> missing(EndpointListing.Batch complete) {
         if (complete.kind() == EndpointListKind.CHANGES || complete.kind() == EndpointListKind.FAILED) {
             return List.of();
         }
--- a/emulator/src/main/java/tulipshed/emulator/model/HoldUps.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/ProcessStalls.java
@@ -9,7 +9,7 @@
  * read, what it writes goes out at its end, and what arrives in between waits for it. Two of them never follow on each
  * other within a second, as a limit has to allow for one.
  */
-final class HoldUps {
+final class ProcessStalls {
     /** How long a turn may take. */
     static final double LONGEST_MS = 150;
 
@@ -21,7 +21,7 @@
     private double nextMs;
     private double overMs;
 
-    HoldUps(UniformRandomProvider random) {
+    ProcessStalls(UniformRandomProvider random) {
         this.random = random;
     }
 
--- a/emulator/src/main/java/tulipshed/emulator/model/Seeds.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/RandomStreams.java
@@ -4,8 +4,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** A source of chance of its own for every part of the world, all from one seed, whichever threads run them. */
-public final class Seeds {
-    private Seeds() {}
+public final class RandomStreams {
+    private RandomStreams() {}
 
     static long of(long seed, int part, int use) {
         long x = seed + 0x9E3779B97F4A7C15L * (part + 1L) + 0xD1B54A32D192ED03L * (use + 1L);
--- a/emulator/src/main/java/tulipshed/emulator/model/Outcome.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/RunResult.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import tulipshed.emulator.invariants.Rule;
-import tulipshed.emulator.invariants.RuleReport;
+import tulipshed.emulator.invariants.Invariant;
+import tulipshed.emulator.invariants.InvariantReport;
 import tulipshed.emulator.scenario.Scenario;
 
 /**
  * What came of one day. Service is the time for which clients' connections stood with their messages in time, as a part
  * of the time for which clients wanted them, both weighed by the worth of their class.
  */
-public record Outcome(
+public record RunResult(
         Scenario scenario,
         long seed,
         Map<String, Double> figures,
@@ -23,13 +23,13 @@
         Histogram setupUs,
         Histogram waitUs,
         long[] queue,
-        RuleReport rules,
+        InvariantReport rules,
         long messages,
         long trace,
         double tookS) {
 
-    static Outcome of(World w, double tookS) {
-        Tally t = Tally.sum(w);
+    static RunResult of(World w, double tookS) {
+        Counters t = Counters.sum(w);
         Map<String, Double> f = new LinkedHashMap<>();
         List<Scenario.ClassOf> classes = w.scenario.classes();
         double wanted = 0;
@@ -90,7 +90,7 @@
         for (int m = 0; m < loads.length; m++) {
             loads[m] = w.members[m].loadBySecond.clone();
         }
-        return new Outcome(
+        return new RunResult(
                 w.scenario,
                 w.seed,
                 f,
@@ -128,7 +128,7 @@
         return Arrays.stream(of).sum();
     }
 
-    private static double worstTen(Tally t) {
+    private static double worstTen(Counters t) {
         double worst = 1;
         for (int from = 0; from + 10 <= t.seconds; from++) {
             long asked = 0;
@@ -151,7 +151,7 @@
         int seconds = (int) (w.scenario.lengthMs() / 1000);
         for (int s = 0; s < seconds; s++) {
             List<Float> now = new ArrayList<>();
-            for (MemberPart m : w.members) {
+            for (EmulatedEndpoint m : w.members) {
                 if (m.loadBySecond[s] >= 0) {
                     now.add(m.loadBySecond[s]);
                 }
@@ -169,24 +169,24 @@
         return counted == 0 ? 0 : sum / counted;
     }
 
-    private static void putBroken(Map<String, Double> figures, RuleReport rules) {
-        for (Rule r : Rule.values()) {
+    private static void putBroken(Map<String, Double> figures, InvariantReport rules) {
+        for (Invariant r : Invariant.values()) {
             figures.put("broken_" + r.name().toLowerCase(java.util.Locale.ROOT), (double) rules.broken(r));
         }
     }
 
     /** The same with what the rules found in the end. */
-    Outcome with(RuleReport inTheEnd) {
+    RunResult with(InvariantReport inTheEnd) {
         Map<String, Double> all = new LinkedHashMap<>(figures);
         putBroken(all, inTheEnd);
-        return new Outcome(
+        return new RunResult(
                 scenario, seed, all, seconds, loads, setupUs, waitUs, queue, inTheEnd, messages, trace, tookS);
     }
 
     /** The same under another name of who decided. */
-    public Outcome as(String policy) {
+    public RunResult as(String policy) {
         Scenario s = scenario;
-        return new Outcome(
+        return new RunResult(
                 new Scenario(
                         s.name(),
                         s.lengthMs(),
--- a/emulator/src/main/java/tulipshed/emulator/model/World.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/World.java
@@ -8,13 +8,13 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.apache.commons.rng.UniformRandomProvider;
+import tulipshed.emulator.engine.Actor;
 import tulipshed.emulator.engine.Engine;
-import tulipshed.emulator.engine.Part;
-import tulipshed.emulator.policy.Host;
-import tulipshed.emulator.policy.MemberNews;
+import tulipshed.emulator.policy.ClientDemand;
+import tulipshed.emulator.policy.EndpointListing;
 import tulipshed.emulator.policy.Policy;
 import tulipshed.emulator.policy.PolicyFactory;
-import tulipshed.emulator.policy.Wish;
+import tulipshed.emulator.policy.PolicyHost;
 import tulipshed.emulator.scenario.Scenario;
 
 /** A world built from a scenario and a seed, run through its day once. */
@@ -26,14 +26,14 @@
 
     final Scenario scenario;
     final long seed;
-    final Tally[] tallies;
-    final NodeSide[] nodes;
+    final Counters[] tallies;
+    final NodeActor[] nodes;
     final double[] nodeClockOffMs;
-    final MemberPart[] members;
-    final DiscoveryPart discovery;
-    final Function<Host, Policy> policies;
-    final MemberNews.Batch atStart;
-    final Cuts cuts = new Cuts();
+    final EmulatedEndpoint[] members;
+    final EmulatedDiscovery discovery;
+    final Function<PolicyHost, Policy> policies;
+    final EndpointListing.Batch atStart;
+    final NetworkPartitions cuts = new NetworkPartitions();
     /** Members that run when the day begins; those after them come by a trouble. */
     final int listedAtStart;
 
@@ -51,12 +51,12 @@
      * @param threads that run it; the result is the same for any number
      */
     public World(Scenario scenario, long seed, int threads) {
-        this(scenario, seed, threads, NodePart::new);
+        this(scenario, seed, threads, EmulatedNode::new);
     }
 
     /** Makes the world's side of a node. */
     public interface NodeMaker {
-        NodeSide make(int id, int number, World world);
+        NodeActor make(int id, int number, World world);
     }
 
     /** Builds a world with nodes of another making. */
@@ -65,9 +65,9 @@
         this.seed = seed;
         int usable = PolicyFactory.alone(scenario.policy()) ? 1 : threads;
         engine = new Engine(usable, scenario.network().leastMs());
-        tallies = new Tally[usable];
+        tallies = new Counters[usable];
         for (int i = 0; i < usable; i++) {
-            tallies[i] = new Tally(scenario);
+            tallies[i] = new Counters(scenario);
         }
         classUpTo = upTo(
                 scenario.classes().stream().mapToDouble(Scenario.ClassOf::share).toArray());
@@ -83,22 +83,22 @@
         listedAtStart = atFirst;
         int more = scenario.troubles().stream()
                 .filter(t -> t.kind().equals("add-members"))
-                .mapToInt(t -> Troubles.count(t, atFirst))
+                .mapToInt(t -> FaultSchedule.count(t, atFirst))
                 .sum();
-        members = new MemberPart[atFirst + more];
+        members = new EmulatedEndpoint[atFirst + more];
         Map<String, Integer> numbers = new HashMap<>();
         for (int m = 0; m < members.length; m++) {
-            members[m] = new MemberPart(FIRST_MEMBER + m, m, kinds.get(m % atFirst), this);
+            members[m] = new EmulatedEndpoint(FIRST_MEMBER + m, m, kinds.get(m % atFirst), this);
             numbers.put(members[m].name, m);
             engine.add(members[m]);
         }
-        Troubles.cuts(this);
+        FaultSchedule.cuts(this);
         policies = PolicyFactory.of(scenario.policy(), numbers);
-        discovery = new DiscoveryPart(DISCOVERY, this);
+        discovery = new EmulatedDiscovery(DISCOVERY, this);
         engine.add(discovery);
         atStart = discovery.atStart();
-        nodes = new NodeSide[scenario.nodes().count()];
-        nodeClockOffMs = Troubles.nodeClocks(this);
+        nodes = new NodeActor[scenario.nodes().count()];
+        nodeClockOffMs = FaultSchedule.nodeClocks(this);
         for (int n = 0; n < nodes.length; n++) {
             nodes[n] = maker.make(FIRST_NODE + n, n, this);
             engine.add(nodes[n]);
@@ -127,21 +127,21 @@
         for (int m = 0; m < members.length; m++) {
             members[m].begin(m < listedAtStart);
         }
-        for (NodeSide n : nodes) {
+        for (NodeActor n : nodes) {
             n.begin(atStart);
         }
-        UniformRandomProvider random = Seeds.random(seed, 0, 0);
+        UniformRandomProvider random = RandomStreams.random(seed, 0, 0);
         double[] load = new double[listedAtStart];
         for (int i = 0; i < scenario.clients().standing() && scenario.clients().comeAtFirst(); i++) {
             double at = scenario.settleMs() * random.nextDouble();
-            Wish w = wish(random, at);
+            ClientDemand w = wish(random, at);
             wants(tallies[0], w, at);
             w.firstAskedMs = at;
             nodes[random.nextInt(nodes.length)].remindSelf(at, Kinds.COMES, w);
         }
         for (int i = 0; i < scenario.clients().standing() && !scenario.clients().comeAtFirst(); i++) {
             // Where an earlier day left them: about even, as by the lighter of two.
-            Wish w = wish(random, 0);
+            ClientDemand w = wish(random, 0);
             wants(tallies[0], w, 0);
             int a = place(w, random);
             int b = place(w, random);
@@ -151,17 +151,17 @@
             load[m] += w.load;
             members[m].holds(nodes[random.nextInt(nodes.length)].alreadyOpen(w, m));
         }
-        new Troubles(this, Seeds.random(seed, 0, 1)).plan();
+        new FaultSchedule(this, RandomStreams.random(seed, 0, 1)).plan();
     }
 
     /** Where a connection may stand that came before: a group stands at its share of the members, two at least. */
-    private int place(Wish w, UniformRandomProvider random) {
+    private int place(ClientDemand w, UniformRandomProvider random) {
         if (w.group < 0) {
             return random.nextInt(listedAtStart);
         }
         double share = groupUpTo[w.group] - (w.group == 0 ? 0 : groupUpTo[w.group - 1]);
         int places = (int) Math.max(2, Math.min(listedAtStart, Math.round(share * listedAtStart)));
-        return (int) Long.remainderUnsigned(Seeds.of(seed, w.group, 7 + random.nextInt(places)), listedAtStart);
+        return (int) Long.remainderUnsigned(RandomStreams.of(seed, w.group, 7 + random.nextInt(places)), listedAtStart);
     }
 
     public Scenario scenario() {
@@ -181,7 +181,7 @@
     /** Worth of all that clients wanted within a second of the day, for as long as each wanted it; 1 is one connection of worth 1. */
     public double wanted(int second) {
         long sum = 0;
-        for (Tally t : tallies) {
+        for (Counters t : tallies) {
             sum += t.secondWanted[Math.min(t.seconds - 1, second)];
         }
         return sum / 1e6;
@@ -193,7 +193,7 @@
     }
 
     /** Has all that discovery comes to know told to somebody else as well, from now on. */
-    public void onNews(Consumer<MemberNews> listener) {
+    public void onNews(Consumer<EndpointListing> listener) {
         discovery.onNews = listener;
     }
 
@@ -203,16 +203,16 @@
     }
 
     /** What discovery tells at the beginning. */
-    public MemberNews.Batch atStart() {
+    public EndpointListing.Batch atStart() {
         return atStart;
     }
 
     /** What came of a day that was run by {@link #runUntil}. */
-    public Outcome finish(double tookS) {
-        for (MemberPart m : members) {
+    public RunResult finish(double tookS) {
+        for (EmulatedEndpoint m : members) {
             m.end(scenario.lengthMs());
         }
-        return Outcome.of(this, tookS);
+        return RunResult.of(this, tookS);
     }
 
     private static double[] upTo(double[] shares) {
@@ -237,7 +237,7 @@
     }
 
     /** A new client's wish. */
-    Wish wish(UniformRandomProvider random, double nowMs) {
+    ClientDemand wish(UniformRandomProvider random, double nowMs) {
         int c = pick(classUpTo, random.nextDouble());
         int t = pick(tenantUpTo, random.nextDouble());
         Scenario.Clients clients = scenario.clients();
@@ -245,12 +245,12 @@
                 ? search(groupUpTo, random.nextDouble())
                 : -1;
         Scenario.ClassOf kind = scenario.classes().get(c);
-        return new Wish(
+        return new ClientDemand(
                 c,
                 t,
                 group,
-                kind.load() * Seeds.lognormal(random, clients.loadSpread()),
-                nowMs + Seeds.exponential(random, kind.lifeMs()));
+                kind.load() * RandomStreams.lognormal(random, clients.loadSpread()),
+                nowMs + RandomStreams.exponential(random, kind.lifeMs()));
     }
 
     private static int search(double[] upTo, double x) {
@@ -259,7 +259,7 @@
     }
 
     /** Counts what a client wants from now on, second by second. */
-    void wants(Tally t, Wish w, double nowMs) {
+    void wants(Counters t, ClientDemand w, double nowMs) {
         double until = Math.min(w.untilMs, scenario.lengthMs());
         for (double at = nowMs; at < until; ) {
             int second = (int) (at / 1000);
@@ -279,13 +279,13 @@
 
     double wayMs(String from, String to, UniformRandomProvider random) {
         Scenario.Network n = scenario.network();
-        double jitter = n.jitterMs() > 0 ? Seeds.exponential(random, n.jitterMs()) : 0;
+        double jitter = n.jitterMs() > 0 ? RandomStreams.exponential(random, n.jitterMs()) : 0;
         return (from.equals(to) ? n.withinMs() : n.betweenMs()) + jitter;
     }
 
     /** Without jitter: what discovery tells comes in order. */
-    double wayToDiscovery(Part of) {
-        String site = of instanceof NodeSide n ? n.site : ((MemberPart) of).site;
+    double wayToDiscovery(Actor of) {
+        String site = of instanceof NodeActor n ? n.site : ((EmulatedEndpoint) of).site;
         return site.equals(discovery.site())
                 ? scenario.network().withinMs()
                 : scenario.network().betweenMs();
@@ -323,15 +323,15 @@
      * Runs the day and tells what came of it. What was asked on its last seconds is waited for, and the rules hold until
      * then; nothing else is counted of that time.
      */
-    public Outcome run() {
+    public RunResult run() {
         long began = System.nanoTime();
         engine.run(scenario.lengthMs());
-        Outcome day = finish((System.nanoTime() - began) / 1e9);
+        RunResult day = finish((System.nanoTime() - began) / 1e9);
         double longest = scenario.classes().stream()
                 .mapToDouble(Scenario.ClassOf::deadlineMs)
                 .max()
                 .orElse(0);
         engine.run(scenario.lengthMs() + longest + AWAITED_MS);
-        return day.with(Tally.sum(this).rules);
+        return day.with(Counters.sum(this).rules);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/AttemptingPolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/AttemptingPolicy.java
@@ -11,33 +11,33 @@
     /** Final answers are due this much before the client gives up, so that they arrive in time. */
     static final double MARGIN_MS = 5;
 
-    final Host host;
+    final PolicyHost host;
 
-    AttemptingPolicy(Host host) {
+    AttemptingPolicy(PolicyHost host) {
         this.host = host;
     }
 
     /** A client asks. */
-    abstract void ask(Try t);
+    abstract void ask(ClientRequest t);
 
-    abstract void started(Flow f, double tookMs);
+    abstract void started(EmulatedAttempt f, double tookMs);
 
     /** A flow ended; {@code concluded} when nothing more is owed to the client. */
-    abstract void finished(Flow f, boolean concluded, Outcome outcome);
+    abstract void finished(EmulatedAttempt f, boolean concluded, Outcome outcome);
 
-    abstract void abandoned(Try t);
+    abstract void abandoned(ClientRequest t);
 
     @Override
-    public final void arrived(Try t) {
+    public final void arrived(ClientRequest t) {
         host.after(Math.max(0, t.leftMs(host.nowMs()) - MARGIN_MS), () -> overdue(t));
         ask(t);
     }
 
-    private void overdue(Try t) {
+    private void overdue(ClientRequest t) {
         if (!t.owed) {
             return;
         }
-        Flow f = t.flow;
+        EmulatedAttempt f = t.flow;
         if (f != null) {
             host.giveUp(f);
             finished(f, false, Outcome.TIMEOUT);
@@ -45,8 +45,8 @@
     }
 
     /** Sends an attempt, bounded by a time-out where that is above 0. */
-    final Flow attempt(Try t, int member, double timeoutMs) {
-        Flow f = host.dial(t, member);
+    final EmulatedAttempt attempt(ClientRequest t, int member, double timeoutMs) {
+        EmulatedAttempt f = host.dial(t, member);
         double left = t.leftMs(host.nowMs()) - MARGIN_MS;
         if (timeoutMs > 0 && timeoutMs < left) {
             host.after(timeoutMs, () -> {
@@ -60,8 +60,8 @@
     }
 
     /** Stops waiting for an attempt. */
-    final void cancel(Try t) {
-        Flow f = t.flow;
+    final void cancel(ClientRequest t) {
+        EmulatedAttempt f = t.flow;
         if (f != null && !t.standing) {
             host.giveUp(f);
             finished(f, true, Outcome.CANCELLED);
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public final boolean up(Flow f) {
+    public final boolean up(EmulatedAttempt f) {
         if (f.over || !f.of.owed) {
             return false;
         }
@@ -80,13 +80,13 @@
     }
 
     @Override
-    public final void ended(Flow f, Outcome outcome) {
+    public final void ended(EmulatedAttempt f, Outcome outcome) {
         finished(f, !f.of.owed, outcome);
     }
 
     @Override
-    public final void shutDown(List<Try> pending) {
-        for (Try t : pending) {
+    public final void shutDown(List<ClientRequest> pending) {
+        for (ClientRequest t : pending) {
             if (t.owed) {
                 left(t);
                 host.fail(t);
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public final void left(Try t) {
+    public final void left(ClientRequest t) {
         t.owed = false;
         abandoned(t);
         // Nobody waits for it either way.
--- a/emulator/src/main/java/tulipshed/emulator/policy/Baselines.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicies.java
@@ -3,29 +3,29 @@
 import java.util.Arrays;
 
 /** The policies of the emulator that the module is compared with. */
-final class Baselines {
-    private Baselines() {}
+final class BaselinePolicies {
+    private BaselinePolicies() {}
 
     /** Any member. */
     static final class AnyMember extends BaselinePolicy {
-        AnyMember(Host host) {
+        AnyMember(PolicyHost host) {
             super(host);
         }
 
         @Override
-        int choose(Try t, int not) {
+        int choose(ClientRequest t, int not) {
             return any(not);
         }
     }
 
     /** The one of two random members that holds fewer of this node's connections for its size. */
     static final class LeastOfTwo extends BaselinePolicy {
-        LeastOfTwo(Host host) {
+        LeastOfTwo(PolicyHost host) {
             super(host);
         }
 
         @Override
-        int choose(Try t, int not) {
+        int choose(ClientRequest t, int not) {
             int a = any(not);
             int b = any(not);
             return a < 0 || open[b] / weight[b] >= open[a] / weight[a] ? a : b;
@@ -36,12 +36,12 @@
     static final class RoundRobin extends BaselinePolicy {
         private int next = -1;
 
-        RoundRobin(Host host) {
+        RoundRobin(PolicyHost host) {
             super(host);
         }
 
         @Override
-        int choose(Try t, int not) {
+        int choose(ClientRequest t, int not) {
             if (servingCount() == 0) {
                 return -1;
             }
@@ -61,7 +61,7 @@
         private int[] owner = new int[0];
         private boolean stale = true;
 
-        BoundedHashing(Host host) {
+        BoundedHashing(PolicyHost host) {
             super(host);
         }
 
@@ -100,7 +100,7 @@
         }
 
         @Override
-        int choose(Try t, int not) {
+        int choose(ClientRequest t, int not) {
             if (servingCount() == 0) {
                 return -1;
             }
@@ -135,7 +135,7 @@
         private final double[] mean;
         private final double[] at;
 
-        PeakEwma(Host host) {
+        PeakEwma(PolicyHost host) {
             super(host);
             mean = new double[host.members()];
             at = new double[host.members()];
@@ -154,7 +154,7 @@
         }
 
         @Override
-        int choose(Try t, int not) {
+        int choose(ClientRequest t, int not) {
             int a = any(not);
             int b = any(not);
             return a < 0 || cost(b) >= cost(a) ? a : b;
@@ -169,16 +169,16 @@
         private static final double MOST = 0.9; // of a member's capacity
         private static final double STRAIN = 0.7;
 
-        Clairvoyant(Host host) {
+        Clairvoyant(PolicyHost host) {
             super(host);
         }
 
         @Override
-        int choose(Try t, int not) {
+        int choose(ClientRequest t, int not) {
             int best = -1;
             double least = MOST;
             for (int i = 0; i < servingCount(); i++) {
-                Host.Truth truth = host.truth(serving(i));
+                PolicyHost.Truth truth = host.truth(serving(i));
                 if (!truth.alive() || serving(i) == not || truth.strain() > STRAIN || truth.backlogMs() > 0) {
                     continue;
                 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicy.java
@@ -18,7 +18,7 @@
     /** Connections of this node at each member, coming up and standing. */
     final int[] open;
 
-    BaselinePolicy(Host host) {
+    BaselinePolicy(PolicyHost host) {
         super(host);
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {host.seed(), 0x7A11D});
         int n = host.members();
@@ -30,7 +30,7 @@
     }
 
     /** A member to try, other than one just tried where there is a choice; below 0 where there is none. */
-    abstract int choose(Try t, int not);
+    abstract int choose(ClientRequest t, int not);
 
     void came(int member) {}
 
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void list(MemberNews.Batch batch) {
+    public void list(EndpointListing.Batch batch) {
         if (batch.kind() == EndpointListKind.FAILED) {
             host.after(ASK_MS * (0.5 + random.nextDouble()), host::watch);
             return;
@@ -65,7 +65,7 @@
                 remove(serving[count - 1]);
             }
         }
-        for (MemberNews n : batch.news()) {
+        for (EndpointListing n : batch.news()) {
             weight[n.member()] = n.listed().info().weight();
             if (n.serving() && placeOf[n.member()] < 0) {
                 if (count == serving.length) {
@@ -95,11 +95,11 @@
     }
 
     @Override
-    final void ask(Try t) {
+    final void ask(ClientRequest t) {
         place(t, -1);
     }
 
-    private void place(Try t, int not) {
+    private void place(ClientRequest t, int not) {
         double left = t.leftMs(host.nowMs());
         int m = t.attempts < host.scenario().nodes().maxAttempts() && left > 60 ? choose(t, not) : -1;
         if (m < 0) {
@@ -116,19 +116,19 @@
     }
 
     @Override
-    public final void alreadyOpen(Try t, Flow f) {
+    public final void alreadyOpen(ClientRequest t, EmulatedAttempt f) {
         t.owed = false;
         t.standing = true;
         open[f.member]++;
     }
 
     @Override
-    void started(Flow f, double tookMs) {
+    void started(EmulatedAttempt f, double tookMs) {
         took(f.member, tookMs);
     }
 
     @Override
-    void finished(Flow f, boolean concluded, Outcome outcome) {
+    void finished(EmulatedAttempt f, boolean concluded, Outcome outcome) {
         open[f.member]--;
         if (!f.of.standing && outcome != Outcome.CANCELLED) {
             took(f.member, Math.max(1000, host.nowMs() - f.sentMs));
@@ -139,11 +139,11 @@
     }
 
     @Override
-    void abandoned(Try t) {}
+    void abandoned(ClientRequest t) {}
 
     @Override
-    public void delayed(Flow f, double delayMs) {}
+    public void delayed(EmulatedAttempt f, double delayMs) {}
 
     @Override
-    public void loadChanged(Flow f) {}
+    public void loadChanged(EmulatedAttempt f) {}
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/Wish.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ClientDemand.java
@@ -1,7 +1,7 @@
 package tulipshed.emulator.policy;
 
 /** What one client wants: a connection, until its life is over. Goes with the client from node to node. */
-public final class Wish {
+public final class ClientDemand {
     public final int requestClass;
     public final int tenant;
     /** Its group, or below 0. */
@@ -19,7 +19,7 @@
     /** Whether it had one before that broke or was moved. */
     public boolean returning;
 
-    public Wish(int requestClass, int tenant, int group, double load, double untilMs) {
+    public ClientDemand(int requestClass, int tenant, int group, double load, double untilMs) {
         this.requestClass = requestClass;
         this.tenant = tenant;
         this.group = group;
--- a/emulator/src/main/java/tulipshed/emulator/policy/Try.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ClientRequest.java
@@ -1,14 +1,14 @@
 package tulipshed.emulator.policy;
 
-import tulipshed.emulator.invariants.NodeRules;
+import tulipshed.emulator.invariants.NodeInvariants;
 
 /** One coming of a client to a node, from its asking to the end of what came of it. */
-public final class Try {
+public final class ClientRequest {
     public final long id;
-    public final Wish wish;
+    public final ClientDemand wish;
     public final double askedMs;
     public final double deadlineMs;
-    public final NodeRules.Watched watched;
+    public final NodeInvariants.Watched watched;
     /** Whether its final answer is still owed. */
     public boolean owed = true;
 
@@ -19,7 +19,7 @@
     /** Whether its client has waited in vain and gone on. */
     public boolean gone;
     /** The flow that is out or stands, or null. */
-    public Flow flow;
+    public EmulatedAttempt flow;
 
     public int attempts;
     /** Its place among what the node holds. */
@@ -29,7 +29,8 @@
     /** What the policy keeps with it. */
     public Object kept;
 
-    public Try(long id, Wish wish, double askedMs, double deadlineMs, NodeRules.Watched watched) {
+    public ClientRequest(
+            long id, ClientDemand wish, double askedMs, double deadlineMs, NodeInvariants.Watched watched) {
         this.id = id;
         this.wish = wish;
         this.askedMs = askedMs;
--- a/emulator/src/main/java/tulipshed/emulator/policy/CorePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/CorePolicy.java
@@ -25,7 +25,7 @@
 final class CorePolicy implements Policy, EventLoop, UpstreamConnector {
     private static final int DESCRIPTORS = 1024; // the core itself counts none
 
-    private final Host host;
+    private final PolicyHost host;
     private final Map<String, Integer> numbers;
     private final ArrayDeque<Runnable> ready = new ArrayDeque<>();
     private final IdentityHashMap<Request, Client> byTransaction = new IdentityHashMap<>();
@@ -40,9 +40,9 @@
     private final EndpointStartTimes startTimes;
     private final boolean trustsClocks;
     /** The connection that stood before, while the core takes it. */
-    private Flow standing;
+    private EmulatedAttempt standing;
 
-    CorePolicy(Host host, Map<String, Integer> numbers) {
+    CorePolicy(PolicyHost host, Map<String, Integer> numbers) {
         this(host, numbers, false);
     }
 
@@ -51,7 +51,7 @@
      *
      * @param trustsClocks whether it takes the starts in lists as if all machines read its own clock
      */
-    CorePolicy(Host host, Map<String, Integer> numbers, boolean trustsClocks) {
+    CorePolicy(PolicyHost host, Map<String, Integer> numbers, boolean trustsClocks) {
         this.host = host;
         this.numbers = numbers;
         this.trustsClocks = trustsClocks;
@@ -60,7 +60,7 @@
         core = new ProxyCore(
                 host::clockMs,
                 Limits.forDescriptors(DESCRIPTORS),
-                SettingsOf.of(s, host.node()),
+                SettingsFactory.of(s, host.node()),
                 host.seed(),
                 this,
                 ERRORS,
@@ -70,12 +70,12 @@
 
     /** One client's transaction, as its front would hold it. */
     private final class Client implements ClientConnection {
-        private final Try t;
+        private final ClientRequest t;
         private final Request transaction;
 
-        Client(Try t, boolean stoodBefore) {
+        Client(ClientRequest t, boolean stoodBefore) {
             this.t = t;
-            Wish w = t.wish;
+            ClientDemand w = t.wish;
             Scenario s = host.scenario();
             transaction = new Request(
                     this,
@@ -84,7 +84,7 @@
                             w.requestClass,
                             w.tenant,
                             "k" + t.id,
-                            SettingsOf.group(w),
+                            SettingsFactory.group(w),
                             t.leftMs(host.nowMs()),
                             s.clients().hints() ? w.usualLoad * 1e6 : 0,
                             w.tries > 1,
@@ -135,7 +135,7 @@
 
     @Override
     public void reload() {
-        core.reconfigure(SettingsOf.of(host.scenario(), host.node()));
+        core.reconfigure(SettingsFactory.of(host.scenario(), host.node()));
         // As the node's own watch does when discovery moves: asked for all, at once.
         host.watch();
     }
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public void shutDown(List<Try> pending) {
+    public void shutDown(List<ClientRequest> pending) {
         core.rejectAllPending();
         settle();
     }
@@ -167,7 +167,7 @@
             core.attemptEnded(attempt, Outcome.UNUSED);
             return;
         }
-        Flow f = host.dial(c.t, numbers.get(attempt.endpoint().id()));
+        EmulatedAttempt f = host.dial(c.t, numbers.get(attempt.endpoint().id()));
         f.kept = attempt;
         core.attemptForwarded();
     }
@@ -184,7 +184,7 @@
         return byTransaction.get(attempt.request());
     }
 
-    private void forget(Try t) {
+    private void forget(ClientRequest t) {
         if (t.kept instanceof Client c) {
             byTransaction.remove(c.transaction);
         }
@@ -193,7 +193,7 @@
     // ---- What happens ----
 
     @Override
-    public void list(MemberNews.Batch batch) {
+    public void list(EndpointListing.Batch batch) {
         List<EndpointListEntry> entries = trustsClocks
                 ? batch.news().stream().map(CorePolicy::asStamped).toList()
                 : startTimes.translate(
@@ -203,7 +203,7 @@
     }
 
     /** What discovery says of a member: its start is a wall time, on the clock of the member's machine. */
-    private static ListedEndpoint asListed(MemberNews news) {
+    private static ListedEndpoint asListed(EndpointListing news) {
         EndpointInfo info = news.listed().info();
         WallTime started = info.startedUs() == 0
                 ? ListedEndpoint.LONG_AGO
@@ -220,9 +220,9 @@
     }
 
     /** The same as a node would take it that held all clocks for one. */
-    private static EndpointListEntry asStamped(MemberNews news) {
+    private static EndpointListEntry asStamped(EndpointListing news) {
         EndpointInfo info = news.listed().info();
-        long startedUs = info.startedUs() == 0 ? 0 : info.startedUs() + SettingsOf.us(news.clockOffMs());
+        long startedUs = info.startedUs() == 0 ? 0 : info.startedUs() + SettingsFactory.us(news.clockOffMs());
         return new EndpointListEntry(
                 new EndpointInfo(
                         info.id(),
@@ -236,7 +236,7 @@
     }
 
     @Override
-    public void arrived(Try t) {
+    public void arrived(ClientRequest t) {
         Client c = new Client(t, false);
         t.kept = c;
         byTransaction.put(c.transaction, c);
@@ -244,7 +244,7 @@
     }
 
     @Override
-    public void alreadyOpen(Try t, Flow f) {
+    public void alreadyOpen(ClientRequest t, EmulatedAttempt f) {
         Client c = new Client(t, true);
         t.kept = c;
         t.owed = false;
@@ -257,7 +257,7 @@
     }
 
     @Override
-    public boolean up(Flow f) {
+    public boolean up(EmulatedAttempt f) {
         if (f.over || !core.attemptEstablished((Attempt) f.kept)) {
             return false;
         }
@@ -267,7 +267,7 @@
     }
 
     @Override
-    public void ended(Flow f, Outcome outcome) {
+    public void ended(EmulatedAttempt f, Outcome outcome) {
         if (f.kept != null) {
             core.attemptEnded((Attempt) f.kept, outcome);
         }
@@ -277,7 +277,7 @@
     }
 
     @Override
-    public void left(Try t) {
+    public void left(ClientRequest t) {
         t.owed = false;
         core.clientDisconnected(((Client) t.kept).transaction);
         settle();
@@ -285,12 +285,12 @@
     }
 
     @Override
-    public void delayed(Flow f, double delayMs) {
+    public void delayed(EmulatedAttempt f, double delayMs) {
         core.latencyReported((Attempt) f.kept, delayMs);
     }
 
     @Override
-    public void loadChanged(Flow f) {
+    public void loadChanged(EmulatedAttempt f) {
         core.loadReported((Attempt) f.kept, f.of.wish.load * 1e6);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/SeesLate.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/DelayedOraclePolicy.java
@@ -5,7 +5,7 @@
  * can. Chooses in proportion to the room that it sees, as the best would be everybody's best, and first among those that
  * hold the connection's group already: each more would pay for the group again.
  */
-final class SeesLate extends BaselinePolicy {
+final class DelayedOraclePolicy extends BaselinePolicy {
     private static final double MOST = 0.9; // of a member's capacity
     private static final double STRAIN = 0.7; // of what pushes a cold member over
 
@@ -14,14 +14,14 @@
     private double[] room = new double[0];
 
     /** One that sees states that many milliseconds late. */
-    SeesLate(Host host, double lateMs) {
+    DelayedOraclePolicy(PolicyHost host, double lateMs) {
         super(host);
         this.lateMs = lateMs;
         since = new double[host.members()];
     }
 
     @Override
-    int choose(Try t, int not) {
+    int choose(ClientRequest t, int not) {
         double now = host.nowMs();
         if (room.length < servingCount()) {
             room = new double[2 * servingCount()];
@@ -29,7 +29,7 @@
         double all = 0;
         double holding = 0;
         for (int i = 0; i < servingCount(); i++) {
-            Host.Truth then = host.truth(serving(i)).at(now - lateMs);
+            PolicyHost.Truth then = host.truth(serving(i)).at(now - lateMs);
             boolean bears = then.alive() && serving(i) != not && then.strain() <= STRAIN && then.backlogMs() <= 0;
             boolean holds = t.wish.group >= 0 && host.truth(serving(i)).holds(t.wish.group);
             double more = t.wish.load
--- a/emulator/src/main/java/tulipshed/emulator/policy/Flow.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/EmulatedAttempt.java
@@ -4,8 +4,8 @@
  * One attempt at a member. What comes first is the node's and never read by the member, what comes after {@code place} is
  * the member's: both run at the same time.
  */
-public final class Flow {
-    public final Try of;
+public final class EmulatedAttempt {
+    public final ClientRequest of;
     /** The member's number. */
     public final int member;
     /** Which attempt of its try. */
@@ -32,7 +32,7 @@
 
     public double load;
 
-    public Flow(Try of, int member, double sentMs, double believedStartMs, Object from) {
+    public EmulatedAttempt(ClientRequest of, int member, double sentMs, double believedStartMs, Object from) {
         this.of = of;
         this.member = member;
         this.number = of.attempts;
--- a/emulator/src/main/java/tulipshed/emulator/policy/MemberNews.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/EndpointListing.java
@@ -11,9 +11,9 @@
  * @param listed with the time at which the member really started
  * @param clockOffMs by how much the clock that stamped that time is ahead
  */
-public record MemberNews(int member, EndpointListEntry listed, double clockOffMs) {
+public record EndpointListing(int member, EndpointListEntry listed, double clockOffMs) {
     /** A list, or a change to one. */
-    public record Batch(EndpointListKind kind, List<MemberNews> news) {}
+    public record Batch(EndpointListKind kind, List<EndpointListing> news) {}
 
     public boolean serving() {
         return listed.info().status() == EndpointStatus.SERVING;
--- a/emulator/src/main/java/tulipshed/emulator/policy/Faulty.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/FaultyPolicy.java
@@ -6,7 +6,7 @@
 import tulipshed.decision.api.Outcome;
 
 /** The whole core with one fault between it and the world, now and then: what the checkers must find. */
-final class Faulty extends ForwardingHost implements Policy {
+final class FaultyPolicy extends ForwardingPolicyHost implements Policy {
     /** What is done wrong. */
     enum Fault {
         LATE_ANSWER,
@@ -32,7 +32,7 @@
     private final Map<Integer, Double> started = new HashMap<>();
     private int chances;
 
-    Faulty(Host host, Map<String, Integer> numbers, Fault fault) {
+    FaultyPolicy(PolicyHost host, Map<String, Integer> numbers, Fault fault) {
         super(host);
         this.fault = fault;
         core = new CorePolicy(this, numbers, fault == Fault.TRUSTS_CLOCKS);
@@ -45,7 +45,7 @@
     // ---- What the core does to the world ----
 
     @Override
-    public Flow dial(Try t, int member) {
+    public EmulatedAttempt dial(ClientRequest t, int member) {
         int to = member;
         if (fault == Fault.WHOLE_GRACE) {
             to = notServingSince.entrySet().stream()
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void refuse(Try t, double retryAfterMs) {
+    public void refuse(ClientRequest t, double retryAfterMs) {
         if (strikes(Fault.LATE_ANSWER)) {
             host.after(t.leftMs(nowMs()) + LATE_MS, () -> host.refuse(t, retryAfterMs));
         } else if (!strikes(Fault.SILENCE)) {
@@ -84,8 +84,8 @@
     // ---- What the world does to the core ----
 
     @Override
-    public void list(MemberNews.Batch news) {
-        for (MemberNews n : news.news()) {
+    public void list(EndpointListing.Batch news) {
+        for (EndpointListing n : news.news()) {
             if (n.serving()) {
                 notServingSince.remove(n.member());
                 long us = n.listed().info().startedUs();
@@ -101,37 +101,37 @@
     }
 
     @Override
-    public void arrived(Try t) {
+    public void arrived(ClientRequest t) {
         core.arrived(t);
     }
 
     @Override
-    public void alreadyOpen(Try t, Flow f) {
+    public void alreadyOpen(ClientRequest t, EmulatedAttempt f) {
         core.alreadyOpen(t, f);
     }
 
     @Override
-    public boolean up(Flow f) {
+    public boolean up(EmulatedAttempt f) {
         return core.up(f);
     }
 
     @Override
-    public void ended(Flow f, Outcome outcome) {
+    public void ended(EmulatedAttempt f, Outcome outcome) {
         core.ended(f, outcome);
     }
 
     @Override
-    public void left(Try t) {
+    public void left(ClientRequest t) {
         core.left(t);
     }
 
     @Override
-    public void delayed(Flow f, double delayMs) {
+    public void delayed(EmulatedAttempt f, double delayMs) {
         core.delayed(f, delayMs);
     }
 
     @Override
-    public void loadChanged(Flow f) {
+    public void loadChanged(EmulatedAttempt f) {
         core.loadChanged(f);
     }
 
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public void shutDown(List<Try> pending) {
+    public void shutDown(List<ClientRequest> pending) {
         if (fault != Fault.NO_LAST_ANSWERS) {
             core.shutDown(pending);
         }
--- a/emulator/src/main/java/tulipshed/emulator/policy/ForwardingHost.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ForwardingPolicyHost.java
@@ -3,11 +3,11 @@
 import tulipshed.emulator.scenario.Scenario;
 
 /** A host that passes on all that it is asked to another one, but for what a subclass does in its own way. */
-abstract class ForwardingHost implements Host {
+abstract class ForwardingPolicyHost implements PolicyHost {
     /** The one that it is passed on to. */
-    final Host host;
+    final PolicyHost host;
 
-    ForwardingHost(Host host) {
+    ForwardingPolicyHost(PolicyHost host) {
         this.host = host;
     }
 
@@ -47,27 +47,27 @@
     }
 
     @Override
-    public Flow dial(Try t, int member) {
+    public EmulatedAttempt dial(ClientRequest t, int member) {
         return host.dial(t, member);
     }
 
     @Override
-    public void giveUp(Flow f) {
+    public void giveUp(EmulatedAttempt f) {
         host.giveUp(f);
     }
 
     @Override
-    public void refuse(Try t, double retryAfterMs) {
+    public void refuse(ClientRequest t, double retryAfterMs) {
         host.refuse(t, retryAfterMs);
     }
 
     @Override
-    public void fail(Try t) {
+    public void fail(ClientRequest t) {
         host.fail(t);
     }
 
     @Override
-    public void move(Try t) {
+    public void move(ClientRequest t) {
         host.move(t);
     }
 
--- a/emulator/src/main/java/tulipshed/emulator/policy/HotRestart.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/HotRestart.java
@@ -13,8 +13,8 @@
     private static final double SIDE_BY_SIDE_MS = 1000;
     private static final double HALF = 0.5;
 
-    private final Host host;
-    private final Function<Host, Policy> policies;
+    private final PolicyHost host;
+    private final Function<PolicyHost, Policy> policies;
     private int started;
     private NodeProcess serving;
     /** The one that hands over, or null. */
@@ -23,16 +23,16 @@
     private boolean isOlderServing;
 
     /** A node with one process. */
-    public HotRestart(Host host, Function<Host, Policy> policies) {
+    public HotRestart(PolicyHost host, Function<PolicyHost, Policy> policies) {
         this.host = host;
         this.policies = policies;
         serving = new NodeProcess();
     }
 
     /** One process: what it started ends with it. */
-    private final class NodeProcess extends ForwardingHost {
+    private final class NodeProcess extends ForwardingPolicyHost {
         private final long seed;
-        private final List<Try> tries = new ArrayList<>();
+        private final List<ClientRequest> tries = new ArrayList<>();
         private final Policy policy;
         private boolean isOver;
 
@@ -56,19 +56,19 @@
             });
         }
 
-        void takes(Try t) {
+        void takes(ClientRequest t) {
             t.process = this;
             tries.add(t);
         }
 
         /** Those of its requests and connections that are not over. */
-        List<Try> held() {
+        List<ClientRequest> held() {
             tries.removeIf(t -> t.place < 0);
             return List.copyOf(tries);
         }
     }
 
-    private static Policy of(Try t) {
+    private static Policy of(ClientRequest t) {
         return ((NodeProcess) t.process).policy;
     }
 
@@ -79,7 +79,7 @@
     // ---- The hand-over ----
 
     /** Another process starts with the list that the node last had; without effect while one hands over. */
-    public void begin(MemberNews.Batch list) {
+    public void begin(EndpointListing.Batch list) {
         if (older != null) {
             return;
         }
@@ -98,9 +98,9 @@
         older.policy.quotaShare(0);
         serving.policy.quotaShare(1);
         double leaveMs = host.scenario().nodes().leaveMs();
-        List<Try> held = older.held();
+        List<ClientRequest> held = older.held();
         for (int i = 0; i < held.size(); i++) {
-            Try t = held.get(i);
+            ClientRequest t = held.get(i);
             host.after(leaveMs * i / held.size(), () -> host.move(t));
         }
         host.after(leaveMs, this::end);
@@ -116,12 +116,12 @@
     // ---- What the world does to either ----
 
     @Override
-    public void list(MemberNews.Batch news) {
+    public void list(EndpointListing.Batch news) {
         running().forEach(p -> p.policy.list(news));
     }
 
     @Override
-    public void arrived(Try t) {
+    public void arrived(ClientRequest t) {
         // Both listen on one address; the system deals out what comes.
         NodeProcess to = isOlderServing && t.id % 2 == 0 ? older : serving;
         to.takes(t);
@@ -129,33 +129,33 @@
     }
 
     @Override
-    public void alreadyOpen(Try t, Flow f) {
+    public void alreadyOpen(ClientRequest t, EmulatedAttempt f) {
         serving.takes(t);
         serving.policy.alreadyOpen(t, f);
     }
 
     @Override
-    public boolean up(Flow f) {
+    public boolean up(EmulatedAttempt f) {
         return of(f.of).up(f);
     }
 
     @Override
-    public void ended(Flow f, Outcome outcome) {
+    public void ended(EmulatedAttempt f, Outcome outcome) {
         of(f.of).ended(f, outcome);
     }
 
     @Override
-    public void left(Try t) {
+    public void left(ClientRequest t) {
         of(t).left(t);
     }
 
     @Override
-    public void delayed(Flow f, double delayMs) {
+    public void delayed(EmulatedAttempt f, double delayMs) {
         of(f.of).delayed(f, delayMs);
     }
 
     @Override
-    public void loadChanged(Flow f) {
+    public void loadChanged(EmulatedAttempt f) {
         of(f.of).loadChanged(f);
     }
 
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public void shutDown(List<Try> pending) {
+    public void shutDown(List<ClientRequest> pending) {
         running()
                 .forEach(p -> p.policy.shutDown(
                         pending.stream().filter(t -> t.process == p).toList()));
