--- a/emulator/src/main/java/tulipshed/emulator/policy/ModulePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ModulePolicy.java
@@ -14,7 +14,7 @@
 
 /** The real decision module, told by the emulator what the node's core would tell it. */
 final class ModulePolicy extends AttemptingPolicy implements BalancerActions {
-    private final Map<Long, Try> tries = new HashMap<>();
+    private final Map<Long, ClientRequest> tries = new HashMap<>();
     private final Map<String, Integer> numbers;
     private final BalancerApi module;
 
@@ -23,26 +23,26 @@
      *
      * @param numbers members by name, the same for all nodes
      */
-    ModulePolicy(Host host, Map<String, Integer> numbers) {
+    ModulePolicy(PolicyHost host, Map<String, Integer> numbers) {
         super(host);
         this.numbers = numbers;
-        module = new Balancer(SettingsOf.of(host.scenario(), host.node()), host.seed(), now(), this);
+        module = new Balancer(SettingsFactory.of(host.scenario(), host.node()), host.seed(), now(), this);
     }
 
     private long now() {
-        return SettingsOf.us(host.nowMs());
+        return SettingsFactory.us(host.nowMs());
     }
 
-    private NewRequest request(Try t, double nowMs) {
-        Wish w = t.wish;
+    private NewRequest request(ClientRequest t, double nowMs) {
+        ClientDemand w = t.wish;
         double hint = host.scenario().clients().hints() ? w.usualLoad * 1e6 : 0;
         return new NewRequest(
                 t.id,
                 w.requestClass,
                 w.tenant,
                 "k" + t.id,
-                SettingsOf.group(w),
-                SettingsOf.us(t.leftMs(nowMs)),
+                SettingsFactory.group(w),
+                SettingsFactory.us(t.leftMs(nowMs)),
                 hint,
                 w.tries > 1,
                 false,
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void list(MemberNews.Batch batch) {
+    public void list(EndpointListing.Batch batch) {
         List<EndpointInfo> entries = new ArrayList<>(batch.news().size());
         batch.news().forEach(n -> entries.add(n.listed().info()));
         module.endpointsChanged(now(), batch.kind(), entries);
@@ -58,7 +58,7 @@
 
     @Override
     public void reload() {
-        module.reconfigure(now(), SettingsOf.of(host.scenario(), host.node()));
+        module.reconfigure(now(), SettingsFactory.of(host.scenario(), host.node()));
         host.watch();
     }
 
@@ -68,13 +68,13 @@
     }
 
     @Override
-    void ask(Try t) {
+    void ask(ClientRequest t) {
         tries.put(t.id, t);
         module.requestArrived(now(), request(t, host.nowMs()));
     }
 
     @Override
-    public void alreadyOpen(Try t, Flow f) {
+    public void alreadyOpen(ClientRequest t, EmulatedAttempt f) {
         tries.put(t.id, t);
         t.owed = false;
         t.standing = true;
@@ -82,12 +82,12 @@
     }
 
     @Override
-    void started(Flow f, double tookMs) {
-        module.attemptEstablished(now(), f.of.id, f.number, SettingsOf.us(tookMs));
+    void started(EmulatedAttempt f, double tookMs) {
+        module.attemptEstablished(now(), f.of.id, f.number, SettingsFactory.us(tookMs));
     }
 
     @Override
-    void finished(Flow f, boolean concluded, Outcome outcome) {
+    void finished(EmulatedAttempt f, boolean concluded, Outcome outcome) {
         if (concluded) {
             tries.remove(f.of.id);
         }
@@ -95,7 +95,7 @@
     }
 
     @Override
-    void abandoned(Try t) {
+    void abandoned(ClientRequest t) {
         module.requestCancelled(now(), t.id);
         if (t.flow == null) {
             tries.remove(t.id);
@@ -103,12 +103,12 @@
     }
 
     @Override
-    public void delayed(Flow f, double delayMs) {
+    public void delayed(EmulatedAttempt f, double delayMs) {
         module.latencyReported(now(), f.of.id, delayMs);
     }
 
     @Override
-    public void loadChanged(Flow f) {
+    public void loadChanged(EmulatedAttempt f) {
         module.loadReported(now(), f.of.id, f.of.wish.load * 1e6);
     }
 
@@ -126,21 +126,21 @@
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        Try t = tries.remove(requestId);
+        ClientRequest t = tries.remove(requestId);
         t.owed = false;
         host.refuse(t, retryAfterUs / 1000.0);
     }
 
     @Override
     public void fail(long requestId) {
-        Try t = tries.remove(requestId);
+        ClientRequest t = tries.remove(requestId);
         t.owed = false;
         host.fail(t);
     }
 
     @Override
     public void migrate(long requestId) {
-        Try t = tries.get(requestId);
+        ClientRequest t = tries.get(requestId);
         if (t != null) {
             host.move(t);
         }
--- a/emulator/src/main/java/tulipshed/emulator/policy/Policy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/Policy.java
@@ -6,28 +6,28 @@
 /** What decides in an emulated node, from what a node of the real world would be told. */
 public interface Policy {
     /** News of the list. */
-    void list(MemberNews.Batch news);
+    void list(EndpointListing.Batch news);
 
     /** A client asks; one final answer is owed. */
-    void arrived(Try t);
+    void arrived(ClientRequest t);
 
     /** A connection that stood at a member before the day began; its flow is up. */
-    void alreadyOpen(Try t, Flow f);
+    void alreadyOpen(ClientRequest t, EmulatedAttempt f);
 
     /** A member serves; false where the client must not hear of it any more. */
-    boolean up(Flow f);
+    boolean up(EmulatedAttempt f);
 
     /** A flow ended by itself or by its member's doing. */
-    void ended(Flow f, Outcome outcome);
+    void ended(EmulatedAttempt f, Outcome outcome);
 
     /** The client left before it was answered. */
-    void left(Try t);
+    void left(ClientRequest t);
 
     /** Messages at a standing flow's member take this long now. */
-    void delayed(Flow f, double delayMs);
+    void delayed(EmulatedAttempt f, double delayMs);
 
     /** A standing connection's load changed. */
-    void loadChanged(Flow f);
+    void loadChanged(EmulatedAttempt f);
 
     /** The configuration is read again: discovery is elsewhere from now on and must be asked anew. */
     default void reload() {}
@@ -36,7 +36,7 @@
     default void quotaShare(double share) {}
 
     /** The process ends in good order: each of these requests that is still owed its answer gets it now. */
-    void shutDown(List<Try> pending);
+    void shutDown(List<ClientRequest> pending);
 
     /** Runs what became ready with the last event; called after each. */
     default void settle() {}
--- a/emulator/src/main/java/tulipshed/emulator/policy/PolicyFactory.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/PolicyFactory.java
@@ -24,26 +24,26 @@
      *
      * @param numbers members by name
      */
-    public static Function<Host, Policy> of(String name, Map<String, Integer> numbers) {
+    public static Function<PolicyHost, Policy> of(String name, Map<String, Integer> numbers) {
         return switch (name) {
             case "module" -> h -> new ModulePolicy(h, numbers);
             case "core" -> h -> new CorePolicy(h, numbers);
-            case "random" -> Baselines.AnyMember::new;
-            case "least-of-two" -> Baselines.LeastOfTwo::new;
-            case "round-robin" -> Baselines.RoundRobin::new;
-            case "bounded-hashing" -> Baselines.BoundedHashing::new;
-            case "peak-ewma" -> Baselines.PeakEwma::new;
-            case "clairvoyant" -> Baselines.Clairvoyant::new;
+            case "random" -> BaselinePolicies.AnyMember::new;
+            case "least-of-two" -> BaselinePolicies.LeastOfTwo::new;
+            case "round-robin" -> BaselinePolicies.RoundRobin::new;
+            case "bounded-hashing" -> BaselinePolicies.BoundedHashing::new;
+            case "peak-ewma" -> BaselinePolicies.PeakEwma::new;
+            case "clairvoyant" -> BaselinePolicies.Clairvoyant::new;
             case "sees-late-200", "sees-late-1000", "sees-late-5000" ->
-                h -> new SeesLate(h, Double.parseDouble(name.substring(SEES_LATE.length())));
-            case "core-late-answer" -> h -> new Faulty(h, numbers, Faulty.Fault.LATE_ANSWER);
-            case "core-second-answer" -> h -> new Faulty(h, numbers, Faulty.Fault.SECOND_ANSWER);
-            case "core-drained-member" -> h -> new Faulty(h, numbers, Faulty.Fault.DRAINED_MEMBER);
-            case "core-cold-member" -> h -> new Faulty(h, numbers, Faulty.Fault.COLD_MEMBER);
-            case "core-silence" -> h -> new Faulty(h, numbers, Faulty.Fault.SILENCE);
-            case "core-whole-grace" -> h -> new Faulty(h, numbers, Faulty.Fault.WHOLE_GRACE);
-            case "core-no-last-answers" -> h -> new Faulty(h, numbers, Faulty.Fault.NO_LAST_ANSWERS);
-            case "core-trusts-clocks" -> h -> new Faulty(h, numbers, Faulty.Fault.TRUSTS_CLOCKS);
+                h -> new DelayedOraclePolicy(h, Double.parseDouble(name.substring(SEES_LATE.length())));
+            case "core-late-answer" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.LATE_ANSWER);
+            case "core-second-answer" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.SECOND_ANSWER);
+            case "core-drained-member" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.DRAINED_MEMBER);
+            case "core-cold-member" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.COLD_MEMBER);
+            case "core-silence" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.SILENCE);
+            case "core-whole-grace" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.WHOLE_GRACE);
+            case "core-no-last-answers" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.NO_LAST_ANSWERS);
+            case "core-trusts-clocks" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.TRUSTS_CLOCKS);
             default -> throw new IllegalArgumentException("no policy is called " + name);
         };
     }
--- a/emulator/src/main/java/tulipshed/emulator/policy/Host.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/PolicyHost.java
@@ -3,7 +3,7 @@
 import tulipshed.emulator.scenario.Scenario;
 
 /** The node around a policy: what it can do. */
-public interface Host {
+public interface PolicyHost {
     double nowMs();
 
     /** What the node's own clock shows: it never steps, and its origin is that of no other clock. */
@@ -22,19 +22,19 @@
     String nameOf(int member);
 
     /** Sends a flow towards a member. */
-    Flow dial(Try t, int member);
+    EmulatedAttempt dial(ClientRequest t, int member);
 
     /** Ends a flow of which nothing more is wanted; nothing is told of it from here on. */
-    void giveUp(Flow f);
+    void giveUp(EmulatedAttempt f);
 
     /** Final answer: turned away, to come again after so long where above 0. */
-    void refuse(Try t, double retryAfterMs);
+    void refuse(ClientRequest t, double retryAfterMs);
 
     /** Final answer: failed. */
-    void fail(Try t);
+    void fail(ClientRequest t);
 
     /** Ends a standing connection politely; its client comes again. */
-    void move(Try t);
+    void move(ClientRequest t);
 
     /** Runs something later, unless the node has ended before. */
     void after(double ms, Runnable what);
--- a/emulator/src/main/java/tulipshed/emulator/policy/SettingsOf.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/SettingsFactory.java
@@ -14,10 +14,10 @@
 import tulipshed.emulator.scenario.Scenario;
 
 /** A scenario in the terms in which a node is told of its site. */
-final class SettingsOf {
+final class SettingsFactory {
     private static final double REPEAT_MS = 5000;
 
-    private SettingsOf() {}
+    private SettingsFactory() {}
 
     static long us(double ms) {
         return Math.round(ms * 1000);
@@ -80,7 +80,7 @@
                 tenants);
     }
 
-    static String group(Wish w) {
+    static String group(ClientDemand w) {
         return w.group < 0 ? null : "g" + w.group;
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/results/Results.java
+++ b/emulator/src/main/java/tulipshed/emulator/results/Results.java
@@ -20,7 +20,7 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramIterationValue;
 import tulipshed.emulator.loadtest.NodeUsage;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.RunResult;
 
 /**
  * A folder of results. Each run leaves three files named by its key: what came of it, its seconds and its histograms.
@@ -60,7 +60,7 @@
     }
 
     /** Keeps what came of a run. */
-    public synchronized void write(String key, Map<String, String> parameters, Outcome o) {
+    public synchronized void write(String key, Map<String, String> parameters, RunResult o) {
         try {
             seconds(key, o);
             histograms(key, o);
@@ -72,7 +72,7 @@
         }
     }
 
-    private void run(String key, Map<String, String> parameters, Outcome o) throws SQLException, IOException {
+    private void run(String key, Map<String, String> parameters, RunResult o) throws SQLException, IOException {
         StringBuilder columns = new StringBuilder(
                 "run_key VARCHAR, scenario VARCHAR, policy VARCHAR, seed BIGINT, "
                         + "parameters VARCHAR, nodes INTEGER, members INTEGER, virtual_s DOUBLE, took_s DOUBLE, messages BIGINT, trace BIGINT");
@@ -104,7 +104,7 @@
         return out.toString();
     }
 
-    private void seconds(String key, Outcome o) throws SQLException, IOException {
+    private void seconds(String key, RunResult o) throws SQLException, IOException {
         List<Object[]> rows = new ArrayList<>();
         int n = (int) Math.ceil(o.scenario().lengthMs() / 1000);
         for (int s = 0; s < n; s++) {
@@ -162,7 +162,7 @@
         }
     }
 
-    private void histograms(String key, Outcome o) throws SQLException, IOException {
+    private void histograms(String key, RunResult o) throws SQLException, IOException {
         List<Object[]> rows = new ArrayList<>();
         histogram(key, "setup", o.setupUs(), rows);
         histogram(key, "wait", o.waitUs(), rows);
--- a/emulator/src/main/java/tulipshed/emulator/scenario/Overrides.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/Overrides.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import tulipshed.sexpr.Spelling;
+import tulipshed.sexpr.NameSuggestions;
 
 /** Figures that replace those of a scenario file, by path, such as {@code clients.per-second}. */
 public final class Overrides {
@@ -38,7 +38,7 @@
                 out.append(out.length() == 0 ? "" : "\n")
                         .append("nothing is called ")
                         .append(path)
-                        .append(Spelling.hint(path, asked));
+                        .append(NameSuggestions.hint(path, asked));
             }
         }
         return out.toString();
--- a/emulator/src/main/java/tulipshed/emulator/scenario/Policies.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/PolicyNames.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** What may decide in a node of the emulator. */
-public final class Policies {
+public final class PolicyNames {
     /**
      * The decision module as it is, the whole core around it, what they are compared with, and the core with a fault put in
      * on purpose, which proves that the checkers see it.
@@ -29,5 +29,5 @@
             "core-no-last-answers",
             "core-trusts-clocks");
 
-    private Policies() {}
+    private PolicyNames() {}
 }
--- a/emulator/src/main/java/tulipshed/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/ScenarioReader.java
@@ -18,10 +18,10 @@
 import tulipshed.emulator.scenario.Scenario.Nodes;
 import tulipshed.emulator.scenario.Scenario.TenantOf;
 import tulipshed.emulator.scenario.Scenario.Trouble;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Problems;
+import tulipshed.sexpr.NameSuggestions;
 import tulipshed.sexpr.SexprReader;
-import tulipshed.sexpr.Spelling;
 
 /** Reads scenario files; all that is wrong with one is told at once, each with its place. */
 public final class ScenarioReader {
@@ -68,12 +68,12 @@
                     LINKS.stream(), Stream.of("partition", "silence-members"))
             .toList();
 
-    private final Problems problems;
+    private final Diagnostics problems;
     private final Section top;
     /** That many times the nodes, members and clients, so that each has as much to do as before. */
     private double scale = 1;
 
-    private ScenarioReader(Problems problems, Section top) {
+    private ScenarioReader(Diagnostics problems, Section top) {
         this.problems = problems;
         this.top = top;
     }
@@ -94,9 +94,9 @@
 
     /** Reads a scenario of that name from text in UTF-8. */
     public static Scenario read(String name, byte[] text, Overrides overrides) {
-        Problems problems = new Problems(name);
+        Diagnostics problems = new Diagnostics(name);
         List<Form> forms = SexprReader.read(text, BOUNDS, problems);
-        Section top = new Section("", tulipshed.sexpr.Place.START, forms, problems, overrides);
+        Section top = new Section("", tulipshed.sexpr.SourcePosition.START, forms, problems, overrides);
         Scenario scenario = new ScenarioReader(problems, top).scenario(name);
         String unused = overrides.unused();
         if (!problems.none() || !unused.isEmpty()) {
@@ -115,7 +115,7 @@
                 name,
                 1000 * top.number("seconds", 0.1, 86_400, 60),
                 1000 * top.number("settle-s", 0, 3600, 0),
-                top.word("policy", Policies.NAMES, "module"),
+                top.word("policy", PolicyNames.NAMES, "module"),
                 network(),
                 nodes(),
                 kinds(),
@@ -283,7 +283,9 @@
             if (!TROUBLES.contains(w.name()) && !LINKS.contains(w.name())) {
                 List<String> known =
                         Stream.concat(TROUBLES.stream(), LINKS.stream()).toList();
-                problems.add(w.place(), "expected one of " + String.join(", ", known) + Spelling.hint(w.name(), known));
+                problems.add(
+                        w.place(),
+                        "expected one of " + String.join(", ", known) + NameSuggestions.hint(w.name(), known));
             }
             Section f = top.of("trouble." + w.name(), s, 2);
             out.add(new Trouble(
--- a/emulator/src/main/java/tulipshed/emulator/scenario/Section.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/Section.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Place;
-import tulipshed.sexpr.Problems;
-import tulipshed.sexpr.Spelling;
+import tulipshed.sexpr.NameSuggestions;
+import tulipshed.sexpr.SourcePosition;
 
 /** One list of a scenario file as a section of named figures; tells of each that is wrong or not known. */
 public final class Section {
     private final String path;
-    private final Place place;
-    private final Problems problems;
+    private final SourcePosition place;
+    private final Diagnostics problems;
     private final Overrides overrides;
     private final Map<String, List<Form.Sequence>> entries = new LinkedHashMap<>();
     private final Set<String> known = new HashSet<>();
 
-    Section(String path, Place place, List<Form> items, Problems problems, Overrides overrides) {
+    Section(String path, SourcePosition place, List<Form> items, Diagnostics problems, Overrides overrides) {
         this.path = path;
         this.place = place;
         this.problems = problems;
@@ -43,7 +43,7 @@
         Form.Sequence s = one(name);
         String other = overrides.take(path(name));
         double value = usual;
-        Place at = s == null ? place : s.place();
+        SourcePosition at = s == null ? place : s.place();
         if (other != null) {
             try {
                 value = Double.parseDouble(other);
@@ -104,7 +104,7 @@
             problems.add(
                     s == null ? place : s.place(),
                     "expected one of " + String.join(", ", possible) + " for " + path(name)
-                            + Spelling.hint(value, possible));
+                            + NameSuggestions.hint(value, possible));
             return usual;
         }
         return value;
@@ -153,7 +153,7 @@
                 path(within), s.place(), s.items().subList(from, s.items().size()), problems, overrides);
     }
 
-    Place place() {
+    SourcePosition place() {
         return place;
     }
 
@@ -172,7 +172,7 @@
             if (!known.contains(e.getKey())) {
                 problems.add(
                         e.getValue().get(0).place(),
-                        "nothing is called " + e.getKey() + " here" + Spelling.hint(e.getKey(), known));
+                        "nothing is called " + e.getKey() + " here" + NameSuggestions.hint(e.getKey(), known));
             }
         }
     }
--- a/emulator/src/test/java/tulipshed/emulator/GateTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/AcceptanceRunnerTest.java
@@ -12,20 +12,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tulipshed.emulator.acceptance.DayDraw;
-import tulipshed.emulator.acceptance.DayKind;
-import tulipshed.emulator.acceptance.Gate;
-import tulipshed.emulator.acceptance.Verdict;
+import tulipshed.emulator.acceptance.AcceptanceResult;
+import tulipshed.emulator.acceptance.AcceptanceRunner;
+import tulipshed.emulator.acceptance.ScenarioGenerator;
+import tulipshed.emulator.acceptance.ScenarioKind;
 import tulipshed.emulator.cli.EmulatorMain;
-import tulipshed.emulator.invariants.RuleReport;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.invariants.InvariantReport;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.scenario.Scenario;
 
 /** The standing test in its small form, and proof that it can fail. */
-class GateTest {
-    private static final DayDraw.Size SMALL = new DayDraw.Size(14, 16);
+class AcceptanceRunnerTest {
+    private static final ScenarioGenerator.Size SMALL = new ScenarioGenerator.Size(14, 16);
     /** Rules that something was held to, and that were kept. */
-    private static final RuleReport KEPT =
+    private static final InvariantReport KEPT =
             Worlds.run(Worlds.file("calm", "seconds=5"), 1).rules();
 
     private static String gate(int code, String... more) {
@@ -80,7 +80,9 @@
     @ParameterizedTest
     @CsvSource({"1, 8", "2, 8", "30, 30"})
     void aNodeThatIgnoresColdMembersIsFoundInFleetsOfAnySize(int nodes, int members) {
-        Verdict v = new Gate(new DayDraw.Size(nodes, members), "core-cold-member", Map.of()).play(DayKind.JOIN, 1);
+        AcceptanceResult v = new AcceptanceRunner(
+                        new ScenarioGenerator.Size(nodes, members), "core-cold-member", Map.of())
+                .play(ScenarioKind.JOIN, 1);
         assertTrue(v.fault() != null && v.fault().startsWith("rule cold broken"), v.toString());
         assertTrue(v.ownStrain() > 1 && v.strain() <= v.ownStrain(), v.toString());
         assertTrue(nodes > 1 || v.nodes() == 1, v.toString());
@@ -89,20 +91,23 @@
     /** Trouble after ten quiet minutes, and a minute without discovery in the middle of a release. */
     @Test
     void troubleMayBeginAfterALongQuietTimeAndDiscoveryBeDarkForAMinute() {
-        DayDraw.Beside quiet = new DayDraw.Beside(600, "(trouble dark-list (at-s 606) (over-s 60))");
-        DayDraw.Size size = new DayDraw.Size(2, 6);
-        String text = DayDraw.text(DayKind.ROLL, 1, size, quiet);
+        ScenarioGenerator.Beside quiet =
+                new ScenarioGenerator.Beside(600, "(trouble dark-list (at-s 606) (over-s 60))");
+        ScenarioGenerator.Size size = new ScenarioGenerator.Size(2, 6);
+        String text = ScenarioGenerator.text(ScenarioKind.ROLL, 1, size, quiet);
         assertTrue(text.contains("(seconds 645)") && text.contains("(settle-s 603)"), text);
         java.util.regex.Matcher at =
                 java.util.regex.Pattern.compile("\\(at-s (\\d+)").matcher(text);
         while (at.find()) {
             assertTrue(Integer.parseInt(at.group(1)) >= 600, text);
         }
-        Verdict v = new Gate(size, quiet, "core", Map.of("seconds", "675")).play(DayKind.ROLL, 1);
+        AcceptanceResult v =
+                new AcceptanceRunner(size, quiet, "core", Map.of("seconds", "675")).play(ScenarioKind.ROLL, 1);
         assertTrue(v.fault() == null || !v.fault().startsWith("rule"), v.toString());
         // Of what is drained in the dark nobody is told, so the fault shows on a day that is not dark.
-        Verdict drained =
-                new Gate(size, new DayDraw.Beside(600, ""), "core-drained-member", Map.of()).play(DayKind.ROLL, 1);
+        AcceptanceResult drained = new AcceptanceRunner(
+                        size, new ScenarioGenerator.Beside(600, ""), "core-drained-member", Map.of())
+                .play(ScenarioKind.ROLL, 1);
         assertTrue(drained.fault() != null && drained.fault().startsWith("rule drain broken"), drained.toString());
     }
 
@@ -134,17 +139,18 @@
 
     @Test
     void daysAreTheSameEveryTimeAndForAnyNumberOfThreads() {
-        List<Verdict> one =
-                new Gate(SMALL, "core", Map.of()).play(List.of(DayKind.SPLIT, DayKind.ROLL), 3, 2, 1, v -> {});
-        List<Verdict> four =
-                new Gate(SMALL, "core", Map.of()).play(List.of(DayKind.SPLIT, DayKind.ROLL), 3, 2, 4, v -> {});
+        List<AcceptanceResult> one = new AcceptanceRunner(SMALL, "core", Map.of())
+                .play(List.of(ScenarioKind.SPLIT, ScenarioKind.ROLL), 3, 2, 1, v -> {});
+        List<AcceptanceResult> four = new AcceptanceRunner(SMALL, "core", Map.of())
+                .play(List.of(ScenarioKind.SPLIT, ScenarioKind.ROLL), 3, 2, 4, v -> {});
         for (int i = 0; i < one.size(); i++) {
             assertEquals(one.get(i).served(), four.get(i).served());
             assertEquals(one.get(i).seesLate(), four.get(i).seesLate());
             assertEquals(one.get(i).attempts(), four.get(i).attempts());
         }
         assertFalse(
-                DayDraw.text(DayKind.CALM, 1, SMALL).equals(DayDraw.text(DayKind.CALM, 2, SMALL)),
+                ScenarioGenerator.text(ScenarioKind.CALM, 1, SMALL)
+                        .equals(ScenarioGenerator.text(ScenarioKind.CALM, 2, SMALL)),
                 "another seed, another day");
     }
 
@@ -157,36 +163,38 @@
     /** Tells calm days from others as the operators' page does. */
     @Test
     void theGateWantsWhatThePageSays() {
-        Gate plain = new Gate(SMALL, "random", Map.of());
-        Verdict calm = plain.play(DayKind.CALM, 1);
+        AcceptanceRunner plain = new AcceptanceRunner(SMALL, "random", Map.of());
+        AcceptanceResult calm = plain.play(ScenarioKind.CALM, 1);
         assertEquals(
                 Math.max(calm.seesLate() / 2, Math.min(calm.plainest() - 0.05, calm.seesLate() - 0.1)),
                 calm.wants(),
                 1e-12);
         assertEquals(calm.plainest(), calm.served(), "the plainest, judged against itself");
-        Verdict herd = plain.play(DayKind.HERD, 1);
+        AcceptanceResult herd = plain.play(ScenarioKind.HERD, 1);
         assertEquals(herd.seesLate() / 2, herd.wants(), 1e-12);
     }
 
     /** A node that piled a group up at one member, where nothing tells of delays, served 0.03 to 0.07 less than chance does. */
     @Test
     void whereNothingTellsOfDelaysTheNodeServesMoreThanChanceDoes() {
-        List<Verdict> days = new Gate(SMALL, "core", Map.of())
-                .play(List.of(DayKind.CALM, DayKind.ZONE, DayKind.HERD), 1, 4, 4, v -> {});
-        double served = days.stream().mapToDouble(Verdict::served).sum();
-        double chance = days.stream().mapToDouble(Verdict::plainest).sum();
+        List<AcceptanceResult> days = new AcceptanceRunner(SMALL, "core", Map.of())
+                .play(List.of(ScenarioKind.CALM, ScenarioKind.ZONE, ScenarioKind.HERD), 1, 4, 4, v -> {});
+        double served = days.stream().mapToDouble(AcceptanceResult::served).sum();
+        double chance = days.stream().mapToDouble(AcceptanceResult::plainest).sum();
         assertTrue(served > chance, "served " + served + ", by chance " + chance + " of " + days.size());
     }
 
     /** Days are those of sockets: the same day with notes of delays is another. */
     @Test
     void membersTellOfDelaysOnlyWhereTheScenarioSaysSo() {
-        double deaf = new Gate(SMALL, "core", Map.of()).play(DayKind.ROLL, 3).served();
-        double told = new Gate(SMALL, "core", Map.of("member-model.tells-delay", "1"))
-                .play(DayKind.ROLL, 3)
+        double deaf = new AcceptanceRunner(SMALL, "core", Map.of())
+                .play(ScenarioKind.ROLL, 3)
                 .served();
-        double deafTwice = new Gate(SMALL, "core", Map.of("member-model.tells-delay", "0"))
-                .play(DayKind.ROLL, 3)
+        double told = new AcceptanceRunner(SMALL, "core", Map.of("member-model.tells-delay", "1"))
+                .play(ScenarioKind.ROLL, 3)
+                .served();
+        double deafTwice = new AcceptanceRunner(SMALL, "core", Map.of("member-model.tells-delay", "0"))
+                .play(ScenarioKind.ROLL, 3)
                 .served();
         assertEquals(deaf, deafTwice);
         assertTrue(told != deaf, "notes make no difference");
@@ -195,17 +203,22 @@
     /** Each class has its half to itself: one that is seldom asked for, or that nobody can serve, has none. */
     @Test
     void aClassThatComesOffBadlyFailsTheDay() {
-        Verdict even = verdict(0.9, 0.6);
+        AcceptanceResult even = verdict(0.9, 0.6);
         assertTrue(even.passed(), even.toString());
         assertEquals(0.2, even.margin(), 1e-9, "the second class stands nearer to its half than all do");
-        Verdict uneven = verdict(0.9, 0.3);
+        AcceptanceResult uneven = verdict(0.9, 0.3);
         assertTrue(
                 uneven.fault().startsWith("class second served 0.300 of its worth, the gate wants 0.400"),
                 uneven.fault());
         assertEquals(-0.1, uneven.margin(), 1e-9);
         assertTrue(verdict(0.99, 0.3).passed(), "a class with a hundredth of what is asked");
         assertTrue(
-                Verdict.of(DayKind.ROLL, 1, of(0.7, 0.8, 0.5, 0.1), of(0.8, 0.9, 0.5, 0.29), of(0.5, 0.5, 0.5, 0.1))
+                AcceptanceResult.of(
+                                ScenarioKind.ROLL,
+                                1,
+                                of(0.7, 0.8, 0.5, 0.1),
+                                of(0.8, 0.9, 0.5, 0.29),
+                                of(0.5, 0.5, 0.5, 0.1))
                         .passed(),
                 "a class that the late-seeing one serves under 0.3 of");
     }
@@ -213,8 +226,8 @@
     /** A class that is seldom asked for has its half where much is worth, and a tenant has its third. */
     @Test
     void aWorthyClassOrATenantThatComesOffBadlyFailsTheDay() {
-        Verdict worthy = Verdict.of(
-                DayKind.ROLL,
+        AcceptanceResult worthy = AcceptanceResult.of(
+                ScenarioKind.ROLL,
                 1,
                 of(WORTHY, 0.7, 0.8, 0.99, 0.3),
                 of(WORTHY, 0.8, 0.9, 0.99, 0.8),
@@ -225,20 +238,20 @@
         assertEquals("tenant large was served 0.290 of its worth, the gate wants 0.300", fault);
     }
 
-    private static Verdict tenants(double large, double small) {
-        Outcome[] played = new Outcome[3];
+    private static AcceptanceResult tenants(double large, double small) {
+        RunResult[] played = new RunResult[3];
         double[][] served = {{large, small}, {0.9, 0.9}, {0.5, 0.5}};
         for (int i = 0; i < played.length; i++) {
             played[i] = of(TENANTS, 0.7, 0.7, 0.5, 0.7);
             played[i].figures().put("tenant_large", served[i][0]);
             played[i].figures().put("tenant_small", served[i][1]);
         }
-        return Verdict.of(DayKind.ROLL, 1, played[0], played[1], played[2]);
+        return AcceptanceResult.of(ScenarioKind.ROLL, 1, played[0], played[1], played[2]);
     }
 
-    private static Verdict verdict(double firstAsked, double secondServed) {
-        return Verdict.of(
-                DayKind.ROLL,
+    private static AcceptanceResult verdict(double firstAsked, double secondServed) {
+        return AcceptanceResult.of(
+                ScenarioKind.ROLL,
                 1,
                 of(0.7, 0.8, firstAsked, secondServed),
                 of(0.8, 0.9, firstAsked, 0.8),
@@ -253,12 +266,13 @@
     private static final Scenario TENANTS = Worlds.text("(members m (count 2)) (class first (share 1))"
             + "(class second (share 1)) (tenant large (share 0.96)) (tenant small (share 0.04))");
 
-    private static Outcome of(double service, double firstServed, double firstAsked, double secondServed) {
+    private static RunResult of(double service, double firstServed, double firstAsked, double secondServed) {
         return of(EVEN, service, firstServed, firstAsked, secondServed);
     }
 
-    private static Outcome of(Scenario s, double service, double firstServed, double firstAsked, double secondServed) {
-        return new Outcome(
+    private static RunResult of(
+            Scenario s, double service, double firstServed, double firstAsked, double secondServed) {
+        return new RunResult(
                 s,
                 1,
                 new java.util.TreeMap<>(Map.of(
--- a/emulator/src/test/java/tulipshed/emulator/ColdFleetTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/ColdFleetTest.java
@@ -10,25 +10,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tulipshed.emulator.acceptance.DayDraw;
-import tulipshed.emulator.acceptance.DayKind;
-import tulipshed.emulator.invariants.Rule;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.acceptance.ScenarioGenerator;
+import tulipshed.emulator.acceptance.ScenarioKind;
+import tulipshed.emulator.invariants.Invariant;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.model.World;
 import tulipshed.emulator.scenario.Overrides;
 import tulipshed.emulator.scenario.ScenarioReader;
 
 /**
  * What all nodes together send a cold member stays within its budget and what is left to chance, however many they are.
- * GateTest has the node that ignores cold members and is found.
+ * AcceptanceRunnerTest has the node that ignores cold members and is found.
  */
 class ColdFleetTest {
     private static final String ALL_RESTART_AND_HEAR_LATE =
             "(trouble kill-nodes (at-s 12) (share 1) (over-s 0.3)) (trouble late-list (at-s 6) (over-s 20) (factor 4))";
 
-    private static Outcome play(DayKind kind, long seed, int nodes, int members, String more) {
+    private static RunResult play(ScenarioKind kind, long seed, int nodes, int members, String more) {
         Map<String, String> set = new TreeMap<>(Map.of("policy", "core", "nodes.count", "" + nodes));
-        String text = DayDraw.text(kind, seed, new DayDraw.Size(nodes, members)) + more;
+        String text = ScenarioGenerator.text(kind, seed, new ScenarioGenerator.Size(nodes, members)) + more;
         return new World(
                         ScenarioReader.read(kind.word(), text.getBytes(StandardCharsets.UTF_8), new Overrides(set)),
                         seed,
@@ -45,9 +45,9 @@
     @CsvSource({"1, 8", "5, 16", "30, 30", "100, 30"})
     void noColdMemberIsPushedOverByAnyNumberOfNodes(int nodes, int members) {
         double most = 0;
-        for (DayKind kind : new DayKind[] {DayKind.ROLL, DayKind.HERD, DayKind.JOIN}) {
+        for (ScenarioKind kind : new ScenarioKind[] {ScenarioKind.ROLL, ScenarioKind.HERD, ScenarioKind.JOIN}) {
             for (long seed = 1; seed <= 3; seed++) {
-                Outcome o = play(kind, seed, nodes, members, "");
+                RunResult o = play(kind, seed, nodes, members, "");
                 assertEquals(0, o.figure("cold_fell"), kind + " " + seed);
                 most = Math.max(most, o.figure("cold_strain"));
             }
@@ -58,9 +58,9 @@
     @ParameterizedTest
     @CsvSource({"1, 8", "5, 16", "30, 30"})
     void noneIsPushedOverByNodesThatHandOverAndReload(int nodes, int members) {
-        for (DayKind kind : new DayKind[] {DayKind.ROLL, DayKind.HERD, DayKind.JOIN}) {
+        for (ScenarioKind kind : new ScenarioKind[] {ScenarioKind.ROLL, ScenarioKind.HERD, ScenarioKind.JOIN}) {
             for (long seed = 1; seed <= 2; seed++) {
-                Outcome o = play(kind, seed, nodes, members, ALL_HAND_OVER_AND_RELOAD);
+                RunResult o = play(kind, seed, nodes, members, ALL_HAND_OVER_AND_RELOAD);
                 assertEquals(0, o.rules().broken(), kind + " " + seed + ": " + o.rules());
                 assertTrue(o.figure("slow_start_strain") < 1, kind + " " + seed);
             }
@@ -71,10 +71,10 @@
     @ParameterizedTest
     @CsvSource({"1, 8", "5, 16", "30, 30", "100, 30"})
     void noneIsPushedOverByNodesThatKnewThoughAllRestartAndHearLate(int nodes, int members) {
-        for (DayKind kind : new DayKind[] {DayKind.ROLL, DayKind.HERD, DayKind.JOIN}) {
+        for (ScenarioKind kind : new ScenarioKind[] {ScenarioKind.ROLL, ScenarioKind.HERD, ScenarioKind.JOIN}) {
             for (long seed = 1; seed <= 3; seed++) {
-                Outcome o = play(kind, seed, nodes, members, ALL_RESTART_AND_HEAR_LATE);
-                assertEquals(0, o.rules().broken(Rule.COLD), kind + " " + seed + ": " + o.rules());
+                RunResult o = play(kind, seed, nodes, members, ALL_RESTART_AND_HEAR_LATE);
+                assertEquals(0, o.rules().broken(Invariant.COLD), kind + " " + seed + ": " + o.rules());
             }
         }
     }
@@ -95,8 +95,8 @@
     void noneIsPushedOverWhereClocksAreOff(String kind, double offS, double atS, double share) {
         String clocks = "(trouble " + kind + " (at-s " + atS + ") (share " + share + ") (factor " + offS + "))"
                 + "(trouble node-clocks (share 0.5) (factor 7200))";
-        for (DayKind day : new DayKind[] {DayKind.ROLL, DayKind.JOIN}) {
-            Outcome o = play(day, 1, 5, 16, clocks + ALL_HAND_OVER_AND_RELOAD);
+        for (ScenarioKind day : new ScenarioKind[] {ScenarioKind.ROLL, ScenarioKind.JOIN}) {
+            RunResult o = play(day, 1, 5, 16, clocks + ALL_HAND_OVER_AND_RELOAD);
             assertEquals(0, o.rules().broken(), day + ": " + o.rules());
         }
     }
@@ -112,13 +112,13 @@
 
     /** How many members fall on a day of a long burst on which they start as cold as the settings allow. */
     private static long fallen(String policy, String clocks) {
-        String day = DayDraw.text(DayKind.JOIN, 1, new DayDraw.Size(14, 16))
+        String day = ScenarioGenerator.text(ScenarioKind.JOIN, 1, new ScenarioGenerator.Size(14, 16))
                         .lines()
                         .filter(line -> !line.contains("clocks"))
                         .collect(Collectors.joining("\n"))
                 + "(trouble burst (at-s 5) (over-s 35) (factor 2))" + clocks;
         return Worlds.run(Worlds.text(day, "policy=" + policy, "member-model.cold-share=0.12"), 1)
                 .rules()
-                .broken(Rule.COLD);
+                .broken(Invariant.COLD);
     }
 }
--- a/emulator/src/test/java/tulipshed/emulator/DeterminismTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/DeterminismTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.model.World;
 import tulipshed.emulator.scenario.Scenario;
 
@@ -19,10 +19,10 @@
     @CsvSource({"herd, module", "trouble, module", "burst, core", "deploy, peak-ewma", "dark-list, bounded-hashing"})
     void anyNumberOfThreadsGivesTheSameDay(String name, String policy) {
         Scenario s = Worlds.file(name, "policy=" + policy, "seconds=40");
-        Outcome one = new World(s, 5, 1).run();
+        RunResult one = new World(s, 5, 1).run();
         assertTrue(one.messages() > 10_000);
         for (int threads : new int[] {1, 2, 3, 8}) {
-            Outcome other = new World(s, 5, threads).run();
+            RunResult other = new World(s, 5, threads).run();
             assertEquals(one.trace(), other.trace(), threads + " threads");
             assertEquals(one.figures(), other.figures(), threads + " threads");
             assertEquals(one.messages(), other.messages());
--- a/emulator/src/test/java/tulipshed/emulator/TroublesTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/FaultScheduleTest.java
@@ -8,16 +8,16 @@
 import java.util.List;
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
-import tulipshed.emulator.invariants.Rule;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.invariants.Invariant;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.model.World;
 
 /** Each trouble does to the world what it says, and no more. */
-class TroublesTest {
+class FaultScheduleTest {
     private static final String SITE = "(seconds 30) (network (sites 3)) (nodes (count 6)) (members m (count 9))"
             + "(clients (per-second 12) (standing 90)) (class c (deadline-ms 3000) (life-s 10) (load 0.02))";
 
-    private static Outcome run(String trouble) {
+    private static RunResult run(String trouble) {
         return Worlds.run(Worlds.text(SITE + trouble, "policy=core"), 2);
     }
 
@@ -47,9 +47,9 @@
                         .distinct()
                         .count(),
                 "all nodes, without having asked again");
-        Outcome o = run(day);
+        RunResult o = run(day);
         assertEquals(0, o.figure("list_calls_failed"));
-        assertEquals(0, o.rules().broken(Rule.DRAIN), () -> "" + o.rules());
+        assertEquals(0, o.rules().broken(Invariant.DRAIN), () -> "" + o.rules());
     }
 
     /** Before, a node outside went on reaching members inside a site that was cut off. */
@@ -62,7 +62,7 @@
         assertEquals(List.of(), told(cut, 10_020, 16_000, across));
         assertFalse(told(cut, 16_000, 22_000, across).isEmpty(), "the way is back");
         assertFalse(told(cut, 4_000, 10_000, across).isEmpty());
-        Outcome o = run(cut);
+        RunResult o = run(cut);
         assertEquals(0, o.rules().broken(), () -> "" + o.rules());
         assertTrue(o.figure("resets") > 5);
     }
@@ -71,7 +71,7 @@
     void lostSpoiltAndResetAnswersAreAskedForAgainUnderTheRules() {
         double usual = run("").figure("attempts_per_ask");
         for (String t : List.of("lose-answers", "spoil-answers", "reset-requests")) {
-            Outcome o = run("(trouble " + t + " (at-s 5) (over-s 20) (share 0.3))");
+            RunResult o = run("(trouble " + t + " (at-s 5) (over-s 20) (share 0.3))");
             assertEquals(0, o.rules().broken(), () -> t + o.rules());
             assertTrue(o.figure("attempts_per_ask") > usual + 0.05, t);
             assertTrue(o.figure("service") > 0.6, t);
@@ -111,11 +111,11 @@
 
     @Test
     void aZoneIsLostAndBackColdAndSilentMembersAreNot() {
-        Outcome zone = run("(trouble lose-zone (at-s 8) (over-s 5) (count 2))");
+        RunResult zone = run("(trouble lose-zone (at-s 8) (over-s 5) (count 2))");
         assertEquals(0, zone.rules().broken(), () -> "" + zone.rules());
         assertTrue(Float.isNaN(zone.loads()[2][10]) && Float.isNaN(zone.loads()[8][10]) && zone.loads()[1][10] >= 0);
         assertTrue(zone.loads()[2][15] >= 0, "back");
-        Outcome silent = run("(trouble silence-members (at-s 8) (over-s 5) (share 0.3))");
+        RunResult silent = run("(trouble silence-members (at-s 8) (over-s 5) (share 0.3))");
         assertEquals(0, silent.rules().broken(), () -> "" + silent.rules());
         assertTrue(silent.loads()[2][10] >= 0, "its process runs on");
         assertTrue(silent.figure("resets") > 10);
@@ -136,7 +136,7 @@
         assertTrue(shifted > 1.5 * usual && shifted < 2.6 * usual, shifted + " beside " + usual);
     }
 
-    private static long broken(Rule rule, String policy, String text) {
+    private static long broken(Invariant rule, String policy, String text) {
         return Worlds.run(Worlds.text(text, "policy=" + policy), 2).rules().broken(rule);
     }
 
@@ -146,9 +146,9 @@
         String day = SITE.replace("(nodes (count 6))", "(nodes (count 6) (leave-ms 300) (restart-ms 400))")
                 + "(trouble lose-answers (at-s 5) (over-s 20) (share 1))"
                 + "(trouble roll-nodes (at-s 8) (over-s 9) (count 3))";
-        assertEquals(0, broken(Rule.ONE_ANSWER, "core", day));
-        assertEquals(0, broken(Rule.ONE_ANSWER, "least-of-two", day));
-        assertTrue(broken(Rule.ONE_ANSWER, "core-no-last-answers", day) > 5);
+        assertEquals(0, broken(Invariant.ONE_ANSWER, "core", day));
+        assertEquals(0, broken(Invariant.ONE_ANSWER, "least-of-two", day));
+        assertTrue(broken(Invariant.ONE_ANSWER, "core-no-last-answers", day) > 5);
     }
 
     /** Before, an answer that was due after the day's end was owed to nobody. */
@@ -156,8 +156,8 @@
     void whatIsAskedOnTheLastSecondsOfADayIsWaitedFor() {
         String day = "(seconds 6) (nodes (count 2)) (members m (count 1)) (clients (per-second 60))"
                 + "(class c (deadline-ms 9000) (life-s 20) (load 0.3))";
-        assertEquals(0, broken(Rule.ONE_ANSWER, "core", day));
-        assertTrue(broken(Rule.ONE_ANSWER, "core-silence", day) > 0);
+        assertEquals(0, broken(Invariant.ONE_ANSWER, "core", day));
+        assertTrue(broken(Invariant.ONE_ANSWER, "core-silence", day) > 0);
     }
 
     /** The grace of a drain has to cover a hold-up: the whole of it by the node's own clock is too long. */
@@ -165,9 +165,9 @@
     void aNodeThatIsHeldUpWritesLaterThanItsClockSays() {
         String drains = "(trouble deploy-members (at-s 5) (over-s 15) (share 0.9))";
         String heldUp = "(trouble hold-up-nodes (at-s 3) (over-s 25) (share 1))";
-        assertEquals(0, broken(Rule.DRAIN, "core-whole-grace", SITE + drains));
-        assertTrue(broken(Rule.DRAIN, "core-whole-grace", SITE + drains + heldUp) > 0);
-        Outcome core = run(drains + heldUp);
+        assertEquals(0, broken(Invariant.DRAIN, "core-whole-grace", SITE + drains));
+        assertTrue(broken(Invariant.DRAIN, "core-whole-grace", SITE + drains + heldUp) > 0);
+        RunResult core = run(drains + heldUp);
         assertEquals(0, core.rules().broken(), () -> "" + core.rules());
         List<String> turns = told(heldUp, 3_000, 28_000, l -> l.contains("is held up until"));
         assertTrue(turns.size() > 6 * 5 && turns.size() < 6 * 25, turns.size() + " turns of 6 nodes in 25 s");
@@ -179,7 +179,7 @@
         String day = "(trouble hot-restart-nodes (at-s 8) (share 1) (over-s 2))";
         assertEquals(6, told(day, 7_000, 11_000, l -> l.contains("hands over")).size());
         for (String policy : List.of("core", "module")) {
-            Outcome o = Worlds.run(Worlds.text(SITE + day, "policy=" + policy), 2);
+            RunResult o = Worlds.run(Worlds.text(SITE + day, "policy=" + policy), 2);
             assertEquals(0, o.rules().broken(), () -> policy + " " + o.rules());
             assertTrue(o.figure("moves") > run("").figure("moves") + 50, policy + " " + o.figure("moves"));
         }
--- a/emulator/src/test/java/tulipshed/emulator/LoadTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/LoadTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.Test;
-import tulipshed.emulator.invariants.Rule;
-import tulipshed.emulator.loadtest.LoadRun;
+import tulipshed.emulator.invariants.Invariant;
+import tulipshed.emulator.loadtest.LoadTestRun;
 import tulipshed.emulator.loadtest.NodeUsage;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.scenario.Scenario;
 
 /** Real nodes in an emulated world. */
@@ -30,10 +30,10 @@
     void aRealNodeKeepsTheRulesThroughDrainsCrashesAndAKill() throws Exception {
         Assumptions.assumeTrue(Files.exists(JAR), "the node's jar is made by package");
         Scenario s = Worlds.text(DAY);
-        try (LoadRun run = new LoadRun(s, 4, JAR)) {
-            Outcome o = run.run();
+        try (LoadTestRun run = new LoadTestRun(s, 4, JAR)) {
+            RunResult o = run.run();
             assertTrue(o.rules().checked() > 150, "" + o.rules().checked());
-            for (Rule r : new Rule[] {Rule.ONE_ANSWER, Rule.ONE_FLOW, Rule.DRAIN}) {
+            for (Invariant r : new Invariant[] {Invariant.ONE_ANSWER, Invariant.ONE_FLOW, Invariant.DRAIN}) {
                 assertEquals(0, o.rules().broken(r), () -> "" + o.rules());
             }
             assertEquals(0, run.strangers(), "nothing came that no client had sent");
@@ -65,9 +65,9 @@
             {"clients.come-at-first=0"}
         }) {
             Scenario s = Worlds.text(DAY, too);
-            assertThrows(IllegalArgumentException.class, () -> new LoadRun(s, 1, JAR).close(), too[0]);
+            assertThrows(IllegalArgumentException.class, () -> new LoadTestRun(s, 1, JAR).close(), too[0]);
         }
         Scenario clocks = Worlds.text(DAY + "(trouble node-clocks (share 0.5)(factor 7200))");
-        assertThrows(IllegalArgumentException.class, () -> new LoadRun(clocks, 1, JAR).close(), "node-clocks");
+        assertThrows(IllegalArgumentException.class, () -> new LoadTestRun(clocks, 1, JAR).close(), "node-clocks");
     }
 }
--- a/emulator/src/test/java/tulipshed/emulator/TheoryTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/TheoryTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.scenario.Scenario;
 
 /** Where theory has a result, the emulator must come to it; tolerances are stated with each. */
@@ -36,13 +36,13 @@
     @CsvSource({"1, 0.5", "1, 0.8", "2, 0.8", "4, 0.7", "8, 0.9"})
     void waitsAreThoseOfMMC(int cores, double busy) {
         double perSecond = busy * cores * 10;
-        Outcome o = Worlds.run(Worlds.text(queue(1, cores, perSecond, 160_000 / perSecond), "policy=random"), 11);
+        RunResult o = Worlds.run(Worlds.text(queue(1, cores, perSecond, 160_000 / perSecond), "policy=random"), 11);
         double expected = 1000 * erlangC(cores, busy * cores) / (cores * 10 - perSecond);
         assertEquals(expected, o.waitUs().getMean() / 1000, 0.06 * expected);
         assertEquals(1 - erlangC(cores, busy * cores), below(o), 0.02, "the part that need not wait");
     }
 
-    private static double below(Outcome o) {
+    private static double below(RunResult o) {
         return o.waitUs().getPercentileAtOrBelowValue(1) / 100;
     }
 
@@ -77,8 +77,8 @@
     /** Twice as fast a fleet under twice the clients, over half the time, is the same fleet. */
     @Test
     void doublingSpeedsAndRatesLeavesTheWaits() {
-        Outcome slow = Worlds.run(Worlds.text(queue(4, 2, 64, 1200), "policy=random"), 8);
-        Outcome fast = Worlds.run(
+        RunResult slow = Worlds.run(Worlds.text(queue(4, 2, 64, 1200), "policy=random"), 8);
+        RunResult fast = Worlds.run(
                 Worlds.text(
                         queue(4, 2, 64, 1200),
                         "policy=random",
--- a/emulator/src/test/java/tulipshed/emulator/Worlds.java
+++ b/emulator/src/test/java/tulipshed/emulator/Worlds.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import tulipshed.emulator.model.Outcome;
+import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.model.World;
 import tulipshed.emulator.scenario.Overrides;
 import tulipshed.emulator.scenario.Scenario;
@@ -30,7 +30,7 @@
         return ScenarioReader.read("text", text.getBytes(StandardCharsets.UTF_8), overrides(pairs));
     }
 
-    static Outcome run(Scenario s, long seed) {
+    static RunResult run(Scenario s, long seed) {
         return new World(s, seed, 1).run();
     }
 }
--- a/emulator/src/test/java/tulipshed/emulator/engine/EngineTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/engine/EngineTest.java
@@ -12,11 +12,11 @@
     private static final double WAY = 0.3;
 
     /** Passes what it gets on to the next, after the shortest way there is or a reminder that is far off. */
-    private static final class Passer extends Part {
-        private final List<Part> all;
+    private static final class Passer extends Actor {
+        private final List<Actor> all;
         final List<String> got = new ArrayList<>();
 
-        Passer(int id, List<Part> all) {
+        Passer(int id, List<Actor> all) {
             super(id);
             this.all = all;
         }
@@ -40,9 +40,9 @@
         }
     }
 
-    private static List<Part> run(int threads) {
+    private static List<Actor> run(int threads) {
         Engine e = new Engine(threads, WAY);
-        List<Part> parts = new ArrayList<>();
+        List<Actor> parts = new ArrayList<>();
         for (int i = 0; i < 7; i++) {
             parts.add(new Passer(i, parts));
         }
@@ -56,9 +56,9 @@
     /** Sums of 0.3 are rounded to either side of the edges of windows; seen as a message that arrived within its own. */
     @Test
     void theShortestWayIsLongEnoughAtEveryEdgeAndOnEveryNumberOfThreads() {
-        List<Part> one = run(1);
+        List<Actor> one = run(1);
         for (int threads : new int[] {2, 5}) {
-            List<Part> other = run(threads);
+            List<Actor> other = run(threads);
             for (int i = 0; i < one.size(); i++) {
                 assertEquals(((Passer) one.get(i)).got, ((Passer) other.get(i)).got);
             }
@@ -71,9 +71,9 @@
     @Test
     void aFaultInAPartIsTold() {
         Engine e = new Engine(3, 1);
-        List<Part> parts = new ArrayList<>();
+        List<Actor> parts = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            parts.add(new Part(i) {
+            parts.add(new Actor(i) {
                 @Override
                 protected void take(double nowMs, Message m) {
                     if (nowMs > 50) {
--- a/emulator/src/test/java/tulipshed/emulator/faultinjection/RelaysTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/faultinjection/FaultInjectionProxyTest.java
@@ -19,26 +19,26 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import tulipshed.emulator.loadtest.Ways;
-import tulipshed.emulator.model.Seeds;
+import tulipshed.emulator.loadtest.NetworkPaths;
+import tulipshed.emulator.model.RandomStreams;
 
 /** One link between plain sockets: the node's end dials, the member's end listens. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
-class RelaysTest {
-    private static final Condition OUT = new Condition(true, false, false, 0, 0);
-    private static final Condition BACK = new Condition(false, true, false, 0, 0);
-    private static final Condition DEAF = new Condition(true, true, true, 0, 0);
+class FaultInjectionProxyTest {
+    private static final LinkState OUT = new LinkState(true, false, false, 0, 0);
+    private static final LinkState BACK = new LinkState(false, true, false, 0, 0);
+    private static final LinkState DEAF = new LinkState(true, true, true, 0, 0);
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    private Relays relays;
+    private FaultInjectionProxy relays;
     private ServerSocket member;
-    private StreamLink link;
+    private ProxiedLink link;
 
     @BeforeEach
     void open() throws IOException {
-        relays = new Relays(Seeds.random(1, 0, 0));
+        relays = new FaultInjectionProxy(RandomStreams.random(1, 0, 0));
         member = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         member.setSoTimeout(5000);
-        link = relays.link((InetSocketAddress) member.getLocalSocketAddress(), new Ways.Ear() {
+        link = relays.link((InetSocketAddress) member.getLocalSocketAddress(), new NetworkPaths.Ear() {
             @Override
             public void first(Object connection, String line) {
                 told.add("first " + line);
@@ -79,7 +79,7 @@
         return new String(s.getInputStream().readNBytes(bytes), StandardCharsets.ISO_8859_1);
     }
 
-    private void become(Condition c) throws InterruptedException {
+    private void become(LinkState c) throws InterruptedException {
         on(() -> link.become(c));
     }
 
@@ -179,7 +179,7 @@
             nothingComes(node);
             node.close();
             assertEquals("over", told.poll(5, TimeUnit.SECONDS), "the node has ended it, whatever is on its way");
-            become(Condition.SOUND);
+            become(LinkState.SOUND);
             assertTrue(relays.lateMs() < 100, "what was held is not the relays' own delay: " + relays.lateMs());
         }
     }
@@ -192,7 +192,7 @@
             nothingComes(node);
             member.setSoTimeout(100);
             assertThrows(SocketTimeoutException.class, () -> member.accept());
-            become(Condition.SOUND);
+            become(LinkState.SOUND);
             assertThrows(SocketException.class, () -> {
                 node.getInputStream().read();
                 node.getInputStream().read();
@@ -208,7 +208,7 @@
 
     @Test
     void aSlowLinkDelaysEachWayAndKeepsTheOrder() throws Exception {
-        become(new Condition(false, false, false, 60, 40));
+        become(new LinkState(false, false, false, 60, 40));
         try (Socket node = dial();
                 Socket there = accept()) {
             long began = System.nanoTime();
--- a/emulator/src/test/java/tulipshed/emulator/faultinjection/ScheduleTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/faultinjection/LinkFaultScheduleTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import tulipshed.emulator.model.Seeds;
+import tulipshed.emulator.model.RandomStreams;
 import tulipshed.emulator.scenario.Overrides;
 import tulipshed.emulator.scenario.Scenario;
 import tulipshed.emulator.scenario.ScenarioReader;
 
-class ScheduleTest {
+class LinkFaultScheduleTest {
     private static Scenario scenario(String troubles) {
         return ScenarioReader.read(
                 "t",
@@ -22,20 +22,20 @@
                 new Overrides(Map.of()));
     }
 
-    private static Schedule draw(String troubles, long seed) {
-        return Schedule.draw(scenario(troubles), 10, Seeds.random(seed, 31, 0));
+    private static LinkFaultSchedule draw(String troubles, long seed) {
+        return LinkFaultSchedule.draw(scenario(troubles), 10, RandomStreams.random(seed, 31, 0));
     }
 
     @Test
     void aPartitionCutsWhatCrossesItAndNothingElse() {
-        Schedule s = draw("(trouble partition (at-s 5)(over-s 4)(count 1))", 1);
+        LinkFaultSchedule s = draw("(trouble partition (at-s 5)(over-s 4)(count 1))", 1);
         for (int n = 0; n < 6; n++) {
             for (int m = 0; m < 10; m++) {
                 assertEquals(
                         n % 2 != m % 2,
                         s.member(n, m, 5000).holdsOut() && s.member(n, m, 8999).holdsBack());
-                assertEquals(Condition.SOUND, s.member(n, m, 4999));
-                assertEquals(Condition.SOUND, s.member(n, m, 9000));
+                assertEquals(LinkState.SOUND, s.member(n, m, 4999));
+                assertEquals(LinkState.SOUND, s.member(n, m, 9000));
             }
             // Discovery stands at the first site.
             assertEquals(n % 2 == 1 ? 9000 : 6000, s.hearsMs(n, 6000));
@@ -44,10 +44,10 @@
 
     @Test
     void oneWayCutsHoldOneWay() {
-        Condition out = draw("(trouble cut-links (at-s 1)(over-s 1)(share 1)(count 1))", 1)
+        LinkState out = draw("(trouble cut-links (at-s 1)(over-s 1)(share 1)(count 1))", 1)
                 .member(0, 0, 1500);
         assertTrue(out.holdsOut() && !out.holdsBack() && !out.deaf());
-        Condition back = draw("(trouble cut-links (at-s 1)(over-s 1)(share 1)(count 2))", 1)
+        LinkState back = draw("(trouble cut-links (at-s 1)(over-s 1)(share 1)(count 2))", 1)
                 .member(0, 0, 1500);
         assertTrue(!back.holdsOut() && back.holdsBack() && !back.deaf());
     }
@@ -59,7 +59,7 @@
         assertEquals(draw(half, 7).faults(), draw(half, 7).faults());
         assertFalse(draw(half, 7).faults().equals(draw(half, 8).faults()));
         // Links are drawn one by one, so nodes have different members out.
-        Schedule s = draw(half, 7);
+        LinkFaultSchedule s = draw(half, 7);
         assertTrue(s.faults().stream()
                         .filter(f -> f.kind().equals("cut-links"))
                         .map(Fault::members)
@@ -71,14 +71,14 @@
 
     @Test
     void aNodeThatStandsStillHearsWhenItGoesOnAndFaultsThatOverlapCountTogether() {
-        Schedule s = draw(
+        LinkFaultSchedule s = draw(
                 "(trouble stop-nodes (at-s 2)(over-s 3)(share 1))(trouble mute-discovery (at-s 4)(over-s 4)(share 1))"
                         + "(trouble slow-links (at-s 4)(over-s 2)(share 1)(factor 30))(trouble silence-members (at-s 5)(over-s 2)(share 1))",
                 3);
         assertEquals(8000, s.hearsMs(0, 2500));
         assertEquals(1999, s.hearsMs(0, 1999));
         assertTrue(s.still(0, 4999) && !s.still(0, 5000));
-        assertEquals(new Condition(true, true, true, 30, 30), s.member(3, 3, 5500));
+        assertEquals(new LinkState(true, true, true, 30, 30), s.member(3, 3, 5500));
     }
 
     @Test
@@ -87,8 +87,10 @@
                 "(trouble partition (at-s 5)(over-s 4))(trouble kill-nodes (at-s 3)(count 1))(trouble cut-links (at-s 1))");
         assertEquals(
                 List.of("kill-nodes"),
-                Schedule.rest(s).troubles().stream().map(Scenario.Trouble::kind).toList());
-        Schedule all = Schedule.draw(s, 10, Seeds.random(1, 31, 0));
+                LinkFaultSchedule.rest(s).troubles().stream()
+                        .map(Scenario.Trouble::kind)
+                        .toList());
+        LinkFaultSchedule all = LinkFaultSchedule.draw(s, 10, RandomStreams.random(1, 31, 0));
         assertEquals(1000, all.firstMs());
         assertEquals(9000, all.lastMs(), "also of what the world makes, as all count for being whole again");
     }
--- a/emulator/src/test/java/tulipshed/emulator/faultinjection/TrialTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/faultinjection/TrialTest.java
@@ -30,7 +30,7 @@
             + "(members std (count 6)(cores 4))(class c (deadline-ms 1800)(aim-ms 300)(life-s 5)(load 0.02)(message-aim-ms 100))"
             + "(clients (per-second 12)(standing 40)(come-at-first 1)(groups 6)(give-up-share 0))"
             + "(discovery (lag-ms 100)(calls-per-s 1000))(member-model (drain-ms 2500)(restart-ms 300)(warm-ms 500)(message-ms 1))";
-    private static final Verdict.Bounds BOUNDS = new Verdict.Bounds(2.5, 4000, 0.8);
+    private static final FaultInjectionResult.Bounds BOUNDS = new FaultInjectionResult.Bounds(2.5, 4000, 0.8);
 
     @TempDir
     private Path folder;
@@ -43,8 +43,9 @@
         return ScenarioReader.read("t", (FLEET + more).getBytes(StandardCharsets.UTF_8), new Overrides(figures));
     }
 
-    private static Verdict play(String more, Path jar, String... set) throws IOException, InterruptedException {
-        try (TrialRun trial = new TrialRun(scenario(more, set), 4, jar)) {
+    private static FaultInjectionResult play(String more, Path jar, String... set)
+            throws IOException, InterruptedException {
+        try (FaultInjectionRun trial = new FaultInjectionRun(scenario(more, set), 4, jar)) {
             return trial.play(BOUNDS);
         }
     }
@@ -53,7 +54,7 @@
     @Test
     void theNodeKeepsTheRulesWhileLinksFail() throws Exception {
         Assumptions.assumeTrue(Files.exists(JAR), "the node's jar is made by package");
-        Verdict v = play(
+        FaultInjectionResult v = play(
                 "(seconds 19)(nodes (count 4))(trouble partition (at-s 3)(over-s 2)(count 1))"
                         + "(trouble cut-links (at-s 6)(over-s 2)(share 0.3)(count 1))(trouble cut-links (at-s 8)(over-s 1)(share 0.3)(count 2))"
                         + "(trouble stop-nodes (at-s 9)(over-s 2)(share 0.25))(trouble reset-links (at-s 10)(share 0.5)(count 1))"
@@ -69,7 +70,7 @@
     @Test
     void whereListsArePushedTheNodeKeepsToThemThroughDarkTimesAndMuteLinks() throws Exception {
         Assumptions.assumeTrue(Files.exists(JAR), "the node's jar is made by package");
-        Verdict v = play(
+        FaultInjectionResult v = play(
                 "(seconds 16)(nodes (count 3))(trouble deploy-members (at-s 3)(share 0.5)(over-s 3))"
                         + "(trouble dark-list (at-s 4)(over-s 2))(trouble mute-discovery (at-s 7)(over-s 2)(share 0.5))"
                         + "(trouble remove-members (at-s 7)(share 0.3)(over-s 2))",
@@ -118,7 +119,7 @@
     private void assertFound(Map<String, String> faults, String troubles) throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(3);
         try {
-            Map<String, Future<Verdict>> verdicts = new LinkedHashMap<>();
+            Map<String, Future<FaultInjectionResult>> verdicts = new LinkedHashMap<>();
             for (String fault : faults.keySet()) {
                 Path jar = StandInNode.jar(folder, fault);
                 verdicts.put(fault, pool.submit(() -> play("(seconds 9)(nodes (count 2))" + troubles, jar)));
@@ -146,16 +147,16 @@
     /** Seen in two trials side by side: both had been given one port, and each one's clients came to the other's nodes. */
     @Test
     void trialsSideBySideAreGivenNoAddressTwice() throws Exception {
-        List<TrialRun> trials = new ArrayList<>();
+        List<FaultInjectionRun> trials = new ArrayList<>();
         try {
             Set<String> addresses = new HashSet<>();
             for (int i = 0; i < 20; i++) {
-                trials.add(new TrialRun(scenario("(seconds 9)(nodes (count 16))"), i, JAR));
+                trials.add(new FaultInjectionRun(scenario("(seconds 9)(nodes (count 16))"), i, JAR));
                 addresses.addAll(trials.get(i).nodes());
             }
             assertEquals(320, addresses.size());
         } finally {
-            for (TrialRun t : trials) {
+            for (FaultInjectionRun t : trials) {
                 t.close();
             }
         }
@@ -163,8 +164,10 @@
 
     @Test
     void aBreachFailsAVoidRunToo() {
-        Verdict breached = new Verdict(List.of("a breach"), List.of("late"), List.of(), List.of(), null, 0, 0, 1);
-        Verdict empty = new Verdict(List.of(), List.of("late"), List.of(), List.of(), null, 0, 0, -1);
+        FaultInjectionResult breached =
+                new FaultInjectionResult(List.of("a breach"), List.of("late"), List.of(), List.of(), null, 0, 0, 1);
+        FaultInjectionResult empty =
+                new FaultInjectionResult(List.of(), List.of("late"), List.of(), List.of(), null, 0, 0, -1);
         assertTrue(breached.failed() && !breached.passed());
         assertTrue(!empty.failed() && !empty.passed());
     }
@@ -172,8 +175,8 @@
     @Test
     void theMeanIsOverWholeSecondsAndNothingElse() {
         List<Double> served = List.of(Double.NaN, 0.5, 1.0, 0.0, 1.0);
-        assertEquals(0.5, Verdict.mean(served, 0, 4000), 1e-12);
-        assertEquals(1.0, Verdict.mean(served, 1500, 3999), 1e-12);
-        assertTrue(Double.isNaN(Verdict.mean(served, 4500, 4900)));
+        assertEquals(0.5, FaultInjectionResult.mean(served, 0, 4000), 1e-12);
+        assertEquals(1.0, FaultInjectionResult.mean(served, 1500, 3999), 1e-12);
+        assertTrue(Double.isNaN(FaultInjectionResult.mean(served, 4500, 4900)));
     }
 }
--- a/emulator/src/test/java/tulipshed/emulator/loadtest/LoadRunTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/loadtest/LoadTestRunTest.java
@@ -6,15 +6,16 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.decision.api.EndpointStatus;
-import tulipshed.emulator.policy.MemberNews;
+import tulipshed.emulator.policy.EndpointListing;
 import tulipshed.proxy.EndpointListEntry;
 
 /** What discovery is given of the emulated members. */
-class LoadRunTest {
+class LoadTestRunTest {
     private static long startedEpochMs(long startedUs, double clockOffMs) {
         EndpointInfo info = new EndpointInfo("m", EndpointStatus.SERVING, "s0", 0, "std", 1, startedUs);
-        MemberNews news = new MemberNews(0, new EndpointListEntry(info, new InetSocketAddress(1)), clockOffMs);
-        return LoadRun.startedEpochMs(news, 1_000_000, 5000);
+        EndpointListing news =
+                new EndpointListing(0, new EndpointListEntry(info, new InetSocketAddress(1)), clockOffMs);
+        return LoadTestRun.startedEpochMs(news, 1_000_000, 5000);
     }
 
     @Test
--- a/node/src/main/java/tulipshed/cli/AttributeValues.java
+++ b/node/src/main/java/tulipshed/cli/AttributeValues.java
@@ -6,14 +6,14 @@
 import java.util.regex.Pattern;
 import tulipshed.config.MalformedInputException;
 import tulipshed.expression.Attribute;
-import tulipshed.expression.Expr;
-import tulipshed.expression.Frame;
+import tulipshed.expression.EvaluationFrame;
+import tulipshed.expression.Expression;
 import tulipshed.expression.Network;
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
 import tulipshed.routing.Declarations;
-import tulipshed.routing.MemberSchema;
-import tulipshed.routing.TransactionSchema;
+import tulipshed.routing.EndpointSchema;
+import tulipshed.routing.RequestSchema;
 
 /**
  * Attribute values given on the command line as {@code NAME=VALUE}, for the evaluation of one expression. A name that
@@ -58,7 +58,7 @@
      * @throws MalformedInputException when a value is not of its attribute's type, or when the expression reads a
      *     required attribute that has no value
      */
-    void setIn(Frame frame, Expr expression) {
+    void setIn(EvaluationFrame frame, Expression expression) {
         for (Attribute attribute : schema.all()) {
             String name = attribute.name();
             if (textByName.containsKey(name)) {
@@ -73,8 +73,8 @@
     private static Schema schemaWith(Map<String, String> textByName) {
         Schema schema = new Schema();
         Declarations none = new Declarations(Map.of(), MAX_STRING_LENGTH, MAX_STRING_LENGTH);
-        addAll(schema, new TransactionSchema(MAX_STRING_LENGTH, MAX_STRING_LENGTH, none, MAX_STRING_LENGTH).schema());
-        addAll(schema, new MemberSchema().schema());
+        addAll(schema, new RequestSchema(MAX_STRING_LENGTH, MAX_STRING_LENGTH, none, MAX_STRING_LENGTH).schema());
+        addAll(schema, new EndpointSchema().schema());
         textByName.forEach((name, text) -> {
             if (schema.get(name) == null) {
                 schema.add(name, typeOf(text), true, MAX_STRING_LENGTH);
@@ -99,7 +99,7 @@
         return text.equals("true") || text.equals("false") ? Type.BOOLEAN : Type.STRING;
     }
 
-    private static void set(Frame frame, Attribute attribute, String text) {
+    private static void set(EvaluationFrame frame, Attribute attribute, String text) {
         if (attribute.type() == Type.ADDRESS) {
             setAddress(frame, attribute, text);
             return;
@@ -118,7 +118,7 @@
         }
     }
 
-    private static void setAddress(Frame frame, Attribute attribute, String text) {
+    private static void setAddress(EvaluationFrame frame, Attribute attribute, String text) {
         Network address = Network.parse(text);
         if (address == null) {
             throw wrongType(attribute, text);
--- a/node/src/main/java/tulipshed/cli/CommandDispatcher.java
+++ b/node/src/main/java/tulipshed/cli/CommandDispatcher.java
@@ -6,7 +6,7 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import tulipshed.config.MalformedInputException;
-import tulipshed.operators.BadOperatorsFile;
+import tulipshed.operators.InvalidOperatorsFileException;
 
 /** Finds a sub-command by name, parses its arguments, and turns what it throws into messages and exit codes. */
 final class CommandDispatcher {
@@ -57,7 +57,7 @@
             return command.run();
         } catch (CmdLineException e) {
             System.err.println(program + " " + name + ": " + oneLine(e.getMessage()) + " (--help tells more)");
-        } catch (BadOperatorsFile e) {
+        } catch (InvalidOperatorsFileException e) {
             printProblems(program, command, e);
         } catch (MalformedInputException e) {
             System.err.println(badConfiguration(program, e));
@@ -74,7 +74,7 @@
     }
 
     /** A node that starts reports all problems on one line of its log; the other commands print a line for each. */
-    private static void printProblems(String program, Command command, BadOperatorsFile e) {
+    private static void printProblems(String program, Command command, InvalidOperatorsFileException e) {
         System.err.println(command instanceof ServeCommand ? badConfiguration(program, e) : e.lines());
     }
 
--- a/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
+++ b/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
@@ -6,18 +6,18 @@
 import java.util.Optional;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import tulipshed.expression.Checker;
-import tulipshed.expression.Cost;
-import tulipshed.expression.Expr;
-import tulipshed.expression.Frame;
+import tulipshed.expression.CostModel;
+import tulipshed.expression.EvaluationFrame;
+import tulipshed.expression.Expression;
 import tulipshed.expression.Program;
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
+import tulipshed.expression.TypeChecker;
 import tulipshed.operators.OperatorsFile;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Place;
-import tulipshed.sexpr.Problems;
 import tulipshed.sexpr.SexprReader;
+import tulipshed.sexpr.SourcePosition;
 
 /** {@code expression eval}: evaluates one expression. */
 public final class ExpressionEvalCommand implements Command {
@@ -40,8 +40,8 @@
     @Override
     public int run() {
         AttributeValues values = AttributeValues.parse(assignments);
-        Problems problems = new Problems("expression");
-        Optional<Expr> checked = parse(values.schema(), problems);
+        Diagnostics problems = new Diagnostics("expression");
+        Optional<Expression> checked = parse(values.schema(), problems);
         if (checked.isEmpty() || !problems.none()) {
             System.err.println(problems);
             return ExitCode.MALFORMED_INPUT;
@@ -51,32 +51,32 @@
     }
 
     /** Reads and checks the expression; the result counts only if no problem was added. */
-    private Optional<Expr> parse(Schema schema, Problems problems) {
+    private Optional<Expression> parse(Schema schema, Diagnostics problems) {
         List<Form> forms =
                 SexprReader.read(expression.getBytes(StandardCharsets.UTF_8), OperatorsFile.BOUNDS, problems);
         if (problems.none() && forms.size() != 1) {
             problems.add(
-                    forms.isEmpty() ? Place.START : forms.get(1).place(),
+                    forms.isEmpty() ? SourcePosition.START : forms.get(1).place(),
                     "expected one expression, found " + forms.size());
         }
         if (!problems.none()) {
             return Optional.empty();
         }
-        Expr checked = new Checker(schema, problems).any(forms.get(0));
+        Expression checked = new TypeChecker(schema, problems).any(forms.get(0));
         if (checked != null && checked.type() == Type.ADDRESS) {
             problems.add(checked.place(), "an address can only be compared or looked for in networks");
         }
         return Optional.ofNullable(checked);
     }
 
-    private static void evaluate(Expr checked, AttributeValues values) {
+    private static void evaluate(Expression checked, AttributeValues values) {
         Program.Builder builder = new Program.Builder(values.schema());
         Program.Value value = builder.value(checked);
-        Frame frame = builder.build().frame();
+        EvaluationFrame frame = builder.build().frame();
         frame.begin();
         values.setIn(frame, checked);
         System.out.println("type: " + checked.type());
         System.out.println("value: " + value.boxed(frame));
-        System.out.println("cost: " + frame.spent() + ", at most " + new Cost().bound(checked));
+        System.out.println("cost: " + frame.spent() + ", at most " + new CostModel().bound(checked));
     }
 }
--- a/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
+++ b/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
@@ -7,7 +7,7 @@
 import tulipshed.operators.OperatorsFile;
 import tulipshed.proxy.ProxyCore;
 import tulipshed.quic.QuicConfig;
-import tulipshed.quic.QuicFront;
+import tulipshed.quic.QuicFrontend;
 import tulipshed.time.SystemWallClock;
 import tulipshed.transport.XnioEventLoop;
 
@@ -24,7 +24,7 @@
     private NameIndex names;
 
     /** Null until the frontend is open. */
-    private QuicFront frontend;
+    private QuicFrontend frontend;
 
     private boolean nodeStarted;
 
@@ -56,8 +56,8 @@
             return;
         }
         try {
-            frontend =
-                    new QuicFront(options.clock(), options.limits(), configAtStart, names, loop, core, options.log());
+            frontend = new QuicFrontend(
+                    options.clock(), options.limits(), configAtStart, names, loop, core, options.log());
             log.info("QUIC frontend listens on " + frontend.address());
         } catch (IOException e) {
             openFailed("QUIC frontend " + e.getMessage());
--- a/node/src/main/java/tulipshed/expression/BasicNodes.java
+++ b/node/src/main/java/tulipshed/expression/BasicNodes.java
@@ -4,7 +4,7 @@
 final class BasicNodes {
     private BasicNodes() {}
 
-    static final class Literal extends Node {
+    static final class Literal extends EvaluationNode {
         private final boolean truth;
         private final long whole;
         private final double fraction;
@@ -18,31 +18,31 @@
         }
 
         @Override
-        boolean truth(Frame f) {
+        boolean truth(EvaluationFrame f) {
             f.spent++;
             return truth;
         }
 
         @Override
-        long whole(Frame f) {
+        long whole(EvaluationFrame f) {
             f.spent++;
             return whole;
         }
 
         @Override
-        double fraction(Frame f) {
+        double fraction(EvaluationFrame f) {
             f.spent++;
             return fraction;
         }
 
         @Override
-        CharSequence text(Frame f) {
+        CharSequence text(EvaluationFrame f) {
             f.spent++;
             return text;
         }
     }
 
-    static final class Get extends Node {
+    static final class Get extends EvaluationNode {
         private final int slot;
 
         Get(Attribute a) {
@@ -50,41 +50,41 @@
         }
 
         @Override
-        boolean truth(Frame f) {
+        boolean truth(EvaluationFrame f) {
             f.spent++;
             return f.whole[slot] != 0;
         }
 
         @Override
-        long whole(Frame f) {
+        long whole(EvaluationFrame f) {
             f.spent++;
             return f.whole[slot];
         }
 
         @Override
-        double fraction(Frame f) {
+        double fraction(EvaluationFrame f) {
             f.spent++;
             return f.fraction[slot];
         }
 
         @Override
-        CharSequence text(Frame f) {
+        CharSequence text(EvaluationFrame f) {
             f.spent++;
             return f.text[slot];
         }
 
         @Override
-        long high(Frame f) {
+        long high(EvaluationFrame f) {
             return f.high[slot];
         }
 
         @Override
-        boolean present(Frame f) {
+        boolean present(EvaluationFrame f) {
             return f.present[slot];
         }
     }
 
-    static final class Present extends Node {
+    static final class Present extends EvaluationNode {
         private final int slot;
 
         Present(Attribute a) {
@@ -92,100 +92,100 @@
         }
 
         @Override
-        boolean truth(Frame f) {
+        boolean truth(EvaluationFrame f) {
             f.spent++;
             return f.present[slot];
         }
     }
 
     /** Gives what one of its parts gives. */
-    private abstract static class Choice extends Node {
+    private abstract static class Choice extends EvaluationNode {
         /** The part that counts for this transaction. */
-        abstract Node chosen(Frame f);
+        abstract EvaluationNode chosen(EvaluationFrame f);
 
         @Override
-        boolean truth(Frame f) {
+        boolean truth(EvaluationFrame f) {
             return chosen(f).truth(f);
         }
 
         @Override
-        long whole(Frame f) {
+        long whole(EvaluationFrame f) {
             return chosen(f).whole(f);
         }
 
         @Override
-        double fraction(Frame f) {
+        double fraction(EvaluationFrame f) {
             return chosen(f).fraction(f);
         }
 
         @Override
-        CharSequence text(Frame f) {
+        CharSequence text(EvaluationFrame f) {
             return chosen(f).text(f);
         }
     }
 
     static final class Default extends Choice {
-        private final Node value;
-        private final Node otherwise;
+        private final EvaluationNode value;
+        private final EvaluationNode otherwise;
 
-        Default(Node value, Node otherwise) {
+        Default(EvaluationNode value, EvaluationNode otherwise) {
             this.value = value;
             this.otherwise = otherwise;
         }
 
         @Override
-        Node chosen(Frame f) {
+        EvaluationNode chosen(EvaluationFrame f) {
             f.spent++;
             return value.present(f) ? value : otherwise;
         }
     }
 
     static final class If extends Choice {
-        private final Node test;
-        private final Node then;
-        private final Node otherwise;
+        private final EvaluationNode test;
+        private final EvaluationNode then;
+        private final EvaluationNode otherwise;
 
-        If(Node test, Node then, Node otherwise) {
+        If(EvaluationNode test, EvaluationNode then, EvaluationNode otherwise) {
             this.test = test;
             this.then = then;
             this.otherwise = otherwise;
         }
 
         @Override
-        Node chosen(Frame f) {
+        EvaluationNode chosen(EvaluationFrame f) {
             f.spent++;
             return test.truth(f) ? then : otherwise;
         }
     }
 
-    static final class Not extends Node {
-        private final Node a;
+    static final class Not extends EvaluationNode {
+        private final EvaluationNode a;
 
-        Not(Node a) {
+        Not(EvaluationNode a) {
             this.a = a;
         }
 
         @Override
-        boolean truth(Frame f) {
+        boolean truth(EvaluationFrame f) {
             f.spent++;
             return !a.truth(f);
         }
     }
 
     /** All of its parts, or one of them; those after the first that decides are not asked. */
-    static final class Join extends Node {
-        private final Node[] parts;
+    static final class Join extends EvaluationNode {
+        private final EvaluationNode[] parts;
         private final boolean ends;
 
-        Join(Node[] parts, boolean ends) {
+        Join(EvaluationNode[] parts, boolean ends) {
             this.parts = parts;
             this.ends = ends;
         }
 
         @Override
-        boolean truth(Frame f) {
+        boolean truth(EvaluationFrame f) {
             f.spent++;
-            for (Node n : parts) {
+            for (EvaluationNode n : parts) {
                 if (n.truth(f) == ends) {
                     return ends;
                 }
@@ -195,22 +195,22 @@
     }
 
     /** Worked out at its first use in a transaction; a use of its own for each kind of value. */
-    static final class Remembered extends Node {
-        private final Node what;
+    static final class Remembered extends EvaluationNode {
+        private final EvaluationNode what;
         private final int at;
 
-        Remembered(Node what, int at) {
+        Remembered(EvaluationNode what, int at) {
             this.what = what;
             this.at = at;
         }
 
-        private boolean known(Frame f) {
+        private boolean known(EvaluationFrame f) {
             f.spent++;
             return f.rememberedAt[at] == f.generation;
         }
 
         @Override
-        boolean truth(Frame f) {
+        boolean truth(EvaluationFrame f) {
             if (!known(f)) {
                 f.rememberedWhole[at] = what.truth(f) ? 1 : 0;
                 f.rememberedAt[at] = f.generation;
@@ -219,7 +219,7 @@
         }
 
         @Override
-        long whole(Frame f) {
+        long whole(EvaluationFrame f) {
             if (!known(f)) {
                 f.rememberedWhole[at] = what.whole(f);
                 f.rememberedAt[at] = f.generation;
@@ -228,7 +228,7 @@
         }
 
         @Override
-        double fraction(Frame f) {
+        double fraction(EvaluationFrame f) {
             if (!known(f)) {
                 f.rememberedFraction[at] = what.fraction(f);
                 f.rememberedAt[at] = f.generation;
@@ -237,7 +237,7 @@
         }
 
         @Override
-        CharSequence text(Frame f) {
+        CharSequence text(EvaluationFrame f) {
             if (!known(f)) {
                 f.rememberedText[at] = what.text(f);
                 f.rememberedAt[at] = f.generation;
--- a/node/src/main/java/tulipshed/expression/Texts.java
+++ b/node/src/main/java/tulipshed/expression/CharSequences.java
@@ -1,8 +1,8 @@
 package tulipshed.expression;
 
 /** Comparing and hashing of texts without making new ones. */
-final class Texts {
-    private Texts() {}
+final class CharSequences {
+    private CharSequences() {}
 
     static boolean equal(CharSequence a, CharSequence b) {
         if (a instanceof String left && b instanceof String right) {
--- a/node/src/main/java/tulipshed/expression/Cost.java
+++ b/node/src/main/java/tulipshed/expression/CostModel.java
@@ -10,13 +10,13 @@
  * What an expression may cost at most, known before any transaction comes. The unit is about one comparison, or 16
  * characters looked at. One that is remembered counts once, and one unit for each further use.
  */
-public final class Cost {
+public final class CostModel {
     /** Longest text that an expression may make, in characters. */
     public static final int LONGEST_TEXT = 4096;
 
     static final int BUCKET = 8; // jump-back hashing: a few draws whatever the number of shares, on average
 
-    private final Map<Expr, Long> tree = new HashMap<>();
+    private final Map<Expression, Long> tree = new HashMap<>();
 
     /** Units for looking at that many characters. */
     static long units(long characters) {
@@ -24,19 +24,19 @@
     }
 
     /** The bound for one expression, all that it refers to included. */
-    public long bound(Expr root) {
+    public long bound(Expression root) {
         return bound(root, new HashSet<>());
     }
 
     /** The bound for one expression, less the bodies of those that are in {@code counted}, which grows. */
-    long bound(Expr root, Set<Expr> counted) {
+    long bound(Expression root, Set<Expression> counted) {
         long sum = reference(root);
         // The bodies of all that is remembered: each once.
-        ArrayDeque<Expr> open = new ArrayDeque<>();
-        Set<Expr> seen = new HashSet<>();
+        ArrayDeque<Expression> open = new ArrayDeque<>();
+        Set<Expression> seen = new HashSet<>();
         open.push(root);
         while (!open.isEmpty()) {
-            Expr e = open.pop();
+            Expression e = open.pop();
             if (!seen.add(e)) {
                 continue;
             }
@@ -48,22 +48,22 @@
         return sum;
     }
 
-    private long reference(Expr e) {
+    private long reference(Expression e) {
         return e.remembered() ? 1 : body(e);
     }
 
     /** Of the expression itself and what hangs below it, remembered ones as one unit each. */
-    private long body(Expr e) {
+    private long body(Expression e) {
         Long known = tree.get(e);
         if (known != null) {
             return known;
         }
         long sum = own(e);
-        if (e.op == Op.IF) {
+        if (e.op == Operator.IF) {
             sum = Arithmetic.add(sum, below(e.args.get(0)));
             sum = Arithmetic.add(sum, Math.max(below(e.args.get(1)), below(e.args.get(2))));
         } else {
-            for (Expr a : e.args) {
+            for (Expression a : e.args) {
                 sum = Arithmetic.add(sum, below(a));
             }
         }
@@ -71,12 +71,12 @@
         return sum;
     }
 
-    private long below(Expr e) {
+    private long below(Expression e) {
         return e.remembered() ? 1 : body(e);
     }
 
     /** What it adds to what its parts cost. */
-    static long own(Expr e) {
+    static long own(Expression e) {
         return 1
                 + switch (e.op) {
                     case EQUAL ->
@@ -96,13 +96,13 @@
     }
 
     /** The part of an expression that adds most: what to look at where the whole is too dear. */
-    public static Expr dearest(Expr root) {
-        Expr most = root;
-        Set<Expr> seen = new HashSet<>();
-        ArrayDeque<Expr> open = new ArrayDeque<>();
+    public static Expression dearest(Expression root) {
+        Expression most = root;
+        Set<Expression> seen = new HashSet<>();
+        ArrayDeque<Expression> open = new ArrayDeque<>();
         open.push(root);
         while (!open.isEmpty()) {
-            Expr e = open.pop();
+            Expression e = open.pop();
             if (seen.add(e)) {
                 most = own(e) > own(most) ? e : most;
                 e.args.forEach(open::push);
--- a/node/src/main/java/tulipshed/expression/Frame.java
+++ b/node/src/main/java/tulipshed/expression/EvaluationFrame.java
@@ -7,7 +7,7 @@
  * {@link Program#frame} and filled again for each; not for two threads at a time. Texts that an expression gives lie in
  * this room and hold only until the next {@link #begin}.
  */
-public final class Frame {
+public final class EvaluationFrame {
     final long[] whole;
     final double[] fraction;
     final CharSequence[] text;
@@ -17,14 +17,14 @@
     final long[] rememberedWhole;
     final double[] rememberedFraction;
     final CharSequence[] rememberedText;
-    final TextBuffer[] buffers;
+    final ReusableStringBuffer[] buffers;
     final Matcher[] matchers;
     final int[][] lists;
     final int[] cursors;
     long generation;
     long spent;
 
-    Frame(int attributes, int remembered, TextBuffer[] buffers, Matcher[] matchers, int lists) {
+    EvaluationFrame(int attributes, int remembered, ReusableStringBuffer[] buffers, Matcher[] matchers, int lists) {
         whole = new long[attributes];
         fraction = new double[attributes];
         text = new CharSequence[attributes];
@@ -79,7 +79,7 @@
         set(a, lowBits);
     }
 
-    /** What was spent since {@link #begin}, in the unit of {@link Cost}. */
+    /** What was spent since {@link #begin}, in the unit of {@link CostModel}. */
     public long spent() {
         return spent;
     }
--- a/node/src/main/java/tulipshed/expression/Expr.java
+++ b/node/src/main/java/tulipshed/expression/Expression.java
@@ -4,31 +4,39 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import tulipshed.sexpr.Place;
+import tulipshed.sexpr.SourcePosition;
 
 /**
- * A checked expression. Equal ones are one object ({@link Terms} sees to that), so one that stands in many rules can be
+ * A checked expression. Equal ones are one object ({@link ExpressionInterner} sees to that), so one that stands in many rules can be
  * worked out once for a transaction.
  */
-public final class Expr {
+public final class Expression {
     private static final int LONGEST_SHOWN =
             300; // characters after which the rest is left out: parts may be shared a lot
 
     final int id;
-    final Op op;
+    final Operator op;
     final Type type;
     final boolean optional;
     final Object literal;
-    final List<Expr> args;
+    final List<Expression> args;
     /** Of a string: characters at most. */
     final int longest;
 
     final int depth;
-    final Place place;
+    final SourcePosition place;
     /** How many expressions and rules it stands in. */
     int uses;
 
-    Expr(int id, Op op, Type type, boolean optional, Object literal, List<Expr> args, int longest, Place place) {
+    Expression(
+            int id,
+            Operator op,
+            Type type,
+            boolean optional,
+            Object literal,
+            List<Expression> args,
+            int longest,
+            SourcePosition place) {
         this.id = id;
         this.op = op;
         this.type = type;
@@ -38,7 +46,7 @@
         this.longest = longest;
         this.place = place;
         int deepest = 0;
-        for (Expr a : args) {
+        for (Expression a : args) {
             deepest = Math.max(deepest, a.depth);
         }
         this.depth = deepest + 1;
@@ -60,17 +68,17 @@
     }
 
     /** Where it was first written. */
-    public Place place() {
+    public SourcePosition place() {
         return place;
     }
 
     /** Whether it asks for the attribute of that name. */
     public boolean asks(String attribute) {
-        Set<Expr> seen = new HashSet<>();
-        ArrayDeque<Expr> open = new ArrayDeque<>(List.of(this));
+        Set<Expression> seen = new HashSet<>();
+        ArrayDeque<Expression> open = new ArrayDeque<>(List.of(this));
         while (!open.isEmpty()) {
-            Expr e = open.pop();
-            if ((e.op == Op.ATTRIBUTE || e.op == Op.PRESENT)
+            Expression e = open.pop();
+            if ((e.op == Operator.ATTRIBUTE || e.op == Operator.PRESENT)
                     && ((Attribute) e.literal).name().equals(attribute)) {
                 return true;
             }
@@ -80,11 +88,11 @@
     }
 
     boolean isLiteral() {
-        return op == Op.LITERAL;
+        return op == Operator.LITERAL;
     }
 
     boolean is(Object value) {
-        return op == Op.LITERAL && literal.equals(value);
+        return op == Operator.LITERAL && literal.equals(value);
     }
 
     boolean unknown() {
@@ -93,7 +101,7 @@
 
     /** Whether it is worked out at most once for a transaction and then remembered. */
     boolean remembered() {
-        return uses > 1 && op != Op.LITERAL && op != Op.ATTRIBUTE && op != Op.PRESENT;
+        return uses > 1 && op != Operator.LITERAL && op != Operator.ATTRIBUTE && op != Operator.PRESENT;
     }
 
     @Override
@@ -104,18 +112,18 @@
     }
 
     private void write(StringBuilder out, int depthLeft) {
-        if (op == Op.LITERAL) {
+        if (op == Operator.LITERAL) {
             out.append(type == Type.STRING ? "\"" + literal + "\"" : String.valueOf(literal));
-        } else if (op == Op.ATTRIBUTE) {
+        } else if (op == Operator.ATTRIBUTE) {
             out.append(((Attribute) literal).name());
         } else if (depthLeft == 0 || out.length() > LONGEST_SHOWN) {
             out.append("...");
         } else {
             out.append('(').append(op.written);
-            if (op == Op.PRESENT) {
+            if (op == Operator.PRESENT) {
                 out.append(' ').append(((Attribute) literal).name());
             }
-            for (Expr a : args) {
+            for (Expression a : args) {
                 if (out.length() > LONGEST_SHOWN) {
                     out.append(" ...");
                     break;
@@ -123,7 +131,7 @@
                 out.append(' ');
                 a.write(out, depthLeft - 1);
             }
-            if (literal != null && op != Op.PRESENT) {
+            if (literal != null && op != Operator.PRESENT) {
                 String text = String.valueOf(literal);
                 out.append(' ').append(text.length() > 60 ? text.substring(0, 57) + "..." : text);
             }
--- a/node/src/main/java/tulipshed/expression/Terms.java
+++ b/node/src/main/java/tulipshed/expression/ExpressionInterner.java
@@ -6,62 +6,63 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tulipshed.sexpr.Place;
+import tulipshed.sexpr.SourcePosition;
 
 /** Makes checked expressions: equal ones once, and those that need no transaction worked out at once. */
-public final class Terms {
-    private final Map<Key, Expr> made = new HashMap<>();
+public final class ExpressionInterner {
+    private final Map<Key, Expression> made = new HashMap<>();
 
-    private record Key(Op op, Type type, Object literal, List<Expr> args) {}
+    private record Key(Operator op, Type type, Object literal, List<Expression> args) {}
 
-    Terms() {}
+    ExpressionInterner() {}
 
     /** What stands for an expression in which something is wrong. */
-    Expr unknown(Place place) {
-        return new Expr(-1, Op.LITERAL, Type.UNKNOWN, false, "", List.of(), 0, place);
+    Expression unknown(SourcePosition place) {
+        return new Expression(-1, Operator.LITERAL, Type.UNKNOWN, false, "", List.of(), 0, place);
     }
 
-    Expr literal(Object value, Place place) {
+    Expression literal(Object value, SourcePosition place) {
         Type type = value instanceof Boolean
                 ? Type.BOOLEAN
                 : value instanceof Long ? Type.INTEGER : value instanceof Double ? Type.DECIMAL : Type.STRING;
         Object kept = value instanceof Double d ? (Object) (d + 0.0) : value; // there is one 0.0
-        return intern(Op.LITERAL, type, false, kept, List.of(), value instanceof String s ? s.length() : 0, place);
+        return intern(
+                Operator.LITERAL, type, false, kept, List.of(), value instanceof String s ? s.length() : 0, place);
     }
 
-    Expr attribute(Attribute a, Place place) {
-        return intern(Op.ATTRIBUTE, a.type(), a.optional(), a, List.of(), a.longest(), place);
+    Expression attribute(Attribute a, SourcePosition place) {
+        return intern(Operator.ATTRIBUTE, a.type(), a.optional(), a, List.of(), a.longest(), place);
     }
 
-    Expr present(Attribute a, Place place) {
-        return intern(Op.PRESENT, Type.BOOLEAN, false, a, List.of(), 0, place);
+    Expression present(Attribute a, SourcePosition place) {
+        return intern(Operator.PRESENT, Type.BOOLEAN, false, a, List.of(), 0, place);
     }
 
-    Expr make(Op op, Type type, Place place, Expr... args) {
+    Expression make(Operator op, Type type, SourcePosition place, Expression... args) {
         return make(op, type, null, 0, place, args);
     }
 
     /** One with something beside its parts: a set, a pattern, a count; and how long a string it may give. */
-    Expr make(Op op, Type type, Object literal, int longest, Place place, Expr... args) {
-        List<Expr> parts = Arrays.asList(args);
-        Expr simpler = simpler(op, parts, place);
+    Expression make(Operator op, Type type, Object literal, int longest, SourcePosition place, Expression... args) {
+        List<Expression> parts = Arrays.asList(args);
+        Expression simpler = simpler(op, parts, place);
         if (simpler != null) {
             return simpler;
         }
         boolean constants =
-                op != Op.DEFAULT && !parts.isEmpty() && parts.stream().allMatch(Expr::isLiteral);
+                op != Operator.DEFAULT && !parts.isEmpty() && parts.stream().allMatch(Expression::isLiteral);
         if (constants) {
-            Expr whole = new Expr(-1, op, type, false, literal, parts, longest, place);
+            Expression whole = new Expression(-1, op, type, false, literal, parts, longest, place);
             return literal(value(whole), place);
         }
         return intern(op, type, false, literal, parts, longest, place);
     }
 
     /** What an expression without attributes gives. */
-    private Object value(Expr e) {
+    private Object value(Expression e) {
         Program.Builder builder = new Program.Builder(new Schema());
-        Node node = builder.node(e);
-        Frame constant = builder.build().frame();
+        EvaluationNode node = builder.node(e);
+        EvaluationFrame constant = builder.build().frame();
         constant.begin();
         return switch (e.type) {
             case BOOLEAN -> node.truth(constant);
@@ -71,18 +72,18 @@
         };
     }
 
-    private Expr simpler(Op op, List<Expr> args, Place place) {
+    private Expression simpler(Operator op, List<Expression> args, SourcePosition place) {
         switch (op) {
             case AND, OR -> {
                 return join(op, args, place);
             }
             case IF -> {
-                Expr test = args.get(0);
+                Expression test = args.get(0);
                 return test.is(true) || args.get(1) == args.get(2) ? args.get(1) : test.is(false) ? args.get(2) : null;
             }
             case NOT -> {
-                Expr a = args.get(0);
-                return a.op == Op.NOT ? a.args.get(0) : null;
+                Expression a = args.get(0);
+                return a.op == Operator.NOT ? a.args.get(0) : null;
             }
             default -> {
                 return null;
@@ -91,11 +92,11 @@
     }
 
     /** All of, or one of: nested ones in one, repeated ones once, literals left out. */
-    private Expr join(Op op, List<Expr> args, Place place) {
-        boolean ends = op == Op.OR;
-        Set<Expr> distinct = new LinkedHashSet<>();
-        for (Expr a : args) {
-            for (Expr part : a.op == op ? a.args : List.of(a)) {
+    private Expression join(Operator op, List<Expression> args, SourcePosition place) {
+        boolean ends = op == Operator.OR;
+        Set<Expression> distinct = new LinkedHashSet<>();
+        for (Expression a : args) {
+            for (Expression part : a.op == op ? a.args : List.of(a)) {
                 if (part.is(ends)) {
                     return literal(ends, place);
                 }
@@ -104,7 +105,7 @@
                 }
             }
         }
-        List<Expr> parts = List.copyOf(distinct);
+        List<Expression> parts = List.copyOf(distinct);
         return parts.isEmpty()
                 ? literal(!ends, place)
                 : parts.size() == 1
@@ -112,13 +113,20 @@
                         : intern(op, Type.BOOLEAN, false, null, List.copyOf(parts), 0, place);
     }
 
-    private Expr intern(Op op, Type type, boolean optional, Object literal, List<Expr> args, int longest, Place place) {
+    private Expression intern(
+            Operator op,
+            Type type,
+            boolean optional,
+            Object literal,
+            List<Expression> args,
+            int longest,
+            SourcePosition place) {
         Key key = new Key(op, type, literal, List.copyOf(args));
-        Expr known = made.get(key);
+        Expression known = made.get(key);
         if (known == null) {
-            known = new Expr(made.size(), op, type, optional, literal, key.args(), longest, place);
+            known = new Expression(made.size(), op, type, optional, literal, key.args(), longest, place);
             made.put(key, known);
-            for (Expr a : args) {
+            for (Expression a : args) {
                 a.uses++;
             }
         }
--- a/node/src/main/java/tulipshed/expression/Functions.java
+++ b/node/src/main/java/tulipshed/expression/Functions.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Place;
+import tulipshed.sexpr.SourcePosition;
 
 /** Checks the use of each function and makes its expression. */
 final class Functions {
@@ -15,21 +15,22 @@
     private static final int MOST_PARTS = 1000; // of and, or
     private static final int LONGEST_NUMBER = 20; // characters, with its sign
 
-    private final Checker checker;
-    private final Terms terms;
-    private final TextFunctions texts;
+    private final TypeChecker checker;
+    private final ExpressionInterner terms;
+    private final StringFunctions texts;
 
-    Functions(Checker checker, Terms terms) {
+    Functions(TypeChecker checker, ExpressionInterner terms) {
         this.checker = checker;
         this.terms = terms;
-        texts = new TextFunctions(this, checker, terms);
+        texts = new StringFunctions(this, checker, terms);
     }
 
-    Expr check(Form.Sequence s) {
+    Expression check(Form.Sequence s) {
         List<Form> args = s.items().subList(1, s.items().size());
         return switch (s.head()) {
-            case "and", "or" -> logic(s, s.head().equals("and") ? Op.AND : Op.OR, args, 1, Integer.MAX_VALUE);
-            case "not" -> logic(s, Op.NOT, args, 1, 1);
+            case "and", "or" ->
+                logic(s, s.head().equals("and") ? Operator.AND : Operator.OR, args, 1, Integer.MAX_VALUE);
+            case "not" -> logic(s, Operator.NOT, args, 1, 1);
             case "if" -> choice(s, args);
             case "cond" -> cond(s, args);
             case "let" -> let(s, args);
@@ -37,22 +38,22 @@
             case "present" -> present(s, args);
             case "=", "!=" -> equal(s, args);
             case "<", "<=", ">", ">=" -> order(s, args);
-            case "+" -> arithmetic(s, Op.ADD, args);
-            case "-" -> args.size() == 2 ? arithmetic(s, Op.SUBTRACT, args) : shape(s);
-            case "*" -> arithmetic(s, Op.MULTIPLY, args);
-            case "min" -> arithmetic(s, Op.LEAST, args);
-            case "max" -> arithmetic(s, Op.MOST, args);
+            case "+" -> arithmetic(s, Operator.ADD, args);
+            case "-" -> args.size() == 2 ? arithmetic(s, Operator.SUBTRACT, args) : shape(s);
+            case "*" -> arithmetic(s, Operator.MULTIPLY, args);
+            case "min" -> arithmetic(s, Operator.LEAST, args);
+            case "max" -> arithmetic(s, Operator.MOST, args);
             case "/", "mod" -> divide(s, args);
-            case "decimal" -> convert(s, args, Type.INTEGER, Op.TO_DECIMAL, Type.DECIMAL);
-            case "integer" -> convert(s, args, Type.DECIMAL, Op.TO_INTEGER, Type.INTEGER);
-            case "string" -> convert(s, args, Type.INTEGER, Op.TO_STRING, Type.STRING);
-            case "length" -> convert(s, args, Type.STRING, Op.LENGTH, Type.INTEGER);
-            case "hash" -> convert(s, args, Type.STRING, Op.HASH, Type.INTEGER);
-            case "lower" -> convert(s, args, Type.STRING, Op.LOWER, Type.STRING);
+            case "decimal" -> convert(s, args, Type.INTEGER, Operator.TO_DECIMAL, Type.DECIMAL);
+            case "integer" -> convert(s, args, Type.DECIMAL, Operator.TO_INTEGER, Type.INTEGER);
+            case "string" -> convert(s, args, Type.INTEGER, Operator.TO_STRING, Type.STRING);
+            case "length" -> convert(s, args, Type.STRING, Operator.LENGTH, Type.INTEGER);
+            case "hash" -> convert(s, args, Type.STRING, Operator.HASH, Type.INTEGER);
+            case "lower" -> convert(s, args, Type.STRING, Operator.LOWER, Type.STRING);
             case "in" -> in(s, args);
-            case "prefix" -> texts.part(s, Op.PREFIX, args);
-            case "suffix" -> texts.part(s, Op.SUFFIX, args);
-            case "contains" -> texts.part(s, Op.CONTAINS, args);
+            case "prefix" -> texts.part(s, Operator.PREFIX, args);
+            case "suffix" -> texts.part(s, Operator.SUFFIX, args);
+            case "contains" -> texts.part(s, Operator.CONTAINS, args);
             case "substring" -> texts.substring(s, args);
             case "concat" -> texts.concat(s, args);
             case "matches" -> texts.matches(s, args);
@@ -63,24 +64,24 @@
     }
 
     /** Wrong number or kind of parts: says how it is written. */
-    Expr shape(Form.Sequence s) {
+    Expression shape(Form.Sequence s) {
         return checker.wrong(
                 s.place(),
                 "expected " + Builtins.form(s.head()) + ", found " + (s.items().size() - 1) + " arguments");
     }
 
     /** A part that must be of one type. */
-    Expr typed(Form f, Type type) {
-        Expr e = checker.convert(checker.value(f), type);
+    Expression typed(Form f, Type type) {
+        Expression e = checker.convert(checker.value(f), type);
         return e.unknown() || e.type == type
                 ? e
                 : checker.wrong(
                         f.place(),
-                        "expected " + Checker.article(type) + ", found " + Checker.article(e.type) + ": " + e);
+                        "expected " + TypeChecker.article(type) + ", found " + TypeChecker.article(e.type) + ": " + e);
     }
 
-    static boolean unknown(Expr... parts) {
-        for (Expr e : parts) {
+    static boolean unknown(Expression... parts) {
+        for (Expression e : parts) {
             if (e.unknown()) {
                 return true;
             }
@@ -88,7 +89,7 @@
         return false;
     }
 
-    private Expr logic(Form.Sequence s, Op op, List<Form> args, int least, int most) {
+    private Expression logic(Form.Sequence s, Operator op, List<Form> args, int least, int most) {
         if (args.size() < least || args.size() > most) {
             return shape(s);
         }
@@ -97,11 +98,11 @@
                     s.place(),
                     "more than " + MOST_PARTS + " parts: literals belong in (in X [...]), the rest in rules");
         }
-        Expr[] parts = args.stream().map(f -> typed(f, Type.BOOLEAN)).toArray(Expr[]::new);
+        Expression[] parts = args.stream().map(f -> typed(f, Type.BOOLEAN)).toArray(Expression[]::new);
         return unknown(parts) ? terms.unknown(s.place()) : terms.make(op, Type.BOOLEAN, s.place(), parts);
     }
 
-    private Expr choice(Form.Sequence s, List<Form> args) {
+    private Expression choice(Form.Sequence s, List<Form> args) {
         if (args.size() != 3) {
             return shape(s);
         }
@@ -109,9 +110,9 @@
                 s.place(), typed(args.get(0), Type.BOOLEAN), checker.value(args.get(1)), checker.value(args.get(2)));
     }
 
-    private Expr choose(Place place, Expr test, Expr then, Expr otherwise) {
-        Expr a = checker.convert(then, otherwise.type);
-        Expr b = checker.convert(otherwise, then.type);
+    private Expression choose(SourcePosition place, Expression test, Expression then, Expression otherwise) {
+        Expression a = checker.convert(then, otherwise.type);
+        Expression b = checker.convert(otherwise, then.type);
         if (unknown(test, a, b)) {
             return terms.unknown(place);
         }
@@ -120,13 +121,13 @@
                     place,
                     a.type == Type.ADDRESS
                             ? "an address can only be compared or looked for in networks"
-                            : "the two values are of different types: " + Checker.article(a.type) + ", "
-                                    + Checker.article(b.type));
+                            : "the two values are of different types: " + TypeChecker.article(a.type) + ", "
+                                    + TypeChecker.article(b.type));
         }
-        return terms.make(Op.IF, a.type, null, Math.max(a.longest, b.longest), place, test, a, b);
+        return terms.make(Operator.IF, a.type, null, Math.max(a.longest, b.longest), place, test, a, b);
     }
 
-    private Expr cond(Form.Sequence s, List<Form> args) {
+    private Expression cond(Form.Sequence s, List<Form> args) {
         List<Form.Sequence> clauses = new ArrayList<>();
         for (Form f : args) {
             if (!(f instanceof Form.Sequence c) || c.square() || c.items().size() != 2) {
@@ -140,20 +141,20 @@
         if (clauses.size() > 200) {
             return checker.wrong(s.place(), "more than 200 clauses: write them as rules");
         }
-        Expr value = checker.value(clauses.get(clauses.size() - 1).items().get(1));
+        Expression value = checker.value(clauses.get(clauses.size() - 1).items().get(1));
         for (int i = clauses.size() - 2; i >= 0; i--) {
             Form.Sequence c = clauses.get(i);
-            Expr test = typed(c.items().get(0), Type.BOOLEAN);
+            Expression test = typed(c.items().get(0), Type.BOOLEAN);
             value = choose(c.place(), test, checker.value(c.items().get(1)), value);
         }
         return value;
     }
 
-    private Expr let(Form.Sequence s, List<Form> args) {
+    private Expression let(Form.Sequence s, List<Form> args) {
         if (args.size() != 2 || !(args.get(0) instanceof Form.Sequence names) || names.square()) {
             return shape(s);
         }
-        Map<String, Expr> scope = new HashMap<>();
+        Map<String, Expression> scope = new HashMap<>();
         for (Form f : names.items()) {
             if (!(f instanceof Form.Sequence one) || one.items().size() != 2 || one.head() == null) {
                 return checker.wrong(f.place(), "expected (NAME VALUE), found " + f.describe());
@@ -165,12 +166,12 @@
         return checker.within(scope, args.get(1));
     }
 
-    private Expr otherwise(Form.Sequence s, List<Form> args) {
+    private Expression otherwise(Form.Sequence s, List<Form> args) {
         if (args.size() != 2) {
             return shape(s);
         }
-        Expr a = checker.check(args.get(0));
-        Expr b = checker.convert(checker.value(args.get(1)), a.type);
+        Expression a = checker.check(args.get(0));
+        Expression b = checker.convert(checker.value(args.get(1)), a.type);
         if (unknown(a, b)) {
             return terms.unknown(s.place());
         }
@@ -179,92 +180,93 @@
         }
         if (a.type != b.type || a.type == Type.ADDRESS) {
             return checker.wrong(
-                    args.get(1).place(), "expected " + Checker.article(a.type) + ", found " + Checker.article(b.type));
+                    args.get(1).place(),
+                    "expected " + TypeChecker.article(a.type) + ", found " + TypeChecker.article(b.type));
         }
-        return terms.make(Op.DEFAULT, a.type, null, Math.max(a.longest, b.longest), s.place(), a, b);
+        return terms.make(Operator.DEFAULT, a.type, null, Math.max(a.longest, b.longest), s.place(), a, b);
     }
 
-    private Expr present(Form.Sequence s, List<Form> args) {
+    private Expression present(Form.Sequence s, List<Form> args) {
         if (args.size() != 1) {
             return shape(s);
         }
-        Expr e = checker.check(args.get(0));
+        Expression e = checker.check(args.get(0));
         if (e.unknown()) {
             return e;
         }
-        return e.op == Op.ATTRIBUTE && e.optional
+        return e.op == Operator.ATTRIBUTE && e.optional
                 ? terms.present((Attribute) e.literal, s.place())
                 : checker.wrong(args.get(0).place(), "expected an attribute that may be missing, found " + e);
     }
 
-    private Expr equal(Form.Sequence s, List<Form> args) {
+    private Expression equal(Form.Sequence s, List<Form> args) {
         if (args.size() != 2) {
             return shape(s);
         }
-        Expr first = checker.value(args.get(0));
-        Expr second = checker.value(args.get(1));
-        Expr a = checker.convert(first, second.type);
-        Expr b = checker.convert(second, first.type);
+        Expression first = checker.value(args.get(0));
+        Expression second = checker.value(args.get(1));
+        Expression a = checker.convert(first, second.type);
+        Expression b = checker.convert(second, first.type);
         if (unknown(a, b)) {
             return terms.unknown(s.place());
         }
         if (a.type != b.type) {
             return checker.wrong(
                     s.place(),
-                    "only values of one type can be equal: " + Checker.article(a.type) + ", "
-                            + Checker.article(b.type));
+                    "only values of one type can be equal: " + TypeChecker.article(a.type) + ", "
+                            + TypeChecker.article(b.type));
         }
-        Expr same = terms.make(Op.EQUAL, Type.BOOLEAN, s.place(), a, b);
-        return s.head().equals("=") ? same : terms.make(Op.NOT, Type.BOOLEAN, s.place(), same);
+        Expression same = terms.make(Operator.EQUAL, Type.BOOLEAN, s.place(), a, b);
+        return s.head().equals("=") ? same : terms.make(Operator.NOT, Type.BOOLEAN, s.place(), same);
     }
 
     /** Two numbers of one type, or null where they are not; what is wrong has been said. */
-    private Expr[] numbers(Form.Sequence s, Form left, Form right) {
+    private Expression[] numbers(Form.Sequence s, Form left, Form right) {
         return numbers(s, checker.value(left), checker.value(right));
     }
 
-    private Expr[] numbers(Form.Sequence s, Expr left, Expr right) {
-        Expr a = checker.convert(left, right.type);
-        Expr b = checker.convert(right, left.type);
+    private Expression[] numbers(Form.Sequence s, Expression left, Expression right) {
+        Expression a = checker.convert(left, right.type);
+        Expression b = checker.convert(right, left.type);
         if (unknown(a, b)) {
             return null;
         }
         if (a.type != b.type || !a.type.number()) {
             checker.wrong(
                     s.place(),
-                    "expected two integers or two decimals, found " + Checker.article(a.type) + " and "
-                            + Checker.article(b.type)
+                    "expected two integers or two decimals, found " + TypeChecker.article(a.type) + " and "
+                            + TypeChecker.article(b.type)
                             + (a.type.number() && b.type.number() ? "; (decimal X) makes an integer one" : ""));
             return null;
         }
-        return new Expr[] {a, b};
+        return new Expression[] {a, b};
     }
 
-    private Expr order(Form.Sequence s, List<Form> args) {
+    private Expression order(Form.Sequence s, List<Form> args) {
         if (args.size() != 2) {
             return shape(s);
         }
-        Expr[] n = numbers(s, args.get(0), args.get(1));
+        Expression[] n = numbers(s, args.get(0), args.get(1));
         if (n == null) {
             return terms.unknown(s.place());
         }
         boolean swapped = s.head().startsWith(">");
-        Op op = s.head().endsWith("=") ? Op.AT_MOST : Op.LESS;
+        Operator op = s.head().endsWith("=") ? Operator.AT_MOST : Operator.LESS;
         return swapped
                 ? terms.make(op, Type.BOOLEAN, s.place(), n[1], n[0])
                 : terms.make(op, Type.BOOLEAN, s.place(), n[0], n[1]);
     }
 
-    private Expr arithmetic(Form.Sequence s, Op op, List<Form> args) {
+    private Expression arithmetic(Form.Sequence s, Operator op, List<Form> args) {
         if (args.size() < 2) {
             return shape(s);
         }
         if (args.size() > 100) {
             return checker.wrong(s.place(), "more than 100 arguments");
         }
-        Expr sum = checker.value(args.get(0));
+        Expression sum = checker.value(args.get(0));
         for (Form f : args.subList(1, args.size())) {
-            Expr[] n = numbers(s, sum, checker.value(f));
+            Expression[] n = numbers(s, sum, checker.value(f));
             if (n == null) {
                 return terms.unknown(s.place());
             }
@@ -273,20 +275,20 @@
         return sum;
     }
 
-    private Expr divide(Form.Sequence s, List<Form> args) {
+    private Expression divide(Form.Sequence s, List<Form> args) {
         boolean modulo = s.head().equals("mod");
         if (args.size() != 2 && args.size() != 3) {
             return shape(s);
         }
-        Expr[] n = numbers(s, args.get(0), args.get(1));
+        Expression[] n = numbers(s, args.get(0), args.get(1));
         if (n == null) {
             return terms.unknown(s.place());
         }
         if (modulo && n[0].type != Type.INTEGER) {
             return checker.wrong(s.place(), "expected two integers, found decimals");
         }
-        Expr zero = terms.literal(n[0].type == Type.INTEGER ? (Object) 0L : (Object) 0.0, s.place());
-        Expr otherwise = args.size() == 3 ? typed(args.get(2), n[0].type) : zero;
+        Expression zero = terms.literal(n[0].type == Type.INTEGER ? (Object) 0L : (Object) 0.0, s.place());
+        Expression otherwise = args.size() == 3 ? typed(args.get(2), n[0].type) : zero;
         if (otherwise.unknown()) {
             return otherwise;
         }
@@ -294,42 +296,43 @@
             return checker.wrong(
                     args.get(1).place(), "the divisor may be 0: say what holds then, (" + s.head() + " A B ELSE)");
         }
-        return terms.make(modulo ? Op.MODULO : Op.DIVIDE, n[0].type, s.place(), n[0], n[1], otherwise);
+        return terms.make(modulo ? Operator.MODULO : Operator.DIVIDE, n[0].type, s.place(), n[0], n[1], otherwise);
     }
 
-    private Expr convert(Form.Sequence s, List<Form> args, Type from, Op op, Type to) {
+    private Expression convert(Form.Sequence s, List<Form> args, Type from, Operator op, Type to) {
         if (args.size() != 1) {
             return shape(s);
         }
         // A literal of the other type is no mistake here: (decimal 2) and (integer 2.5) are what they say.
-        Expr a = typed(args.get(0), from);
+        Expression a = typed(args.get(0), from);
         return a.unknown()
                 ? a
                 : terms.make(
                         op,
                         to,
                         null,
-                        op == Op.LOWER ? a.longest : op == Op.TO_STRING ? LONGEST_NUMBER : 0,
+                        op == Operator.LOWER ? a.longest : op == Operator.TO_STRING ? LONGEST_NUMBER : 0,
                         s.place(),
                         a);
     }
 
-    private Expr in(Form.Sequence s, List<Form> args) {
+    private Expression in(Form.Sequence s, List<Form> args) {
         if (args.size() != 2 || !(args.get(1) instanceof Form.Sequence list) || !list.square()) {
             return shape(s);
         }
-        Expr a = checker.value(args.get(0));
+        Expression a = checker.value(args.get(0));
         if (list.items().size() > MOST_LITERALS) {
             return checker.wrong(list.place(), "more than " + MOST_LITERALS + " literals");
         }
         Set<Object> values = new LinkedHashSet<>();
         boolean sound = !a.unknown();
         for (Form f : list.items()) {
-            Expr e = checker.convert(checker.value(f), a.type);
+            Expression e = checker.convert(checker.value(f), a.type);
             if (e.unknown() || a.unknown()) {
                 sound = false;
             } else if (!e.isLiteral() || e.type != a.type) {
-                checker.wrong(f.place(), "expected " + Checker.article(a.type) + " as it is, found " + f.describe());
+                checker.wrong(
+                        f.place(), "expected " + TypeChecker.article(a.type) + " as it is, found " + f.describe());
                 sound = false;
             } else {
                 values.add(e.literal);
@@ -343,14 +346,14 @@
         }
         return values.isEmpty()
                 ? terms.literal(false, s.place())
-                : terms.make(Op.IN, Type.BOOLEAN, new LiteralSet(a.type, List.copyOf(values)), 0, s.place(), a);
+                : terms.make(Operator.IN, Type.BOOLEAN, new LiteralSet(a.type, List.copyOf(values)), 0, s.place(), a);
     }
 
-    private Expr inNetwork(Form.Sequence s, List<Form> args) {
+    private Expression inNetwork(Form.Sequence s, List<Form> args) {
         if (args.size() != 2) {
             return shape(s);
         }
-        Expr a = typed(args.get(0), Type.ADDRESS);
+        Expression a = typed(args.get(0), Type.ADDRESS);
         List<Network> list = new ArrayList<>();
         boolean sound = !a.unknown();
         for (Form f : args.get(1) instanceof Form.Sequence l && l.square() ? l.items() : List.of(args.get(1))) {
@@ -363,7 +366,7 @@
             list.add(n);
         }
         return sound
-                ? terms.make(Op.IN_NETWORK, Type.BOOLEAN, new Networks(list), 0, s.place(), a)
+                ? terms.make(Operator.IN_NETWORK, Type.BOOLEAN, new Networks(list), 0, s.place(), a)
                 : terms.unknown(s.place());
     }
 }
--- a/node/src/main/java/tulipshed/expression/LiteralSet.java
+++ b/node/src/main/java/tulipshed/expression/LiteralSet.java
@@ -6,8 +6,8 @@
 final class LiteralSet {
     final Type type;
     final List<Object> values;
-    private TextMap texts;
-    private WholeMap wholes;
+    private StringToIntMap texts;
+    private LongToIntMap wholes;
 
     /** Of values that are all different: strings, Longs, Doubles or Booleans. */
     LiteralSet(Type type, List<Object> values) {
@@ -16,8 +16,8 @@
     }
 
     private void fill() {
-        TextMap t = new TextMap();
-        WholeMap w = new WholeMap();
+        StringToIntMap t = new StringToIntMap();
+        LongToIntMap w = new LongToIntMap();
         for (Object v : values) {
             if (v instanceof String s) {
                 t.put(s, 0);
--- a/node/src/main/java/tulipshed/expression/WholeMap.java
+++ b/node/src/main/java/tulipshed/expression/LongToIntMap.java
@@ -1,7 +1,7 @@
 package tulipshed.expression;
 
 /** Whole numbers to numbers of 0 and above; looked up without making anything new. Not changed once it is in use. */
-final class WholeMap {
+final class LongToIntMap {
     private long[] keys = new long[16];
     private int[] values = filled(16);
     private int size;
--- a/node/src/main/java/tulipshed/expression/NumberNodes.java
+++ b/node/src/main/java/tulipshed/expression/NumberNodes.java
@@ -4,12 +4,12 @@
 final class NumberNodes {
     private NumberNodes() {}
 
-    static final class Equal extends Node {
+    static final class Equal extends EvaluationNode {
         private final Type type;
-        private final Node a;
-        private final Node b;
+        private final EvaluationNode a;
+        private final EvaluationNode b;
 
-        Equal(Type type, Node a, Node b) {
+        Equal(Type type, EvaluationNode a, EvaluationNode b) {
             this.type = type;
             this.a = a;
             this.b = b;
@@ -17,7 +17,7 @@
 
         @SuppressWarnings("ShortCircuitBoolean") // both halves are evaluated, so that each counts its cost
         @Override
-        boolean truth(Frame f) {
+        boolean truth(EvaluationFrame f) {
             f.spent++;
             return switch (type) {
                 case BOOLEAN -> a.truth(f) == b.truth(f);
@@ -27,20 +27,20 @@
                 default -> {
                     CharSequence left = a.text(f);
                     CharSequence right = b.text(f);
-                    f.spent += Cost.units(Math.min(left.length(), right.length()));
-                    yield Texts.equal(left, right);
+                    f.spent += CostModel.units(Math.min(left.length(), right.length()));
+                    yield CharSequences.equal(left, right);
                 }
             };
         }
     }
 
-    static final class Less extends Node {
+    static final class Less extends EvaluationNode {
         private final boolean orEqual;
         private final boolean fractions;
-        private final Node a;
-        private final Node b;
+        private final EvaluationNode a;
+        private final EvaluationNode b;
 
-        Less(boolean orEqual, boolean fractions, Node a, Node b) {
+        Less(boolean orEqual, boolean fractions, EvaluationNode a, EvaluationNode b) {
             this.orEqual = orEqual;
             this.fractions = fractions;
             this.a = a;
@@ -48,7 +48,7 @@
         }
 
         @Override
-        boolean truth(Frame f) {
+        boolean truth(EvaluationFrame f) {
             f.spent++;
             if (fractions) {
                 double left = a.fraction(f);
@@ -62,19 +62,19 @@
     }
 
     /** Of two numbers of one type. */
-    static final class Two extends Node {
-        private final Op op;
-        private final Node a;
-        private final Node b;
+    static final class Two extends EvaluationNode {
+        private final Operator op;
+        private final EvaluationNode a;
+        private final EvaluationNode b;
 
-        Two(Op op, Node a, Node b) {
+        Two(Operator op, EvaluationNode a, EvaluationNode b) {
             this.op = op;
             this.a = a;
             this.b = b;
         }
 
         @Override
-        long whole(Frame f) {
+        long whole(EvaluationFrame f) {
             f.spent++;
             long left = a.whole(f);
             long right = b.whole(f);
@@ -88,7 +88,7 @@
         }
 
         @Override
-        double fraction(Frame f) {
+        double fraction(EvaluationFrame f) {
             f.spent++;
             double left = a.fraction(f);
             double right = b.fraction(f);
@@ -103,13 +103,13 @@
     }
 
     /** Division, or what is left of it; the third part is what holds where the divisor is 0. */
-    static final class Divide extends Node {
+    static final class Divide extends EvaluationNode {
         private final boolean modulo;
-        private final Node a;
-        private final Node b;
-        private final Node otherwise;
+        private final EvaluationNode a;
+        private final EvaluationNode b;
+        private final EvaluationNode otherwise;
 
-        Divide(boolean modulo, Node a, Node b, Node otherwise) {
+        Divide(boolean modulo, EvaluationNode a, EvaluationNode b, EvaluationNode otherwise) {
             this.modulo = modulo;
             this.a = a;
             this.b = b;
@@ -117,7 +117,7 @@
         }
 
         @Override
-        long whole(Frame f) {
+        long whole(EvaluationFrame f) {
             f.spent++;
             long divisor = b.whole(f);
             if (divisor == 0) {
@@ -127,49 +127,49 @@
         }
 
         @Override
-        double fraction(Frame f) {
+        double fraction(EvaluationFrame f) {
             f.spent++;
             double divisor = b.fraction(f);
             return divisor == 0 ? otherwise.fraction(f) : a.fraction(f) / divisor;
         }
     }
 
-    static final class Convert extends Node {
-        private final Node a;
+    static final class Convert extends EvaluationNode {
+        private final EvaluationNode a;
 
-        Convert(Node a) {
+        Convert(EvaluationNode a) {
             this.a = a;
         }
 
         @Override
-        long whole(Frame f) {
+        long whole(EvaluationFrame f) {
             f.spent++;
             return (long) a.fraction(f);
         }
 
         @Override
-        double fraction(Frame f) {
+        double fraction(EvaluationFrame f) {
             f.spent++;
             return a.whole(f);
         }
     }
 
-    static final class In extends Node {
-        private final Node a;
+    static final class In extends EvaluationNode {
+        private final EvaluationNode a;
         private final LiteralSet set;
 
-        In(Node a, LiteralSet set) {
+        In(EvaluationNode a, LiteralSet set) {
             this.a = a;
             this.set = set;
         }
 
         @Override
-        boolean truth(Frame f) {
+        boolean truth(EvaluationFrame f) {
             f.spent++;
             return switch (set.type) {
                 case STRING -> {
                     CharSequence s = a.text(f);
-                    f.spent += 2 * Cost.units(s.length());
+                    f.spent += 2 * CostModel.units(s.length());
                     yield set.has(s);
                 }
                 case DECIMAL -> set.has(LiteralSet.bits(a.fraction(f)));
@@ -179,17 +179,17 @@
         }
     }
 
-    static final class InNetwork extends Node {
-        private final Node a;
+    static final class InNetwork extends EvaluationNode {
+        private final EvaluationNode a;
         private final Networks networks;
 
-        InNetwork(Node a, Networks networks) {
+        InNetwork(EvaluationNode a, Networks networks) {
             this.a = a;
             this.networks = networks;
         }
 
         @Override
-        boolean truth(Frame f) {
+        boolean truth(EvaluationFrame f) {
             f.spent += 1 + networks.list().size();
             return networks.contain(a.high(f), a.whole(f));
         }
--- a/node/src/main/java/tulipshed/expression/Op.java
+++ b/node/src/main/java/tulipshed/expression/Operator.java
@@ -1,7 +1,7 @@
 package tulipshed.expression;
 
 /** What a checked expression does. What can be said by others (cond, let, !=, &gt;) has been turned into them. */
-enum Op {
+enum Operator {
     LITERAL(""),
     ATTRIBUTE(""),
     PRESENT("present"),
@@ -39,7 +39,7 @@
     /** What operators write. */
     final String written;
 
-    Op(String written) {
+    Operator(String written) {
         this.written = written;
     }
 }
--- a/node/src/main/java/tulipshed/expression/Program.java
+++ b/node/src/main/java/tulipshed/expression/Program.java
@@ -9,7 +9,7 @@
 
 /**
  * All expressions over one schema, compiled together so that what they have in common is worked out once. Not changed
- * after it is built; each thread needs a {@link Frame} of its own.
+ * after it is built; each thread needs a {@link EvaluationFrame} of its own.
  */
 public final class Program {
     private final int attributes;
@@ -27,22 +27,22 @@
     }
 
     /** Room for the attributes of one transaction at a time. */
-    public Frame frame() {
-        TextBuffer[] texts = new TextBuffer[buffers.length];
+    public EvaluationFrame frame() {
+        ReusableStringBuffer[] texts = new ReusableStringBuffer[buffers.length];
         for (int i = 0; i < texts.length; i++) {
-            texts[i] = new TextBuffer(buffers[i]);
+            texts[i] = new ReusableStringBuffer(buffers[i]);
         }
         Matcher[] matchers = new Matcher[patterns.length];
         for (int i = 0; i < matchers.length; i++) {
             matchers[i] = patterns[i].matcher("");
         }
-        return new Frame(attributes, remembered, texts, matchers, lists);
+        return new EvaluationFrame(attributes, remembered, texts, matchers, lists);
     }
 
     /** Takes expressions and tables of rules, and compiles all of them at its end. */
     public static final class Builder {
         private final Schema schema;
-        private final Map<Expr, Node> nodes = new HashMap<>();
+        private final Map<Expression, EvaluationNode> nodes = new HashMap<>();
         private final List<Integer> buffers = new ArrayList<>();
         private final List<Pattern> patterns = new ArrayList<>();
         private final List<Value> values = new ArrayList<>();
@@ -56,7 +56,7 @@
         }
 
         /** An expression whose value is wanted. */
-        public Value value(Expr e) {
+        public Value value(Expression e) {
             e.uses++;
             Value v = new Value(e);
             values.add(v);
@@ -64,7 +64,7 @@
         }
 
         /** Rules of which the first that holds is wanted. */
-        public RuleTable table(List<Expr> conditions, Terms terms) {
+        public RuleTable table(List<Expression> conditions, ExpressionInterner terms) {
             RuleTable t = new RuleTable(conditions, terms);
             tables.add(t);
             return t;
@@ -83,8 +83,8 @@
             return first;
         }
 
-        Node node(Expr e) {
-            Node known = nodes.get(e);
+        EvaluationNode node(Expression e) {
+            EvaluationNode known = nodes.get(e);
             if (known == null) {
                 known = compiled(e);
                 if (e.remembered()) {
@@ -95,8 +95,8 @@
             return known;
         }
 
-        private Node[] nodes(List<Expr> parts) {
-            Node[] all = new Node[parts.size()];
+        private EvaluationNode[] nodes(List<Expression> parts) {
+            EvaluationNode[] all = new EvaluationNode[parts.size()];
             for (int i = 0; i < all.length; i++) {
                 all[i] = node(parts.get(i));
             }
@@ -108,71 +108,71 @@
             return buffers.size() - 1;
         }
 
-        private Node compiled(Expr e) {
-            Node[] n = nodes(e.args);
+        private EvaluationNode compiled(Expression e) {
+            EvaluationNode[] n = nodes(e.args);
             return switch (e.op) {
                 case LITERAL -> new BasicNodes.Literal(e.literal);
                 case ATTRIBUTE -> new BasicNodes.Get((Attribute) e.literal);
                 case PRESENT -> new BasicNodes.Present((Attribute) e.literal);
                 case DEFAULT -> new BasicNodes.Default(n[0], n[1]);
                 case NOT -> new BasicNodes.Not(n[0]);
-                case AND, OR -> new BasicNodes.Join(n, e.op == Op.OR);
+                case AND, OR -> new BasicNodes.Join(n, e.op == Operator.OR);
                 case IF -> new BasicNodes.If(n[0], n[1], n[2]);
                 case EQUAL -> new NumberNodes.Equal(e.args.get(0).type, n[0], n[1]);
                 case LESS, AT_MOST ->
-                    new NumberNodes.Less(e.op == Op.AT_MOST, e.args.get(0).type == Type.DECIMAL, n[0], n[1]);
+                    new NumberNodes.Less(e.op == Operator.AT_MOST, e.args.get(0).type == Type.DECIMAL, n[0], n[1]);
                 case ADD, SUBTRACT, MULTIPLY, LEAST, MOST -> new NumberNodes.Two(e.op, n[0], n[1]);
-                case DIVIDE, MODULO -> new NumberNodes.Divide(e.op == Op.MODULO, n[0], n[1], n[2]);
+                case DIVIDE, MODULO -> new NumberNodes.Divide(e.op == Operator.MODULO, n[0], n[1], n[2]);
                 case TO_DECIMAL, TO_INTEGER -> new NumberNodes.Convert(n[0]);
-                case TO_STRING -> new TextNodes.Figures(n[0], buffer(e.longest));
+                case TO_STRING -> new StringNodes.Figures(n[0], buffer(e.longest));
                 case IN -> new NumberNodes.In(n[0], (LiteralSet) e.literal);
                 case IN_NETWORK -> new NumberNodes.InNetwork(n[0], (Networks) e.literal);
-                case PREFIX, SUFFIX, CONTAINS -> new TextNodes.Part(e.op, n[0], n[1]);
-                case LENGTH -> new TextNodes.Length(n[0]);
-                case CONCAT -> new TextNodes.Concat(n, buffer(e.longest));
-                case SUBSTRING -> new TextNodes.Substring(n[0], n[1], n[2], buffer(e.longest));
-                case LOWER -> new TextNodes.Lower(n[0], buffer(e.longest));
+                case PREFIX, SUFFIX, CONTAINS -> new StringNodes.Part(e.op, n[0], n[1]);
+                case LENGTH -> new StringNodes.Length(n[0]);
+                case CONCAT -> new StringNodes.Concat(n, buffer(e.longest));
+                case SUBSTRING -> new StringNodes.Substring(n[0], n[1], n[2], buffer(e.longest));
+                case LOWER -> new StringNodes.Lower(n[0], buffer(e.longest));
                 case MATCHES -> {
                     patterns.add(((Matching) e.literal).pattern());
-                    yield new TextNodes.Matches(n[0], (Matching) e.literal, patterns.size() - 1);
+                    yield new StringNodes.Matches(n[0], (Matching) e.literal, patterns.size() - 1);
                 }
-                case HASH -> new TextNodes.Hash(n[0]);
-                case BUCKET -> new TextNodes.Bucket(n[0], (Integer) e.literal);
+                case HASH -> new StringNodes.Hash(n[0]);
+                case BUCKET -> new StringNodes.Bucket(n[0], (Integer) e.literal);
             };
         }
     }
 
     /** One expression, compiled once its program is built. */
     public static final class Value {
-        private final Expr expr;
-        private Node node;
+        private final Expression expr;
+        private EvaluationNode node;
 
-        private Value(Expr expr) {
+        private Value(Expression expr) {
             this.expr = expr;
         }
 
         /** Its value as a boolean. */
-        public boolean truth(Frame f) {
+        public boolean truth(EvaluationFrame f) {
             return node.truth(f);
         }
 
         /** Its value as an integer. */
-        public long whole(Frame f) {
+        public long whole(EvaluationFrame f) {
             return node.whole(f);
         }
 
         /** Its value as a decimal. */
-        public double fraction(Frame f) {
+        public double fraction(EvaluationFrame f) {
             return node.fraction(f);
         }
 
         /** Its value as a string, which holds until the frame begins anew. */
-        public CharSequence text(Frame f) {
+        public CharSequence text(EvaluationFrame f) {
             return node.text(f);
         }
 
         /** Its value as an object: Boolean, Long, Double or String. */
-        public Object boxed(Frame f) {
+        public Object boxed(EvaluationFrame f) {
             return switch (expr.type) {
                 case BOOLEAN -> node.truth(f);
                 case INTEGER -> node.whole(f);
--- a/node/src/main/java/tulipshed/expression/TextBuffer.java
+++ b/node/src/main/java/tulipshed/expression/ReusableStringBuffer.java
@@ -1,15 +1,15 @@
 package tulipshed.expression;
 
 /** A text that is made anew in the same room for each transaction. */
-final class TextBuffer implements CharSequence {
+final class ReusableStringBuffer implements CharSequence {
     private final char[] chars;
     private int length;
 
-    TextBuffer(int longest) {
+    ReusableStringBuffer(int longest) {
         chars = new char[longest];
     }
 
-    TextBuffer clear() {
+    ReusableStringBuffer clear() {
         length = 0;
         return this;
     }
--- a/node/src/main/java/tulipshed/expression/RuleTable.java
+++ b/node/src/main/java/tulipshed/expression/RuleTable.java
@@ -21,23 +21,23 @@
     private static final int[] NONE = {};
 
     private final List<Index> indexes = new ArrayList<>();
-    private final Expr[] left;
+    private final Expression[] left;
     private final int[] unindexed;
-    private Node[] nodes;
+    private EvaluationNode[] nodes;
     private int firstList;
 
     /** One expression compared with literals in many rules. */
     private static final class Index {
-        private final Expr key;
+        private final Expression key;
         private final boolean prefixes;
         private final Map<Object, List<Integer>> rules = new LinkedHashMap<>();
-        private Node node;
+        private EvaluationNode node;
         private int[][] lists;
-        private TextMap texts;
-        private WholeMap wholes;
+        private StringToIntMap texts;
+        private LongToIntMap wholes;
         private int[] lengths;
 
-        Index(Expr key, boolean prefixes) {
+        Index(Expression key, boolean prefixes) {
             this.key = key;
             this.prefixes = prefixes;
         }
@@ -70,8 +70,8 @@
         void compile(Program.Builder b) {
             node = b.node(key);
             lists = new int[rules.size()][];
-            texts = new TextMap();
-            wholes = new WholeMap();
+            texts = new StringToIntMap();
+            wholes = new LongToIntMap();
             int i = 0;
             for (Map.Entry<Object, List<Integer>> e : rules.entrySet()) {
                 lists[i] = e.getValue().stream().mapToInt(Integer::intValue).toArray();
@@ -90,14 +90,14 @@
             }
         }
 
-        int[] find(Frame f) {
+        int[] find(EvaluationFrame f) {
             f.spent++;
             int at;
             if (prefixes) {
                 at = longestPrefix(f, node.text(f));
             } else if (key.type == Type.STRING) {
                 CharSequence s = node.text(f);
-                f.spent += 2 * Cost.units(s.length());
+                f.spent += 2 * CostModel.units(s.length());
                 at = texts.get(s);
             } else {
                 at = wholes.get(
@@ -108,7 +108,7 @@
             return at < 0 ? NONE : lists[at];
         }
 
-        private int longestPrefix(Frame f, CharSequence s) {
+        private int longestPrefix(EvaluationFrame f, CharSequence s) {
             int found = -1;
             int hash = 0;
             int hashed = 0;
@@ -119,7 +119,7 @@
                 for (; hashed < length; hashed++) {
                     hash = 31 * hash + s.charAt(hashed);
                 }
-                f.spent += 1 + 2 * Cost.units(length);
+                f.spent += 1 + 2 * CostModel.units(length);
                 int at = texts.get(s, length, hash);
                 found = at >= 0 ? at : found;
             }
@@ -128,21 +128,21 @@
 
         long lookupBound() {
             if (!prefixes) {
-                return 1 + (key.type == Type.STRING ? 2 * Cost.units(key.longest) : 0);
+                return 1 + (key.type == Type.STRING ? 2 * CostModel.units(key.longest) : 0);
             }
             long sum = 1;
             for (int length : lengths) {
-                sum += length <= key.longest ? 1 + 2 * Cost.units(length) : 0;
+                sum += length <= key.longest ? 1 + 2 * CostModel.units(length) : 0;
             }
             return sum;
         }
     }
 
     /** A part of a rule that a lookup can answer. */
-    private record Part(Expr key, boolean prefix) {}
+    private record Part(Expression key, boolean prefix) {}
 
-    RuleTable(List<Expr> conditions, Terms terms) {
-        left = conditions.toArray(new Expr[0]);
+    RuleTable(List<Expression> conditions, ExpressionInterner terms) {
+        left = conditions.toArray(new Expression[0]);
         Map<Part, Integer> counts = new HashMap<>();
         conditions.forEach(c -> parts(c).forEach(p -> {
             Part part = part(p);
@@ -156,7 +156,7 @@
             if (left[rule].is(false)) {
                 continue;
             }
-            Expr best = best(left[rule], counts, made);
+            Expression best = best(left[rule], counts, made);
             if (best == null) {
                 rest.add(rule);
                 continue;
@@ -166,9 +166,9 @@
             for (Object value : values(best)) {
                 index.add(value, rule);
             }
-            List<Expr> others = new ArrayList<>(parts(left[rule]));
+            List<Expression> others = new ArrayList<>(parts(left[rule]));
             others.remove(best);
-            left[rule] = terms.make(Op.AND, Type.BOOLEAN, left[rule].place, others.toArray(new Expr[0]));
+            left[rule] = terms.make(Operator.AND, Type.BOOLEAN, left[rule].place, others.toArray(new Expression[0]));
         }
         for (Index index : made.values()) {
             if (index.prefixes && !index.mergePrefixes(MOST_REPEATED * conditions.size() + 1000)) {
@@ -188,10 +188,10 @@
         Arrays.stream(left).forEach(e -> e.uses++);
     }
 
-    private static Expr best(Expr condition, Map<Part, Integer> counts, Map<Part, Index> made) {
-        Expr best = null;
+    private static Expression best(Expression condition, Map<Part, Integer> counts, Map<Part, Index> made) {
+        Expression best = null;
         int most = LEAST_RULES - 1;
-        for (Expr p : parts(condition)) {
+        for (Expression p : parts(condition)) {
             Part part = part(p);
             if (part != null && counts.get(part) > most && (made.size() < MOST_INDEXES || made.containsKey(part))) {
                 most = counts.get(part);
@@ -201,11 +201,11 @@
         return best;
     }
 
-    private static List<Expr> parts(Expr condition) {
-        return condition.op == Op.AND ? condition.args : List.of(condition);
+    private static List<Expression> parts(Expression condition) {
+        return condition.op == Operator.AND ? condition.args : List.of(condition);
     }
 
-    private static Part part(Expr e) {
+    private static Part part(Expression e) {
         return switch (e.op) {
             case EQUAL ->
                 e.args.get(0).type == Type.ADDRESS
@@ -222,8 +222,8 @@
         };
     }
 
-    private static List<Object> values(Expr e) {
-        return e.op == Op.IN
+    private static List<Object> values(Expression e) {
+        return e.op == Operator.IN
                 ? ((LiteralSet) e.literal).values
                 : List.of(e.args.get(e.args.get(1).isLiteral() ? 1 : 0).literal);
     }
@@ -231,14 +231,14 @@
     void compile(Program.Builder b) {
         firstList = b.lists(indexes.size() + 1);
         indexes.forEach(i -> i.compile(b));
-        nodes = new Node[left.length];
+        nodes = new EvaluationNode[left.length];
         for (int i = 0; i < left.length; i++) {
             nodes[i] = left[i].is(true) ? null : b.node(left[i]);
         }
     }
 
     /** The number of the first rule that holds, counted from 0, or -1. */
-    public int first(Frame f) {
+    public int first(EvaluationFrame f) {
         int count = indexes.size();
         f.lists[firstList] = unindexed;
         f.cursors[firstList] = 0;
@@ -267,9 +267,9 @@
         }
     }
 
-    /** What finding the rule costs at most, in units of {@link Cost}. */
-    public long bound(Cost cost) {
-        Set<Expr> counted = new HashSet<>();
+    /** What finding the rule costs at most, in units of {@link CostModel}. */
+    public long bound(CostModel cost) {
+        Set<Expression> counted = new HashSet<>();
         long sum = bound(unindexed, cost, counted);
         for (Index index : indexes) {
             sum = Arithmetic.add(sum, index.lookupBound() + cost.bound(index.key, counted));
@@ -282,7 +282,7 @@
         return sum;
     }
 
-    private long bound(int[] rules, Cost cost, Set<Expr> counted) {
+    private long bound(int[] rules, CostModel cost, Set<Expression> counted) {
         long sum = 0;
         for (int rule : rules) {
             sum = Arithmetic.add(sum, 1 + (nodes[rule] == null ? 0 : cost.bound(left[rule], counted)));
--- a/node/src/main/java/tulipshed/expression/TextMap.java
+++ b/node/src/main/java/tulipshed/expression/StringToIntMap.java
@@ -1,14 +1,14 @@
 package tulipshed.expression;
 
 /** Texts to numbers of 0 and above; looked up without making anything new. Not changed once it is in use. */
-final class TextMap {
+final class StringToIntMap {
     private String[] keys = new String[16];
     private int[] values = new int[16];
     private int size;
 
     /** The number of that text, or -1. */
     int get(CharSequence key) {
-        return get(key, key.length(), Texts.hash(key));
+        return get(key, key.length(), CharSequences.hash(key));
     }
 
     /** The number of the first characters of a text, whose hash is known, or -1. */
@@ -18,7 +18,9 @@
             String k = keys[i];
             if (k.hashCode() == hash
                     && k.length() == length
-                    && ((text instanceof String s && s.length() == length) ? k.equals(s) : Texts.at(text, k, 0))) {
+                    && ((text instanceof String s && s.length() == length)
+                            ? k.equals(s)
+                            : CharSequences.at(text, k, 0))) {
                 return values[i];
             }
         }
--- a/node/src/main/java/tulipshed/expression/Checker.java
+++ b/node/src/main/java/tulipshed/expression/TypeChecker.java
@@ -11,46 +11,46 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Place;
-import tulipshed.sexpr.Problems;
-import tulipshed.sexpr.Spelling;
+import tulipshed.sexpr.NameSuggestions;
+import tulipshed.sexpr.SourcePosition;
 
 /**
  * Turns forms into checked expressions. Everything that is wrong is noted with its place, and checking goes on with the
  * rest, so that a file's faults are told together.
  */
-public final class Checker {
+public final class TypeChecker {
     private static final int DEEPEST = 250; // calls of check within each other: what a stack of 512 KB bears many times
     private static final int MOST_TERMS = 120_000; // different expressions; a file that makes more is refused
     private static final int MOST_CALLS = 2_000_000; // of defines with parameters, all in all
 
     private final Schema schema;
-    private Problems problems;
-    private final Terms terms;
+    private Diagnostics problems;
+    private final ExpressionInterner terms;
     private final Map<String, Define> defines = new LinkedHashMap<>();
-    private final Map<Call, Expr> calls = new HashMap<>();
+    private final Map<Call, Expression> calls = new HashMap<>();
     private final Set<String> opened = new LinkedHashSet<>();
-    private final ArrayDeque<Map<String, Expr>> scopes = new ArrayDeque<>();
+    private final ArrayDeque<Map<String, Expression>> scopes = new ArrayDeque<>();
     private final Functions functions;
     private int depth;
     private int work;
 
     /** A name for an expression, or for one with parameters. */
-    private record Define(String name, List<String> parameters, Form body, Place place) {}
+    private record Define(String name, List<String> parameters, Form body, SourcePosition place) {}
 
-    private record Call(String name, List<Expr> args) {}
+    private record Call(String name, List<Expression> args) {}
 
     /** A checker of expressions over a schema; {@code terms} is shared by those that are compiled together. */
-    public Checker(Schema schema, Problems problems) {
+    public TypeChecker(Schema schema, Diagnostics problems) {
         this.schema = schema;
         this.problems = problems;
-        this.terms = new Terms();
+        this.terms = new ExpressionInterner();
         this.functions = new Functions(this, terms);
     }
 
     /** Shared by all expressions that this made. */
-    public Terms terms() {
+    public ExpressionInterner terms() {
         return terms;
     }
 
@@ -90,9 +90,9 @@
     }
 
     /** What is wrong with one define, used or not; one with parameters is checked where it is used. */
-    public Problems faultsOf(String name) {
-        Problems outer = problems;
-        Problems own = new Problems("");
+    public Diagnostics faultsOf(String name) {
+        Diagnostics outer = problems;
+        Diagnostics own = new Diagnostics("");
         Define d = defines.get(name);
         problems = own;
         try {
@@ -111,9 +111,9 @@
     }
 
     /** An expression that must be of that type and never missing; null where something is wrong. */
-    public Expr expect(Form form, Type type) {
+    public Expression expect(Form form, Type type) {
         int before = problems.count();
-        Expr e = convert(present(check(form)), type);
+        Expression e = convert(present(check(form)), type);
         if (!e.unknown() && e.type != type) {
             problems.add(form.place(), "expected " + article(type) + ", found " + article(e.type) + ": " + e);
         }
@@ -121,21 +121,21 @@
     }
 
     /** An expression of whatever type; null where something is wrong. */
-    public Expr any(Form form) {
+    public Expression any(Form form) {
         int before = problems.count();
-        Expr e = present(check(form));
+        Expression e = present(check(form));
         return problems.count() > before || e.unknown() ? null : e;
     }
 
     // ---- What Functions asks ----
 
-    Expr check(Form form) {
+    Expression check(Form form) {
         if (depth >= DEEPEST) {
             return wrong(form.place(), "expressions, with the defines they use, more than " + DEEPEST + " deep");
         }
         depth++;
         try {
-            Expr e = checked(form);
+            Expression e = checked(form);
             if (e.depth > DEEPEST) {
                 return wrong(form.place(), "expressions, with the defines they use, more than " + DEEPEST + " deep");
             }
@@ -149,11 +149,11 @@
     }
 
     /** Checks one that may not be missing. */
-    Expr value(Form form) {
+    Expression value(Form form) {
         return present(check(form));
     }
 
-    Expr wrong(Place place, String why) {
+    Expression wrong(SourcePosition place, String why) {
         problems.add(place, why);
         return terms.unknown(place);
     }
@@ -163,13 +163,13 @@
     }
 
     /** A whole literal stands for a decimal where one is asked for. */
-    Expr convert(Expr e, Type wanted) {
+    Expression convert(Expression e, Type wanted) {
         return wanted == Type.DECIMAL && e.type == Type.INTEGER && e.isLiteral()
                 ? terms.literal((double) (Long) e.literal, e.place)
                 : e;
     }
 
-    Expr within(Map<String, Expr> names, Form body) {
+    Expression within(Map<String, Expression> names, Form body) {
         scopes.push(names);
         try {
             return check(body);
@@ -182,7 +182,7 @@
         return form instanceof Form.Word w && lookUp(w.name()) == null ? schema.get(w.name()) : null;
     }
 
-    private Expr present(Expr e) {
+    private Expression present(Expression e) {
         if (e.optional && !e.unknown()) {
             return wrong(
                     e.place,
@@ -194,14 +194,16 @@
 
     // ---- Forms ----
 
-    private Expr checked(Form form) {
+    private Expression checked(Form form) {
         if (form instanceof Form.Whole w) {
             return terms.literal(w.value(), w.place());
         } else if (form instanceof Form.Fraction f) {
             return terms.literal(f.value(), f.place());
         } else if (form instanceof Form.Text t) {
-            return t.value().length() > Cost.LONGEST_TEXT
-                    ? wrong(t.place(), "a text of " + t.value().length() + " characters; at most " + Cost.LONGEST_TEXT)
+            return t.value().length() > CostModel.LONGEST_TEXT
+                    ? wrong(
+                            t.place(),
+                            "a text of " + t.value().length() + " characters; at most " + CostModel.LONGEST_TEXT)
                     : terms.literal(t.value(), t.place());
         } else if (form instanceof Form.Word w) {
             return word(w);
@@ -230,11 +232,11 @@
         return functions.check(s);
     }
 
-    private Expr word(Form.Word w) {
+    private Expression word(Form.Word w) {
         if (isTruth(w.name())) {
             return terms.literal(w.name().equals("true"), w.place());
         }
-        Expr local = lookUp(w.name());
+        Expression local = lookUp(w.name());
         if (local != null) {
             return local;
         }
@@ -257,28 +259,28 @@
 
     /** The nearest of the names that may stand there; not looked for once no more problems are told, as it takes long. */
     private String hint(String name, Collection<String> names) {
-        if (problems.count() >= Problems.MOST) {
+        if (problems.count() >= Diagnostics.MOST) {
             return "";
         }
         Set<String> known = new LinkedHashSet<>(names);
         known.addAll(List.of("true", "false"));
         known.addAll(defines.keySet());
-        for (Map<String, Expr> scope : scopes) {
+        for (Map<String, Expression> scope : scopes) {
             known.addAll(scope.keySet());
             if (known.remove(null)) {
                 break;
             }
         }
-        return Spelling.hint(name, known);
+        return NameSuggestions.hint(name, known);
     }
 
     private static boolean isTruth(String name) {
         return name.equals("true") || name.equals("false");
     }
 
-    private Expr lookUp(String name) {
-        for (Map<String, Expr> scope : scopes) {
-            Expr e = scope.get(name);
+    private Expression lookUp(String name) {
+        for (Map<String, Expression> scope : scopes) {
+            Expression e = scope.get(name);
             if (e != null) {
                 return e;
             }
@@ -290,24 +292,24 @@
         return null;
     }
 
-    private Expr called(Define d, Form.Sequence s) {
+    private Expression called(Define d, Form.Sequence s) {
         if (s.items().size() - 1 != d.parameters().size()) {
             return wrong(
                     s.place(),
                     "expected " + d.parameters().size() + " arguments of " + d.name() + ", found "
                             + (s.items().size() - 1));
         }
-        List<Expr> args = new ArrayList<>();
+        List<Expression> args = new ArrayList<>();
         for (Form f : s.items().subList(1, s.items().size())) {
             args.add(check(f));
         }
-        return args.stream().anyMatch(Expr::unknown) ? terms.unknown(s.place()) : call(d, args, s.place());
+        return args.stream().anyMatch(Expression::unknown) ? terms.unknown(s.place()) : call(d, args, s.place());
     }
 
     /** The body with its parameters in place; the same call gives the same expression, so calls of calls cost no more. */
-    private Expr call(Define d, List<Expr> args, Place from) {
+    private Expression call(Define d, List<Expression> args, SourcePosition from) {
         Call call = new Call(d.name(), args);
-        Expr known = calls.get(call);
+        Expression known = calls.get(call);
         if (known != null) {
             return known;
         }
@@ -315,12 +317,12 @@
             return wrong(from, d.name() + " is defined by itself: " + String.join(" -> ", opened) + " -> " + d.name());
         }
         work++;
-        Map<String, Expr> names = new HashMap<>();
+        Map<String, Expression> names = new HashMap<>();
         names.put(null, null);
         for (int i = 0; i < args.size(); i++) {
             names.put(d.parameters().get(i), args.get(i));
         }
-        Expr made;
+        Expression made;
         try {
             made = within(names, d.body());
         } finally {
--- a/node/src/main/java/tulipshed/lineprotocol/ClientRequest.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientRequest.java
@@ -4,7 +4,7 @@
 import tulipshed.proxy.ClientConnection;
 import tulipshed.proxy.Request;
 import tulipshed.proxy.UpstreamConnector;
-import tulipshed.routing.Origin;
+import tulipshed.routing.RequestOrigin;
 
 /**
  * The request of one client, from its open command on: registers it with the core, and opens the connections of its
@@ -28,7 +28,7 @@
     }
 
     /** Registers the request of the client's open command with the core. */
-    void start(OpenCommand command, Origin origin) {
+    void start(OpenCommand command, RequestOrigin origin) {
         openCommand = command;
         Request arrived = new Request(
                 responder, this, command.attributes(), origin, context.clock().nowMs(), command.isAdopted());
--- a/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
+++ b/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
@@ -10,7 +10,7 @@
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.ProxyCore;
 import tulipshed.routing.Declarations;
-import tulipshed.routing.Origin;
+import tulipshed.routing.RequestOrigin;
 import tulipshed.time.Clock;
 import tulipshed.transport.ProtocolErrorLog;
 import tulipshed.transport.TcpConnection;
@@ -99,10 +99,10 @@
     }
 
     /** The origin of a request for the operators' rules; unknown if there are none. */
-    Origin origin(TcpConnection client, OpenCommand command) {
+    RequestOrigin origin(TcpConnection client, OpenCommand command) {
         return declarations == null
-                ? Origin.UNKNOWN
-                : Origin.of(NAME, client.remoteAddress(), command.declaredAttributes());
+                ? RequestOrigin.UNKNOWN
+                : RequestOrigin.of(NAME, client.remoteAddress(), command.declaredAttributes());
     }
 
     // ---- Clients ----
--- a/node/src/main/java/tulipshed/operators/CaseTable.java
+++ b/node/src/main/java/tulipshed/operators/CaseTable.java
@@ -13,16 +13,16 @@
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.expression.Network;
-import tulipshed.routing.Classified;
 import tulipshed.routing.Declarations;
-import tulipshed.routing.Origin;
+import tulipshed.routing.RequestAttributes;
+import tulipshed.routing.RequestClassification;
+import tulipshed.routing.RequestOrigin;
+import tulipshed.routing.RequestSchema;
 import tulipshed.routing.Router;
-import tulipshed.routing.Subject;
-import tulipshed.routing.TransactionSchema;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Problems;
+import tulipshed.sexpr.NameSuggestions;
 import tulipshed.sexpr.SexprReader;
-import tulipshed.sexpr.Spelling;
 
 /**
  * Transactions and what each must get:
@@ -47,9 +47,9 @@
         this.file = file;
     }
 
-    /** Reads a table; {@link BadOperatorsFile} tells all that is wrong with it. */
+    /** Reads a table; {@link InvalidOperatorsFileException} tells all that is wrong with it. */
     public static CaseTable read(String file, byte[] bytes) {
-        Problems problems = new Problems(file);
+        Diagnostics problems = new Diagnostics(file);
         CaseTable table = new CaseTable(file);
         for (Form f : SexprReader.read(bytes, OperatorsFile.BOUNDS, problems)) {
             String head = f instanceof Form.Sequence s ? s.head() : null;
@@ -63,12 +63,12 @@
             }
         }
         if (!problems.none()) {
-            throw new BadOperatorsFile(problems);
+            throw new InvalidOperatorsFileException(problems);
         }
         return table;
     }
 
-    private void readMember(Form form, Problems problems) {
+    private void readMember(Form form, Diagnostics problems) {
         if (!(form instanceof Form.Sequence s)
                 || s.square()
                 || s.items().isEmpty()
@@ -76,7 +76,7 @@
             problems.add(form.place(), "expected (\"ID\" (zone \"Z\") ...), found " + form.describe());
             return;
         }
-        Fields f = new Fields(s, 1, MEMBER_FIELDS, problems);
+        SectionFields f = new SectionFields(s, 1, MEMBER_FIELDS, problems);
         double weight = 1;
         if (f.has("weight")) {
             Form w = f.value("weight");
@@ -97,9 +97,9 @@
                 0));
     }
 
-    private void readCase(Form.Sequence s, Problems problems) {
-        String name = s.items().size() < 2 ? null : Fields.name(s.items().get(1), problems);
-        Fields f = new Fields(s, 2, new LinkedHashSet<>(List.of("given", "expect")), problems);
+    private void readCase(Form.Sequence s, Diagnostics problems) {
+        String name = s.items().size() < 2 ? null : SectionFields.name(s.items().get(1), problems);
+        SectionFields f = new SectionFields(s, 2, new LinkedHashSet<>(List.of("given", "expect")), problems);
         if (name == null || !f.has("given") || !f.has("expect")) {
             problems.add(s.place(), "expected (case NAME (given ...) (expect ...))");
             return;
@@ -119,7 +119,7 @@
                 problems.add(
                         e.place(),
                         "expected one of " + String.join(", ", EXPECTED) + ", found " + what
-                                + Spelling.hint(what, EXPECTED));
+                                + NameSuggestions.hint(what, EXPECTED));
             } else if (what != null) {
                 expected.put(what, String.valueOf(value));
             }
@@ -127,7 +127,7 @@
         cases.add(new Case(s, name, given, expected));
     }
 
-    private static Object pair(Form form, Problems problems) {
+    private static Object pair(Form form, Diagnostics problems) {
         if (form instanceof Form.Sequence s && s.head() != null && s.items().size() == 2) {
             Form v = s.items().get(1);
             if (v instanceof Form.Text t) {
@@ -199,25 +199,25 @@
                 : !names.tenantNames().contains(String.valueOf(tenant))) {
             return "the settings have no tenant " + tenant;
         }
-        Collection<String> known = TransactionSchema.names(router == null ? Declarations.NONE : router.declarations());
+        Collection<String> known = RequestSchema.names(router == null ? Declarations.NONE : router.declarations());
         for (String name : c.given().keySet()) {
             if (!known.contains(name)) {
-                return "a transaction has no " + name + Spelling.hint(name, known);
+                return "a transaction has no " + name + NameSuggestions.hint(name, known);
             }
         }
         return null;
     }
 
-    private static Subject subject(Case c) {
+    private static RequestAttributes subject(Case c) {
         Map<String, Object> g = c.given();
         Network source = Network.parse(String.valueOf(g.getOrDefault("source-address", "127.0.0.1")));
         Map<String, Object> figures = new HashMap<>(g);
-        Origin origin = new Origin(
+        RequestOrigin origin = new RequestOrigin(
                 String.valueOf(g.getOrDefault("front", "line")),
                 source == null ? 0 : source.high(),
                 source == null ? 0 : source.low(),
                 figures);
-        return new Subject(
+        return new RequestAttributes(
                 String.valueOf(g.get("class")),
                 (String) g.get("tenant"),
                 String.valueOf(g.getOrDefault("key", "")),
@@ -229,9 +229,10 @@
                 origin);
     }
 
-    private static Map<String, String> got(Subject s, Router router) {
+    private static Map<String, String> got(RequestAttributes s, Router router) {
         Map<String, String> got = new HashMap<>();
-        Classified c = router == null ? new Classified(s.className(), s.tenant(), s.group()) : router.classify(s);
+        RequestClassification c =
+                router == null ? new RequestClassification(s.className(), s.tenant(), s.group()) : router.classify(s);
         got.put("class", c.className());
         got.put("tenant", c.tenant());
         got.put("group", c.group());
--- a/node/src/main/java/tulipshed/operators/CostCheck.java
+++ b/node/src/main/java/tulipshed/operators/CostCheck.java
@@ -1,36 +1,36 @@
 package tulipshed.operators;
 
-import tulipshed.expression.Cost;
-import tulipshed.expression.Expr;
-import tulipshed.sexpr.Place;
-import tulipshed.sexpr.Problems;
+import tulipshed.expression.CostModel;
+import tulipshed.expression.Expression;
+import tulipshed.sexpr.Diagnostics;
+import tulipshed.sexpr.SourcePosition;
 
 /** Holds expressions to the file's max-cost. */
 final class CostCheck {
     private final long most;
-    private final Problems problems;
-    private final Cost cost = new Cost();
+    private final Diagnostics problems;
+    private final CostModel cost = new CostModel();
     private long dearest;
     private String dearestName = "";
 
-    CostCheck(long most, Problems problems) {
+    CostCheck(long most, Diagnostics problems) {
         this.most = most;
         this.problems = problems;
     }
 
-    Cost cost() {
+    CostModel cost() {
         return cost;
     }
 
     /** The bound of one expression; where it is over the most, the part that adds most is noted. */
-    long check(String name, Expr e) {
+    long check(String name, Expression e) {
         long bound = cost.bound(e);
         if (bound > dearest) {
             dearest = bound;
             dearestName = name;
         }
         if (bound > most) {
-            Expr part = Cost.dearest(e);
+            Expression part = CostModel.dearest(e);
             problems.add(
                     part.place(),
                     "this may cost " + bound + " in all, over the max-cost of " + most + "; most of it is " + part);
@@ -39,7 +39,7 @@
     }
 
     /** What all of it together costs a transaction. */
-    void total(String what, long bound, Place place) {
+    void total(String what, long bound, SourcePosition place) {
         if (bound > most && dearest <= most) {
             problems.add(
                     place,
--- a/node/src/main/java/tulipshed/operators/BadOperatorsFile.java
+++ b/node/src/main/java/tulipshed/operators/InvalidOperatorsFileException.java
@@ -1,14 +1,14 @@
 package tulipshed.operators;
 
 import tulipshed.config.MalformedInputException;
-import tulipshed.sexpr.Problems;
+import tulipshed.sexpr.Diagnostics;
 
 /** An operators' file that is not taken; it carries all that is wrong with it. */
-public final class BadOperatorsFile extends MalformedInputException {
+public final class InvalidOperatorsFileException extends MalformedInputException {
     private static final long serialVersionUID = 1L;
-    private final transient Problems problems;
+    private final transient Diagnostics problems;
 
-    BadOperatorsFile(Problems problems) {
+    InvalidOperatorsFileException(Diagnostics problems) {
         // At a start all of it stands on one line.
         super(problems.toString().replace("\n", "; "));
         this.problems = problems;
--- a/node/src/main/java/tulipshed/operators/OperatorsFile.java
+++ b/node/src/main/java/tulipshed/operators/OperatorsFile.java
@@ -7,8 +7,8 @@
 import tulipshed.config.MalformedInputException;
 import tulipshed.config.NameIndex;
 import tulipshed.routing.Router;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Problems;
 import tulipshed.sexpr.SexprReader;
 
 /**
@@ -25,7 +25,7 @@
     /** What no file says. */
     public static final OperatorsFile EMPTY = new OperatorsFile(null, null, new Explanation());
 
-    /** Reads a file against the names of the settings; {@link BadOperatorsFile} tells all that is wrong with it. */
+    /** Reads a file against the names of the settings; {@link InvalidOperatorsFileException} tells all that is wrong with it. */
     public static OperatorsFile load(Path file, NameIndex names) {
         byte[] bytes;
         try {
@@ -43,11 +43,11 @@
 
     /** Reads the bytes of a file that errors call by that name. */
     public static OperatorsFile read(String name, byte[] bytes, NameIndex names) {
-        Problems problems = new Problems(name);
+        Diagnostics problems = new Diagnostics(name);
         List<Form> forms = SexprReader.read(bytes, BOUNDS, problems);
         OperatorsFile file = problems.none() ? new SectionReader(names, problems).read(forms) : null;
         if (!problems.none()) {
-            throw new BadOperatorsFile(problems);
+            throw new InvalidOperatorsFileException(problems);
         }
         return file;
     }
--- a/node/src/main/java/tulipshed/operators/PoolReader.java
+++ b/node/src/main/java/tulipshed/operators/PoolReader.java
@@ -4,27 +4,28 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tulipshed.expression.Checker;
-import tulipshed.expression.Expr;
+import tulipshed.expression.Expression;
 import tulipshed.expression.Program;
 import tulipshed.expression.Type;
-import tulipshed.routing.MemberPools;
-import tulipshed.routing.MemberSchema;
+import tulipshed.expression.TypeChecker;
+import tulipshed.routing.EndpointSchema;
+import tulipshed.routing.PoolMembership;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Problems;
 
 /** Reads {@code (pool NAME (where EXPR))}, of which there may be many. */
 final class PoolReader {
     private static final int MOST_POOLS = 64;
 
-    private final MemberSchema schema;
-    private final Checker checker;
+    private final EndpointSchema schema;
+    private final TypeChecker checker;
     private final CostCheck costs;
-    private final Problems problems;
+    private final Diagnostics problems;
     private final Explanation explanation;
-    private final Map<String, Expr> conditions = new LinkedHashMap<>();
+    private final Map<String, Expression> conditions = new LinkedHashMap<>();
 
-    PoolReader(MemberSchema schema, Checker checker, long maxCost, Problems problems, Explanation explanation) {
+    PoolReader(
+            EndpointSchema schema, TypeChecker checker, long maxCost, Diagnostics problems, Explanation explanation) {
         this.schema = schema;
         this.checker = checker;
         this.problems = problems;
@@ -37,7 +38,7 @@
         return conditions.keySet();
     }
 
-    MemberPools read(List<Form.Sequence> sections) {
+    PoolMembership read(List<Form.Sequence> sections) {
         int before = problems.count();
         sections.forEach(this::pool);
         if (conditions.size() > MOST_POOLS) {
@@ -53,11 +54,11 @@
         conditions.forEach((name, e) -> explanation.add("pool " + name + ": where " + e + " (boolean, cost at most "
                 + costs.check(name, e) + " a member when the list changes)"));
         boolean ages = conditions.values().stream().anyMatch(e -> e.asks("member.age-ms"));
-        return problems.count() > before ? null : new MemberPools(schema, values, ages, program);
+        return problems.count() > before ? null : new PoolMembership(schema, values, ages, program);
     }
 
     private void pool(Form.Sequence s) {
-        String name = s.items().size() < 2 ? null : Fields.name(s.items().get(1), problems);
+        String name = s.items().size() < 2 ? null : SectionFields.name(s.items().get(1), problems);
         if (name == null) {
             problems.add(s.place(), "expected (pool NAME (where EXPRESSION))");
             return;
@@ -65,7 +66,7 @@
         if (conditions.containsKey(name)) {
             problems.add(s.place(), "another pool is called " + name + " already");
         }
-        Fields f = new Fields(s, 2, Set.of("where"), problems);
+        SectionFields f = new SectionFields(s, 2, Set.of("where"), problems);
         Form where = f.value("where");
         conditions.put(name, where == null ? null : checker.expect(where, Type.BOOLEAN));
     }
--- a/node/src/main/java/tulipshed/operators/QuicSection.java
+++ b/node/src/main/java/tulipshed/operators/QuicSection.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 import tulipshed.config.NameIndex;
 import tulipshed.connectionid.ServerIds;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Problems;
 
 /**
  * What the operators' file says of the second front: where it listens, what a connection asks for unless rules say
@@ -69,7 +69,7 @@
     public record Retry(Map<Integer, byte[]> keys, int use, double expiresMs, int on, int off, double stayMs) {}
 
     /** Reads {@code (quic ...)}; null where something is wrong, which is noted. */
-    static QuicSection read(Form.Sequence section, NameIndex names, Problems problems) {
+    static QuicSection read(Form.Sequence section, NameIndex names, Diagnostics problems) {
         int before = problems.count();
         List<Form> others = new ArrayList<>();
         List<Ids> ids = new ArrayList<>();
@@ -88,7 +88,7 @@
         if (ids.isEmpty()) {
             problems.add(section.place(), "expected (ids ...) in (quic ...)");
         }
-        Fields f = new Fields(new Form.Sequence(others, false, section.place()), 1, FIELDS, problems);
+        SectionFields f = new SectionFields(new Form.Sequence(others, false, section.place()), 1, FIELDS, problems);
         InetSocketAddress listen = f.address("listen");
         InetSocketAddress preferred = f.has("preferred-address") ? f.address("preferred-address") : null;
         String requestClass = f.oneOf("class", names.classNames());
@@ -108,8 +108,8 @@
                         listen, preferred, requestClass, tenant, deadlineMs, List.copyOf(ids), resetKey, retry);
     }
 
-    private static Ids ids(Form.Sequence s, Problems problems) {
-        Fields f = new Fields(s, 1, IDS_FIELDS, problems);
+    private static Ids ids(Form.Sequence s, Diagnostics problems) {
+        SectionFields f = new SectionFields(s, 1, IDS_FIELDS, problems);
         int configuration = (int) f.whole("configuration", 0, 6, 0);
         // QUIC-LB section 5: a server id of 1 to 15 bytes, a nonce of 4 to 18, 19 together at most.
         int serverBytes = (int) f.whole("server-id-bytes", 1, 15, 1);
@@ -139,7 +139,7 @@
                 problems.add(item.place(), "expected (\"MEMBER\" \"SERVER ID\"), found " + item.describe());
                 continue;
             }
-            byte[] bytes = Fields.hex(id.value(), id.place(), problems);
+            byte[] bytes = SectionFields.hex(id.value(), id.place(), problems);
             if (bytes != null && bytes.length != serverBytes) {
                 problems.add(id.place(), "expected a server id of " + serverBytes + " bytes, found " + bytes.length);
             } else if (bytes != null && servers.put(HexFormat.of().formatHex(bytes), member.value()) != null) {
@@ -149,7 +149,7 @@
         return new Ids(configuration, serverBytes, nonceBytes, connectionBytes, key, servers);
     }
 
-    private static byte[] key(byte[] key, Form at, Problems problems) {
+    private static byte[] key(byte[] key, Form at, Diagnostics problems) {
         if (key != null && key.length != KEY_BYTES) {
             problems.add(at.place(), "expected a key of " + KEY_BYTES + " bytes, found " + key.length);
         }
@@ -157,7 +157,7 @@
     }
 
     /** {@code (retry (key NUMBER "HEX") ... (use NUMBER) (expires-ms N) (on N) (off N) (stay-ms N))}. */
-    private static Retry retry(Form.Sequence section, Problems problems) {
+    private static Retry retry(Form.Sequence section, Diagnostics problems) {
         Map<Integer, byte[]> keys = new TreeMap<>();
         List<Form> others = new ArrayList<>();
         for (Form f : section.items()) {
@@ -169,12 +169,15 @@
                     || n.value() > 255
                     || !(s.items().get(2) instanceof Form.Text text)) {
                 problems.add(s.place(), "expected (key NUMBER \"HEX\") with a number from 0 to 255");
-            } else if (keys.put((int) n.value(), key(Fields.hex(text.value(), text.place(), problems), text, problems))
+            } else if (keys.put(
+                            (int) n.value(),
+                            key(SectionFields.hex(text.value(), text.place(), problems), text, problems))
                     != null) {
                 problems.add(s.place(), "key " + n.value() + " stands twice");
             }
         }
-        Fields f = new Fields(new Form.Sequence(others, false, section.place()), 1, RETRY_FIELDS, problems);
+        SectionFields f =
+                new SectionFields(new Form.Sequence(others, false, section.place()), 1, RETRY_FIELDS, problems);
         int use = (int) f.whole("use", 0, 255, 0);
         if (!keys.containsKey(use)) {
             problems.add(f.place("use"), "there is no (key " + use + " ...)");
--- a/node/src/main/java/tulipshed/operators/RouteReader.java
+++ b/node/src/main/java/tulipshed/operators/RouteReader.java
@@ -5,18 +5,18 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import tulipshed.expression.Checker;
-import tulipshed.expression.Expr;
+import tulipshed.expression.Expression;
 import tulipshed.expression.Program;
 import tulipshed.expression.RuleTable;
 import tulipshed.expression.Type;
+import tulipshed.expression.TypeChecker;
+import tulipshed.routing.PoolTarget;
+import tulipshed.routing.RequestSchema;
 import tulipshed.routing.Routes;
-import tulipshed.routing.Target;
-import tulipshed.routing.TransactionSchema;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Place;
-import tulipshed.sexpr.Problems;
-import tulipshed.sexpr.Spelling;
+import tulipshed.sexpr.NameSuggestions;
+import tulipshed.sexpr.SourcePosition;
 
 /**
  * Reads {@code (route NAME (when EXPR) (to TARGET ...))} and {@code (route NAME (when EXPR) (split EXPR (WEIGHT TARGET ...)
@@ -27,21 +27,22 @@
     private static final Set<String> TARGET_FIELDS = new LinkedHashSet<>(List.of("below", "back"));
     private static final int MOST_WEIGHT = 1_000_000;
 
-    private final TransactionSchema schema;
-    private final Checker checker;
+    private final RequestSchema schema;
+    private final TypeChecker checker;
     private final long maxCost;
     private final Set<String> pools;
-    private final Problems problems;
+    private final Diagnostics problems;
     private final Explanation explanation;
 
-    private record Read(String name, Expr when, Expr share, List<Integer> weights, List<List<Target>> branches) {}
+    private record Read(
+            String name, Expression when, Expression share, List<Integer> weights, List<List<PoolTarget>> branches) {}
 
     RouteReader(
-            TransactionSchema schema,
-            Checker checker,
+            RequestSchema schema,
+            TypeChecker checker,
             long maxCost,
             Set<String> pools,
-            Problems problems,
+            Diagnostics problems,
             Explanation explanation) {
         this.schema = schema;
         this.checker = checker;
@@ -77,7 +78,7 @@
     }
 
     private Read route(Form.Sequence s, Set<String> seen) {
-        String name = s.items().size() < 2 ? null : Fields.name(s.items().get(1), problems);
+        String name = s.items().size() < 2 ? null : SectionFields.name(s.items().get(1), problems);
         if (name == null) {
             problems.add(s.place(), "expected (route NAME (when EXPRESSION) (to POOL ...))");
             return null;
@@ -85,16 +86,16 @@
         if (!seen.add(name)) {
             problems.add(s.place(), "another route is called " + name + " already");
         }
-        Fields f = new Fields(s, 2, FIELDS, problems);
+        SectionFields f = new SectionFields(s, 2, FIELDS, problems);
         Form when = f.has("when") ? f.value("when") : new Form.Word("true", s.place());
-        Expr condition = when == null ? null : checker.expect(when, Type.BOOLEAN);
+        Expression condition = when == null ? null : checker.expect(when, Type.BOOLEAN);
         if (f.has("to") == f.has("split")) {
             problems.add(s.place(), "expected either (to POOL ...) or (split EXPRESSION (WEIGHT POOL ...) ...)");
             return null;
         }
         List<Integer> weights = new ArrayList<>();
-        List<List<Target>> branches = new ArrayList<>();
-        Expr share = null;
+        List<List<PoolTarget>> branches = new ArrayList<>();
+        Expression share = null;
         if (f.has("to")) {
             weights.add(1);
             branches.add(targets(f.items("to"), f.place("to")));
@@ -108,7 +109,7 @@
         return sound ? new Read(name, condition, share, weights, branches) : null;
     }
 
-    private Expr split(Form.Sequence s, List<Integer> weights, List<List<Target>> branches) {
+    private Expression split(Form.Sequence s, List<Integer> weights, List<List<PoolTarget>> branches) {
         if (s.items().size() < 3) {
             problems.add(s.place(), "expected (split EXPRESSION (WEIGHT POOL ...) ...)");
             return null;
@@ -136,7 +137,7 @@
             return null;
         }
         // The share of a text is the one that (bucket TEXT SUM) gives.
-        Place place = s.items().get(1).place();
+        SourcePosition place = s.items().get(1).place();
         return checker.expect(
                 new Form.Sequence(
                         List.of(new Form.Word("bucket", place), s.items().get(1), new Form.Whole(sum, place)),
@@ -145,8 +146,8 @@
                 Type.INTEGER);
     }
 
-    private List<Target> targets(List<Form> items, Place place) {
-        List<Target> targets = new ArrayList<>();
+    private List<PoolTarget> targets(List<Form> items, SourcePosition place) {
+        List<PoolTarget> targets = new ArrayList<>();
         for (Form f : items) {
             boolean bare = !(f instanceof Form.Sequence);
             Form.Sequence s = bare ? null : (Form.Sequence) f;
@@ -154,18 +155,18 @@
                 problems.add(f.place(), "expected a pool, found " + f.describe());
                 continue;
             }
-            String pool = Fields.name(bare ? f : s.items().get(0), problems);
+            String pool = SectionFields.name(bare ? f : s.items().get(0), problems);
             if (pool != null && !pools.contains(pool)) {
-                problems.add(f.place(), "unknown pool " + pool + Spelling.hint(pool, pools));
+                problems.add(f.place(), "unknown pool " + pool + NameSuggestions.hint(pool, pools));
             }
             double below = 0;
             double back = 0;
             if (!bare) {
-                Fields fields = new Fields(s, 1, TARGET_FIELDS, problems);
+                SectionFields fields = new SectionFields(s, 1, TARGET_FIELDS, problems);
                 Form b = fields.value("below");
                 Form k = fields.value("back");
-                below = b == null ? 0 : Fields.share(b, problems);
-                back = k == null ? 1 : Fields.share(k, problems);
+                below = b == null ? 0 : SectionFields.share(b, problems);
+                back = k == null ? 1 : SectionFields.share(k, problems);
                 if (back < below) {
                     problems.add(
                             fields.place("back"),
@@ -173,7 +174,7 @@
                 }
             }
             if (pool != null) {
-                targets.add(new Target(pool, below, back));
+                targets.add(new PoolTarget(pool, below, back));
             }
         }
         if (items.isEmpty()) {
@@ -183,7 +184,7 @@
     }
 
     @SuppressWarnings("ReferenceEquality") // compares with the first element itself
-    private void explain(Place place, List<Read> routes, RuleTable table) {
+    private void explain(SourcePosition place, List<Read> routes, RuleTable table) {
         CostCheck costs = new CostCheck(maxCost, problems);
         List<String> lines = new ArrayList<>();
         long dearestShare = 0;
@@ -194,7 +195,7 @@
             for (int i = 0; i < r.branches().size(); i++) {
                 to.append(i == 0 ? "" : "; ")
                         .append(r.share() == null ? "" : r.weights().get(i) + " ");
-                for (Target t : r.branches().get(i)) {
+                for (PoolTarget t : r.branches().get(i)) {
                     to.append(t == r.branches().get(i).get(0) ? "" : ", else ").append(t.pool());
                     to.append(t.back() > 0 ? " (passed over below " + t.below() + ", back at " + t.back() + ")" : "");
                 }
--- a/node/src/main/java/tulipshed/operators/RuleReader.java
+++ b/node/src/main/java/tulipshed/operators/RuleReader.java
@@ -6,35 +6,35 @@
 import java.util.List;
 import java.util.Set;
 import tulipshed.config.NameIndex;
-import tulipshed.expression.Checker;
-import tulipshed.expression.Expr;
+import tulipshed.expression.Expression;
 import tulipshed.expression.Program;
 import tulipshed.expression.RuleTable;
 import tulipshed.expression.Type;
-import tulipshed.routing.Classification;
-import tulipshed.routing.TransactionSchema;
+import tulipshed.expression.TypeChecker;
+import tulipshed.routing.ClassificationRules;
+import tulipshed.routing.RequestSchema;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Problems;
 
 /** Reads {@code (classify (rule NAME (when EXPR) (class "C") (tenant "T") (group EXPR)) ...)}. */
 final class RuleReader {
     private static final Set<String> FIELDS = new LinkedHashSet<>(List.of("when", "class", "tenant", "group"));
 
     private final NameIndex names;
-    private final TransactionSchema schema;
-    private final Checker checker;
+    private final RequestSchema schema;
+    private final TypeChecker checker;
     private final long maxCost;
-    private final Problems problems;
+    private final Diagnostics problems;
     private final Explanation explanation;
 
-    private record Read(String name, Expr when, String className, String tenant, Expr group) {}
+    private record Read(String name, Expression when, String className, String tenant, Expression group) {}
 
     RuleReader(
             NameIndex names,
-            TransactionSchema schema,
-            Checker checker,
+            RequestSchema schema,
+            TypeChecker checker,
             long maxCost,
-            Problems problems,
+            Diagnostics problems,
             Explanation explanation) {
         this.names = names;
         this.schema = schema;
@@ -45,7 +45,7 @@
     }
 
     /** What the section says, or null where something is wrong. */
-    Classification read(Form.Sequence section) {
+    ClassificationRules read(Form.Sequence section) {
         int before = problems.count();
         List<Read> rules = new ArrayList<>();
         Set<String> seen = new HashSet<>();
@@ -60,14 +60,14 @@
         }
         Program.Builder builder = new Program.Builder(schema.schema());
         RuleTable table = builder.table(rules.stream().map(Read::when).toList(), checker.terms());
-        List<Classification.Rule> made = new ArrayList<>();
+        List<ClassificationRules.Rule> made = new ArrayList<>();
         for (Read r : rules) {
-            made.add(new Classification.Rule(
+            made.add(new ClassificationRules.Rule(
                     r.name(), r.className(), r.tenant(), r.group() == null ? null : builder.value(r.group())));
         }
         Program program = builder.build();
         explain(section, rules, table);
-        return problems.count() > before ? null : new Classification(schema, made, table, program);
+        return problems.count() > before ? null : new ClassificationRules(schema, made, table, program);
     }
 
     private Read rule(Form form, Set<String> seen) {
@@ -77,17 +77,17 @@
             problems.add(form.place(), "expected (rule NAME (when EXPRESSION) ...), found " + form.describe());
             return null;
         }
-        String name = Fields.name(s.items().get(1), problems);
+        String name = SectionFields.name(s.items().get(1), problems);
         if (name != null && !seen.add(name)) {
             problems.add(s.place(), "another rule is called " + name + " already");
         }
-        Fields f = new Fields(s, 2, FIELDS, problems);
+        SectionFields f = new SectionFields(s, 2, FIELDS, problems);
         Form when = f.value("when");
-        Expr condition = when == null ? null : checker.expect(when, Type.BOOLEAN);
+        Expression condition = when == null ? null : checker.expect(when, Type.BOOLEAN);
         String className = f.has("class") ? f.oneOf("class", names.classNames()) : null;
         String tenant = f.has("tenant") ? f.oneOf("tenant", names.tenantNames()) : null;
         Form group = f.has("group") ? f.value("group") : null;
-        Expr computed = group == null ? null : checker.expect(group, Type.STRING);
+        Expression computed = group == null ? null : checker.expect(group, Type.STRING);
         if (!f.has("class") && !f.has("tenant") && !f.has("group")) {
             problems.add(s.place(), "expected a class, a tenant or a group that the rule gives");
         }
--- a/node/src/main/java/tulipshed/operators/Fields.java
+++ b/node/src/main/java/tulipshed/operators/SectionFields.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 import tulipshed.config.MalformedInputException;
 import tulipshed.config.NodeConfig;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Place;
-import tulipshed.sexpr.Problems;
-import tulipshed.sexpr.Spelling;
+import tulipshed.sexpr.NameSuggestions;
+import tulipshed.sexpr.SourcePosition;
 
 /** The named parts of a section, {@code (NAME VALUE ...)} each; what is unknown, twice or missing is noted. */
-final class Fields {
+final class SectionFields {
     private final Form.Sequence section;
-    private final Problems problems;
+    private final Diagnostics problems;
     private final Map<String, Form.Sequence> byName = new LinkedHashMap<>();
 
     /** Those of a section from its {@code first} item on. */
-    Fields(Form.Sequence section, int first, Set<String> allowed, Problems problems) {
+    SectionFields(Form.Sequence section, int first, Set<String> allowed, Diagnostics problems) {
         this.section = section;
         this.problems = problems;
         for (Form f : section.items()
@@ -34,7 +34,7 @@
                 problems.add(
                         s.place(),
                         "expected one of " + String.join(", ", allowed) + ", found " + s.head()
-                                + Spelling.hint(s.head(), allowed));
+                                + NameSuggestions.hint(s.head(), allowed));
             } else if (byName.putIfAbsent(s.head(), s) != null) {
                 problems.add(
                         s.place(),
@@ -53,7 +53,7 @@
         return byName.get(name);
     }
 
-    Place place(String name) {
+    SourcePosition place(String name) {
         return has(name) ? byName.get(name).place() : section.place();
     }
 
@@ -101,7 +101,7 @@
         if (text != null && !known.contains(text)) {
             problems.add(
                     value(name).place(),
-                    "expected a " + name + " of the settings, found " + text + Spelling.hint(text, known));
+                    "expected a " + name + " of the settings, found " + text + NameSuggestions.hint(text, known));
             return null;
         }
         return text;
@@ -112,7 +112,7 @@
         return text == null ? null : hex(text, value(name).place(), problems);
     }
 
-    static byte[] hex(String text, Place place, Problems problems) {
+    static byte[] hex(String text, SourcePosition place, Diagnostics problems) {
         try {
             return HexFormat.of().parseHex(text);
         } catch (IllegalArgumentException e) {
@@ -132,7 +132,7 @@
     }
 
     /** A name: a word or a text; null, noted, where it is neither. */
-    static String name(Form f, Problems problems) {
+    static String name(Form f, Diagnostics problems) {
         if (f instanceof Form.Word w) {
             return w.name();
         } else if (f instanceof Form.Text t && !t.value().isEmpty()) {
@@ -143,7 +143,7 @@
     }
 
     /** A share from 0 to 1; NaN, noted, where it is none. */
-    static double share(Form f, Problems problems) {
+    static double share(Form f, Diagnostics problems) {
         double value = f instanceof Form.Fraction x ? x.value() : f instanceof Form.Whole w ? w.value() : Double.NaN;
         if (value >= 0 && value <= 1) {
             return value;
