--- a/node/src/main/java/tulipshed/operators/SectionReader.java
+++ b/node/src/main/java/tulipshed/operators/SectionReader.java
@@ -9,20 +9,20 @@
 import java.util.Set;
 import tulipshed.config.NameIndex;
 import tulipshed.expression.Builtins;
-import tulipshed.expression.Checker;
-import tulipshed.expression.Cost;
+import tulipshed.expression.CostModel;
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
-import tulipshed.routing.Classification;
+import tulipshed.expression.TypeChecker;
+import tulipshed.routing.ClassificationRules;
 import tulipshed.routing.Declarations;
-import tulipshed.routing.MemberPools;
-import tulipshed.routing.MemberSchema;
+import tulipshed.routing.EndpointSchema;
+import tulipshed.routing.PoolMembership;
+import tulipshed.routing.RequestSchema;
 import tulipshed.routing.Router;
 import tulipshed.routing.Routes;
-import tulipshed.routing.TransactionSchema;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Problems;
-import tulipshed.sexpr.Spelling;
+import tulipshed.sexpr.NameSuggestions;
 
 /** Reads the sections of an operators' file and puts together what they say. */
 final class SectionReader {
@@ -36,14 +36,14 @@
     private static final long MOST_COST = 1_000_000;
 
     private final NameIndex names;
-    private final Problems problems;
+    private final Diagnostics problems;
     private final Explanation explanation = new Explanation();
     private final List<Form.Sequence> defines = new ArrayList<>();
     private final List<Form.Sequence> pools = new ArrayList<>();
     private final List<Form.Sequence> routes = new ArrayList<>();
     private final Map<String, Form.Sequence> once = new HashMap<>();
 
-    SectionReader(NameIndex names, Problems problems) {
+    SectionReader(NameIndex names, Diagnostics problems) {
         this.names = names;
         this.problems = problems;
     }
@@ -53,7 +53,7 @@
         Declarations declarations = declarations();
         long maxCost = USUAL_COST;
         if (once.containsKey("max-cost")) {
-            Fields f = new Fields(
+            SectionFields f = new SectionFields(
                     new Form.Sequence(
                             List.of(once.get("max-cost")),
                             false,
@@ -64,17 +64,17 @@
             maxCost = f.whole("max-cost", 1, MOST_COST, USUAL_COST);
         }
         QuicSection quic = once.containsKey("quic") ? QuicSection.read(once.get("quic"), names, problems) : null;
-        TransactionSchema transactions = new TransactionSchema(
+        RequestSchema transactions = new RequestSchema(
                 longest(names.classNames()), longest(names.tenantNames()), declarations, LONGEST_LINE);
-        MemberSchema members = new MemberSchema();
+        EndpointSchema members = new EndpointSchema();
         checkDefines(transactions.schema(), members.schema());
-        Classification classification = null;
+        ClassificationRules classification = null;
         if (once.containsKey("classify")) {
             classification = new RuleReader(
                             names, transactions, checker(transactions.schema()), maxCost, problems, explanation)
                     .read(once.get("classify"));
         }
-        MemberPools memberPools = null;
+        PoolMembership memberPools = null;
         Routes read = null;
         if (!pools.isEmpty() || !routes.isEmpty()) {
             PoolReader poolReader = new PoolReader(members, checker(members.schema()), maxCost, problems, explanation);
@@ -123,7 +123,7 @@
                         problems.add(
                                 s.place(),
                                 "expected a section, one of " + String.join(", ", SECTIONS) + ", found " + s.head()
-                                        + Spelling.hint(s.head(), SECTIONS));
+                                        + NameSuggestions.hint(s.head(), SECTIONS));
                     } else if (once.putIfAbsent(s.head(), s) != null) {
                         problems.add(
                                 s.place(),
@@ -135,12 +135,12 @@
         }
     }
 
-    private Checker checker(Schema schema) {
+    private TypeChecker checker(Schema schema) {
         return checker(schema, problems);
     }
 
-    private Checker checker(Schema schema, Problems to) {
-        Checker c = new Checker(schema, to);
+    private TypeChecker checker(Schema schema, Diagnostics to) {
+        TypeChecker c = new TypeChecker(schema, to);
         defines.forEach(c::define);
         return c;
     }
@@ -150,18 +150,18 @@
         if (defines.isEmpty()) {
             return;
         }
-        Problems twice = new Problems("");
+        Diagnostics twice = new Diagnostics("");
         List<String> all = new ArrayList<>(checker(transactions, twice).defined());
         problems.addAll(twice);
-        Checker ofTransactions = checker(transactions, twice);
-        Checker ofMembers = checker(members, twice);
+        TypeChecker ofTransactions = checker(transactions, twice);
+        TypeChecker ofMembers = checker(members, twice);
         for (String name : all) {
-            if (problems.count() > Problems.MOST) {
+            if (problems.count() > Diagnostics.MOST) {
                 // Enough to tell; what is nearest to a misspelt name is dear to find.
                 return;
             }
-            Problems first = ofTransactions.faultsOf(name);
-            Problems second = first.none() ? first : ofMembers.faultsOf(name);
+            Diagnostics first = ofTransactions.faultsOf(name);
+            Diagnostics second = first.none() ? first : ofMembers.faultsOf(name);
             if (!second.none()) {
                 // It speaks of members where the fault is not that it does.
                 problems.addAll(first.toString().contains("unknown name member.") ? second : first);
@@ -181,7 +181,8 @@
         int key = Integer.MAX_VALUE;
         int group = Integer.MAX_VALUE;
         if (once.containsKey("longest")) {
-            Fields f = new Fields(once.get("longest"), 1, new LinkedHashSet<>(List.of("key", "group")), problems);
+            SectionFields f =
+                    new SectionFields(once.get("longest"), 1, new LinkedHashSet<>(List.of("key", "group")), problems);
             key = f.has("key") ? (int) f.whole("key", 1, LONGEST_LINE, 1) : key;
             group = f.has("group") ? (int) f.whole("group", 1, LONGEST_LINE, 1) : group;
         }
@@ -207,7 +208,7 @@
             problems.add(
                     type.place(),
                     "expected one of " + String.join(", ", types) + ", found " + type.name()
-                            + Spelling.hint(type.name(), types));
+                            + NameSuggestions.hint(type.name(), types));
             return;
         }
         int longest = USUAL_LENGTH;
@@ -215,10 +216,10 @@
             if (t != Type.STRING
                     || !(s.items().get(2) instanceof Form.Whole w)
                     || w.value() < 1
-                    || w.value() > Cost.LONGEST_TEXT) {
+                    || w.value() > CostModel.LONGEST_TEXT) {
                 problems.add(
                         s.items().get(2).place(),
-                        "expected characters at most, from 1 to " + Cost.LONGEST_TEXT + ", of a string, found "
+                        "expected characters at most, from 1 to " + CostModel.LONGEST_TEXT + ", of a string, found "
                                 + s.items().get(2).describe());
                 return;
             }
@@ -226,7 +227,7 @@
         }
         if (TAKEN.contains(s.head())
                 || Builtins.form(s.head()) != null
-                || TransactionSchema.names(Declarations.NONE).contains(s.head())) {
+                || RequestSchema.names(Declarations.NONE).contains(s.head())) {
             problems.add(s.place(), s.head() + " has a meaning already");
         } else if (figures.putIfAbsent(s.head(), new Declarations.Figure(t, t == Type.STRING ? longest : 0)) != null) {
             problems.add(s.place(), s.head() + " stands twice");
--- a/node/src/main/java/tulipshed/proxy/Request.java
+++ b/node/src/main/java/tulipshed/proxy/Request.java
@@ -4,7 +4,7 @@
 import tulipshed.decision.api.Idempotency;
 import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.RequestClass;
-import tulipshed.routing.Origin;
+import tulipshed.routing.RequestOrigin;
 import tulipshed.time.Clock;
 
 /** A client's request for a connection, from its arrival to the end of the connection. Confined to the event-loop thread. */
@@ -22,7 +22,7 @@
     private final UpstreamConnector connector;
     private final double deadlineMs;
     private final boolean adopted;
-    private Origin origin;
+    private RequestOrigin origin;
     private Attributes attributes;
     private String pool;
     /** 0 until {@link #assignId}. */
@@ -71,7 +71,7 @@
             Attributes attributes,
             double nowMs,
             boolean adopted) {
-        this(client, connector, attributes, Origin.UNKNOWN, nowMs, adopted);
+        this(client, connector, attributes, RequestOrigin.UNKNOWN, nowMs, adopted);
     }
 
     /** A request of known origin; otherwise as the other constructor. */
@@ -79,7 +79,7 @@
             ClientConnection client,
             UpstreamConnector connector,
             Attributes attributes,
-            Origin origin,
+            RequestOrigin origin,
             double nowMs,
             boolean adopted) {
         this.origin = origin;
@@ -106,7 +106,7 @@
     }
 
     /** Where the request came from; unknown once it is established. */
-    Origin origin() {
+    RequestOrigin origin() {
         return origin;
     }
 
@@ -244,7 +244,7 @@
     /** Records that the connection is established. The origin, which only rules for arrivals use, is released. */
     void markEstablished() {
         cancelDeadlineTimer();
-        origin = Origin.UNKNOWN;
+        origin = RequestOrigin.UNKNOWN;
         state = State.ESTABLISHED;
     }
 
--- a/node/src/main/java/tulipshed/proxy/RequestRouting.java
+++ b/node/src/main/java/tulipshed/proxy/RequestRouting.java
@@ -10,9 +10,9 @@
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.Request.Attributes;
-import tulipshed.routing.Classified;
+import tulipshed.routing.RequestAttributes;
+import tulipshed.routing.RequestClassification;
 import tulipshed.routing.Router;
-import tulipshed.routing.Subject;
 
 /**
  * Applies the operators' routing rules to requests, and notifies the decision module of pools and of requests that change
@@ -64,7 +64,7 @@
             return;
         }
         Attributes attributes = request.attributes();
-        Classified classified = router.classify(subjectOf(request));
+        RequestClassification classified = router.classify(subjectOf(request));
         // A name that the settings no longer have changes nothing.
         request.setAttributes(new Attributes(
                 classIndices.getOrDefault(classified.className(), attributes.requestClass()),
@@ -84,9 +84,9 @@
         return hasRoutes() ? router.pool(subjectOf(request)) : null;
     }
 
-    private Subject subjectOf(Request request) {
+    private RequestAttributes subjectOf(Request request) {
         Attributes attributes = request.attributes();
-        return new Subject(
+        return new RequestAttributes(
                 classNameOf(attributes.requestClass()),
                 tenantNameOf(attributes.tenant()),
                 attributes.key(),
--- a/node/src/main/java/tulipshed/quic/ClientHello.java
+++ b/node/src/main/java/tulipshed/quic/ClientHello.java
@@ -20,20 +20,20 @@
     private static final int ALPN = 16;
     private static final int LEAST_BODY = 2 + 32 + 1 + 2 + 1;
 
-    /** Reads it from the beginning of a stream: null while it is not whole, a {@link BadPacket} where it is none. */
+    /** Reads it from the beginning of a stream: null while it is not whole, a {@link MalformedPacketException} where it is none. */
     static ClientHello read(ByteBuffer in, int most) {
         if (in.remaining() < 1) {
             return null;
         }
         if (in.get(in.position()) != TYPE) {
-            throw new BadPacket("a handshake that does not begin with a client hello");
+            throw new MalformedPacketException("a handshake that does not begin with a client hello");
         }
         if (in.remaining() < HEAD) {
             return null;
         }
         int length = in.getInt() & 0xFFFFFF;
         if (length < LEAST_BODY || length > most - HEAD) {
-            throw new BadPacket("a hello of " + length + " bytes");
+            throw new MalformedPacketException("a hello of " + length + " bytes");
         }
         if (in.remaining() < length) {
             return null;
@@ -41,7 +41,7 @@
         try {
             return body(in.slice().limit(length));
         } catch (BufferUnderflowException | IllegalArgumentException e) {
-            throw new BadPacket("a hello whose parts do not fit into it");
+            throw new MalformedPacketException("a hello whose parts do not fit into it");
         }
     }
 
--- a/node/src/main/java/tulipshed/quic/Opening.java
+++ b/node/src/main/java/tulipshed/quic/ClientHelloAssembler.java
@@ -4,7 +4,7 @@
 import tulipshed.connectionid.ConnectionId;
 
 /** What a client has sent before its hello is whole. Without I/O. */
-final class Opening {
+final class ClientHelloAssembler {
     private final ConnectionId keyedBy;
     private final int most;
     private final CryptoStream stream;
@@ -13,7 +13,7 @@
     private boolean closes;
 
     /** The first id that the client chose is what its keys follow from; its hello may have that many bytes. */
-    Opening(ConnectionId keyedBy, int most) {
+    ClientHelloAssembler(ConnectionId keyedBy, int most) {
         this.keyedBy = keyedBy;
         this.most = most;
         stream = new CryptoStream(most);
@@ -21,7 +21,7 @@
 
     /**
      * Takes the Initial packets of a datagram; others are passed over, and so is an Initial of other keys behind a sound
-     * one. Whether any was sound; a {@link BadPacket} where the hello is none or what was said cannot be.
+     * one. Whether any was sound; a {@link MalformedPacketException} where the hello is none or what was said cannot be.
      */
     boolean take(List<Packet> packets) {
         boolean sound = false;
@@ -31,7 +31,7 @@
                 byte[] frames;
                 try {
                     frames = InitialKeys.client(of, keyedBy).open(p);
-                } catch (BadPacket e) {
+                } catch (MalformedPacketException e) {
                     continue;
                 }
                 version = of;
--- a/node/src/main/java/tulipshed/quic/ClientPath.java
+++ b/node/src/main/java/tulipshed/quic/ClientPath.java
@@ -13,7 +13,7 @@
     private final QuicSession session;
     private UdpSocket listener;
     private InetSocketAddress client;
-    private FlowSide side;
+    private UpstreamFlow side;
     private double heardMs;
 
     ClientPath(QuicSession session, UdpSocket listener, InetSocketAddress client, double nowMs) {
@@ -31,8 +31,8 @@
         return listener == otherListener && client.equals(other);
     }
 
-    IdTable.Way way() {
-        return new IdTable.Way(listener, client);
+    ConnectionTable.Way way() {
+        return new ConnectionTable.Way(listener, client);
     }
 
     InetSocketAddress client() {
@@ -54,12 +54,12 @@
     }
 
     /** Its place towards the member; null where it has none. */
-    FlowSide side() {
+    UpstreamFlow side() {
         return side;
     }
 
     /** Takes a place, in place of the one it had. */
-    void side(FlowSide changed) {
+    void side(UpstreamFlow changed) {
         if (side != null) {
             side.close();
         }
--- a/node/src/main/java/tulipshed/quic/IdConfigurations.java
+++ b/node/src/main/java/tulipshed/quic/ConnectionIdConfigurations.java
@@ -9,7 +9,7 @@
  * The configurations of ids that are live: up to seven at once, told apart by the upper three bits of an id's first byte
  * (QUIC-LB section 3.1), so that servers can go over to a new one while connections of the old one stand.
  */
-final class IdConfigurations {
+final class ConnectionIdConfigurations {
     /** Of ids that carry no server (QUIC-LB section 3.2). */
     static final int UNROUTABLE = ServerIds.CONFIGURATIONS;
 
@@ -17,8 +17,8 @@
     private final Map<Integer, Map<String, String>> members = new HashMap<>();
 
     /** Adds one, and which member has which server id, in hexadecimal, under it. */
-    IdConfigurations with(ServerIds one, Map<String, String> membersByServer) {
-        IdConfigurations more = new IdConfigurations();
+    ConnectionIdConfigurations with(ServerIds one, Map<String, String> membersByServer) {
+        ConnectionIdConfigurations more = new ConnectionIdConfigurations();
         System.arraycopy(ids, 0, more.ids, 0, ids.length);
         more.members.putAll(members);
         more.ids[one.configuration()] = one;
--- a/node/src/main/java/tulipshed/quic/ConnectionMachine.java
+++ b/node/src/main/java/tulipshed/quic/ConnectionStateMachine.java
@@ -9,7 +9,7 @@
  * What one connection of QUIC is in, and what is to be done with each datagram of its two ends. Without I/O: whoever owns it
  * carries the steps out.
  */
-final class ConnectionMachine {
+final class ConnectionStateMachine {
     /** How far a connection is. */
     enum Stage {
         /** Its hello is not whole. */
@@ -66,7 +66,7 @@
     private ConnectionId keyedBy;
     private ConnectionId current;
     private Stage stage = Stage.OWED;
-    private Opening opening;
+    private ClientHelloAssembler opening;
     private Version version = Version.V1;
     private double openedMs;
     private double heardMs;
@@ -76,7 +76,7 @@
     private boolean pastInitial;
     private boolean stoodBefore;
 
-    private ConnectionMachine(Limits.Quic limits, ConnectionId destination, ConnectionId clientId, double nowMs) {
+    private ConnectionStateMachine(Limits.Quic limits, ConnectionId destination, ConnectionId clientId, double nowMs) {
         this.limits = limits;
         this.firstKeyedBy = destination;
         this.keyedBy = destination;
@@ -87,15 +87,15 @@
     }
 
     /** Of a client whose first datagram this is, with what could be read of it; {@code proven} by a token. */
-    static ConnectionMachine opens(
+    static ConnectionStateMachine opens(
             Limits.Quic limits,
             ConnectionId destination,
             ConnectionId clientId,
             byte[] datagram,
-            Opening begun,
+            ClientHelloAssembler begun,
             boolean proven,
             double nowMs) {
-        ConnectionMachine m = new ConnectionMachine(limits, destination, clientId, nowMs);
+        ConnectionStateMachine m = new ConnectionStateMachine(limits, destination, clientId, nowMs);
         m.proven = proven;
         m.version = begun.version();
         m.opening = begun;
@@ -106,8 +106,9 @@
     }
 
     /** Of a connection that stands at a member already; nothing else is known of it. */
-    static ConnectionMachine carriesOn(Limits.Quic limits, ConnectionId destination, byte[] datagram, double nowMs) {
-        ConnectionMachine m = new ConnectionMachine(limits, destination, null, nowMs);
+    static ConnectionStateMachine carriesOn(
+            Limits.Quic limits, ConnectionId destination, byte[] datagram, double nowMs) {
+        ConnectionStateMachine m = new ConnectionStateMachine(limits, destination, null, nowMs);
         // Its server chose the id, so it has been heard there; and it sees this path as a new one, which it proves
         // itself.
         m.proven = true;
@@ -172,7 +173,7 @@
             if (!sound && packets.get(0).type() == Packet.Type.INITIAL) {
                 return Step.DROP;
             }
-        } catch (BadPacket e) {
+        } catch (MalformedPacketException e) {
             return Step.BAD_HELLO;
         }
         if (first.size() < limits.retainedFirstDatagrams()) {
@@ -198,7 +199,7 @@
         try {
             byte[] frames = InitialKeys.client(Version.of(p.version()), keyedBy).open(p);
             return InitialFrames.read(frames).closes();
-        } catch (BadPacket e) {
+        } catch (MalformedPacketException e) {
             return false;
         }
     }
@@ -235,7 +236,7 @@
                 try {
                     frames = InitialFrames.read(
                             InitialKeys.server(Version.of(p.version()), keyedBy).open(p));
-                } catch (BadPacket e) {
+                } catch (MalformedPacketException e) {
                     return Step.DROP;
                 }
                 return !frames.closes()
@@ -268,8 +269,8 @@
     }
 
     /** What was read of the hello, given once; null where there was none. */
-    Opening takeOpening() {
-        Opening read = opening;
+    ClientHelloAssembler takeOpening() {
+        ClientHelloAssembler read = opening;
         opening = null;
         return read;
     }
--- a/node/src/main/java/tulipshed/quic/IdTable.java
+++ b/node/src/main/java/tulipshed/quic/ConnectionTable.java
@@ -5,7 +5,7 @@
 import tulipshed.connectionid.ConnectionId;
 
 /** Which connection ids, addresses and server's numbers lead to which path of a client. Without I/O. */
-final class IdTable {
+final class ConnectionTable {
     /** A client's address and the listener at which it is heard, which is where its answers come from. */
     record Way(Object listener, Object client) {}
 
--- a/node/src/main/java/tulipshed/quic/CryptoStream.java
+++ b/node/src/main/java/tulipshed/quic/CryptoStream.java
@@ -19,10 +19,10 @@
         this.most = most;
     }
 
-    /** Takes the next {@code length} bytes of a buffer; a {@link BadPacket} where they do not fit. */
+    /** Takes the next {@code length} bytes of a buffer; a {@link MalformedPacketException} where they do not fit. */
     void add(long offset, ByteBuffer from, int length) {
         if (offset > most - length) {
-            throw new BadPacket("a hello of more than " + most + " bytes");
+            throw new MalformedPacketException("a hello of more than " + most + " bytes");
         }
         int at = (int) offset;
         if (at + length > bytes.length) {
@@ -31,7 +31,7 @@
         for (int i = at; i < at + length; i++) {
             byte b = from.get();
             if (have.get(i) && bytes[i] != b) {
-                throw new BadPacket("a hello that says two things at one place");
+                throw new MalformedPacketException("a hello that says two things at one place");
             }
             bytes[i] = b;
             have.set(i);
--- a/node/src/main/java/tulipshed/quic/InitialFrames.java
+++ b/node/src/main/java/tulipshed/quic/InitialFrames.java
@@ -19,7 +19,7 @@
     private static final int CLOSE = 0x1c;
     private static final int CLOSE_APPLICATION = 0x1d;
 
-    /** Reads frames; those that an Initial may not carry make it a {@link BadPacket}. */
+    /** Reads frames; those that an Initial may not carry make it a {@link MalformedPacketException}. */
     static InitialFrames read(byte[] frames) {
         return read(frames, null);
     }
@@ -41,11 +41,12 @@
                     case CLOSE, CLOSE_APPLICATION -> {
                         return new InitialFrames(handshake, true, Packet.number(in));
                     }
-                    default -> throw new BadPacket("a frame that does not belong into an Initial: " + type);
+                    default ->
+                        throw new MalformedPacketException("a frame that does not belong into an Initial: " + type);
                 }
             }
         } catch (BufferUnderflowException e) {
-            throw new BadPacket("a frame that is cut off");
+            throw new MalformedPacketException("a frame that is cut off");
         }
         return new InitialFrames(handshake, false, 0);
     }
@@ -68,7 +69,7 @@
         }
         long length = Packet.number(in);
         if (length > in.remaining()) {
-            throw new BadPacket("a frame past the end of its packet");
+            throw new MalformedPacketException("a frame past the end of its packet");
         }
         stream.add(offset, in, (int) length);
     }
@@ -76,7 +77,7 @@
     private static void skip(ByteBuffer in) {
         long length = Packet.number(in);
         if (length > in.remaining()) {
-            throw new BadPacket("a frame past the end of its packet");
+            throw new MalformedPacketException("a frame past the end of its packet");
         }
         in.position(in.position() + (int) length);
     }
--- a/node/src/main/java/tulipshed/quic/InitialKeys.java
+++ b/node/src/main/java/tulipshed/quic/InitialKeys.java
@@ -59,12 +59,12 @@
         return mask.clone();
     }
 
-    /** The frames of an Initial packet; {@link BadPacket} where it was not made with these keys. */
+    /** The frames of an Initial packet; {@link MalformedPacketException} where it was not made with these keys. */
     byte[] open(Packet p) {
         byte[] d = Arrays.copyOfRange(p.datagram(), p.from(), p.to());
         int at = p.packetNumberAt() - p.from();
         if (d.length < at + 4 + SAMPLE) {
-            throw new BadPacket("an Initial too short to be sampled");
+            throw new MalformedPacketException("an Initial too short to be sampled");
         }
         try {
             byte[] m = headerMask(d, at);
@@ -79,7 +79,7 @@
             c.updateAAD(d, 0, at + numberBytes);
             return c.doFinal(d, at + numberBytes, d.length - at - numberBytes);
         } catch (GeneralSecurityException e) {
-            throw new BadPacket("an Initial made with other keys");
+            throw new MalformedPacketException("an Initial made with other keys");
         }
     }
 
--- a/node/src/main/java/tulipshed/quic/SessionIds.java
+++ b/node/src/main/java/tulipshed/quic/LearnedConnectionIds.java
@@ -7,7 +7,7 @@
 import tulipshed.connectionid.StatelessReset;
 
 /** The ids that lead to one connection, oldest first, with the tokens by which its server's resets are known. Without I/O. */
-final class SessionIds {
+final class LearnedConnectionIds {
     private final List<ConnectionId> ids = new ArrayList<>(3);
     /** Null until it is asked for. */
     private final List<byte[]> tokens = new ArrayList<>(3);
--- a/node/src/main/java/tulipshed/quic/BadPacket.java
+++ b/node/src/main/java/tulipshed/quic/MalformedPacketException.java
@@ -1,10 +1,10 @@
 package tulipshed.quic;
 
 /** A datagram that is not of QUIC, or not one for this node; it is dropped. */
-final class BadPacket extends RuntimeException {
+final class MalformedPacketException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    BadPacket(String message) {
+    MalformedPacketException(String message) {
         super(message);
     }
 }
--- a/node/src/main/java/tulipshed/quic/Packet.java
+++ b/node/src/main/java/tulipshed/quic/Packet.java
@@ -54,15 +54,15 @@
                 Packet p = one(datagram, from, shortIdLength);
                 packets.add(p);
                 from = p.to;
-            } catch (BadPacket | BufferUnderflowException | IllegalArgumentException e) {
+            } catch (MalformedPacketException | BufferUnderflowException | IllegalArgumentException e) {
                 if (packets.isEmpty()) {
-                    throw new BadPacket("not a packet of QUIC");
+                    throw new MalformedPacketException("not a packet of QUIC");
                 }
                 return packets;
             }
         }
         if (packets.isEmpty()) {
-            throw new BadPacket("an empty datagram");
+            throw new MalformedPacketException("an empty datagram");
         }
         return packets;
     }
@@ -109,7 +109,7 @@
 
     private static ConnectionId id(ByteBuffer in, int length) {
         if (length > ConnectionId.LONGEST) {
-            throw new BadPacket("a connection id of " + length + " bytes");
+            throw new MalformedPacketException("a connection id of " + length + " bytes");
         }
         byte[] bytes = new byte[length];
         in.get(bytes);
@@ -118,7 +118,7 @@
 
     private static void skip(ByteBuffer in, long bytes) {
         if (bytes > in.remaining()) {
-            throw new BadPacket("a length past the end of the datagram");
+            throw new MalformedPacketException("a length past the end of the datagram");
         }
         in.position(in.position() + (int) bytes);
     }
--- a/node/src/main/java/tulipshed/quic/QuicConfig.java
+++ b/node/src/main/java/tulipshed/quic/QuicConfig.java
@@ -19,14 +19,14 @@
         String requestClass,
         String tenant,
         double deadlineMs,
-        IdConfigurations ids,
+        ConnectionIdConfigurations ids,
         StatelessReset reset,
         RetryTokens tokens,
         RetryPolicy policy) {
 
     /** From what the operators' file says, which has been checked. */
     public static QuicConfig of(QuicSection s, Limits limits, WallClock wallClock) {
-        IdConfigurations ids = new IdConfigurations();
+        ConnectionIdConfigurations ids = new ConnectionIdConfigurations();
         for (QuicSection.Ids i : s.ids()) {
             ids = ids.with(
                     new ServerIds(i.configuration(), i.serverIdBytes(), i.nonceBytes(), i.connectionBytes(), i.key()),
--- a/node/src/main/java/tulipshed/quic/QuicFront.java
+++ b/node/src/main/java/tulipshed/quic/QuicFrontend.java
@@ -18,9 +18,9 @@
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.ProxyCore;
 import tulipshed.proxy.Request.Attributes;
-import tulipshed.quic.QuicFigures.Figure;
-import tulipshed.routing.Origin;
-import tulipshed.routing.TransactionSchema;
+import tulipshed.quic.QuicMetrics.Figure;
+import tulipshed.routing.RequestOrigin;
+import tulipshed.routing.RequestSchema;
 import tulipshed.time.Clock;
 import tulipshed.transport.UdpSocket;
 import tulipshed.transport.XnioEventLoop;
@@ -30,7 +30,7 @@
  * names, wherever it comes from; an address is only where answers go. The node holds no keys but those of
  * Initial packets, which follow from what is on the wire.
  */
-public final class QuicFront {
+public final class QuicFrontend {
     private static final String NAME = "quic";
     private static final double SWEEP_MS = 250;
     private static final int LEAST_FIRST_DATAGRAM = 1200; // RFC 9000 section 14.1
@@ -41,15 +41,15 @@
     final Clock clock;
     final Limits limits;
     private QuicConfig config;
-    final QuicFigures counted = new QuicFigures();
-    final IdTable table = new IdTable();
-    final FlowSockets sockets;
+    final QuicMetrics counted = new QuicMetrics();
+    final ConnectionTable table = new ConnectionTable();
+    final UpstreamSocketPool sockets;
     private int unproven;
     final XnioEventLoop loop;
     final ProxyCore core;
     final RandomGenerator random = new SecureRandom();
     final ByteBuffer scratch;
-    private final Strangers strangers;
+    private final UnknownDatagramQueue strangers;
     private boolean hearing;
     /** Carried on by their id alone, and not answered by their member yet; oldest first. */
     private final Set<QuicSession> unanswered = new LinkedHashSet<>();
@@ -65,7 +65,7 @@
      *
      * @throws IOException if an address cannot be bound
      */
-    public QuicFront(
+    public QuicFrontend(
             Clock clock,
             Limits limits,
             QuicConfig config,
@@ -81,8 +81,8 @@
         this.loop = loop;
         this.core = core;
         scratch = ByteBuffer.allocateDirect(limits.quic().datagramBytes());
-        strangers = new Strangers(limits.quic().maxUnknownDatagrams());
-        sockets = new FlowSockets(loop, config.listen().getAddress(), scratch, counted, limits, log);
+        strangers = new UnknownDatagramQueue(limits.quic().maxUnknownDatagrams());
+        sockets = new UpstreamSocketPool(loop, config.listen().getAddress(), scratch, counted, limits, log);
         for (Figure f : Figure.values()) {
             core.metrics().frontendCounters(f.written(), () -> counted.get(f));
         }
@@ -132,7 +132,7 @@
     }
 
     /** Where an id leads by what its server wrote into it, or null. */
-    IdConfigurations.Place place(ConnectionId id) {
+    ConnectionIdConfigurations.Place place(ConnectionId id) {
         return config.ids().place(id);
     }
 
@@ -159,18 +159,18 @@
     }
 
     /** Where a transaction came from, and what its client said in the clear; null where it is not known. */
-    static Origin origin(InetSocketAddress from, Opening opening) {
+    static RequestOrigin origin(InetSocketAddress from, ClientHelloAssembler opening) {
         Map<String, Object> figures = new HashMap<>();
         if (opening != null) {
-            figures.put(TransactionSchema.QUIC_VERSION, opening.version().number);
+            figures.put(RequestSchema.QUIC_VERSION, opening.version().number);
             if (opening.hello().serverName() != null) {
-                figures.put(TransactionSchema.SERVER_NAME, opening.hello().serverName());
+                figures.put(RequestSchema.SERVER_NAME, opening.hello().serverName());
             }
             if (opening.hello().alpn() != null) {
-                figures.put(TransactionSchema.ALPN, opening.hello().alpn());
+                figures.put(RequestSchema.ALPN, opening.hello().alpn());
             }
         }
-        return Origin.of(NAME, from.getAddress(), figures);
+        return RequestOrigin.of(NAME, from.getAddress(), figures);
     }
 
     /** A client's hello is waited for, or no more. */
@@ -213,7 +213,7 @@
                     ? table.learnt(datagram)
                     : 0;
             packets = length == 0 ? packets : Packet.read(datagram, length);
-        } catch (BadPacket e) {
+        } catch (MalformedPacketException e) {
             // Anyone can send anything to a UDP port; what is not QUIC gets no answer.
             counted.count(Figure.DROPPED_MALFORMED);
             return;
@@ -224,7 +224,7 @@
             known(path, listener, from, datagram, packets);
             return;
         }
-        Strangers.Datagram d = new Strangers.Datagram(
+        UnknownDatagramQueue.Datagram d = new UnknownDatagramQueue.Datagram(
                 listener,
                 from,
                 datagram,
@@ -261,7 +261,7 @@
     private void hearStrangers() {
         try {
             double untilMs = clock.nowMs() + limits.quic().unknownDatagramSliceMs();
-            Strangers.Datagram d;
+            UnknownDatagramQueue.Datagram d;
             while (clock.nowMs() < untilMs && (d = strangers.poll()) != null) {
                 // One of those before it may have opened its connection.
                 ClientPath path = table.path(d.first().destination());
@@ -283,7 +283,7 @@
     }
 
     /** Somebody of whom nothing is known. */
-    private void stranger(Strangers.Datagram d) {
+    private void stranger(UnknownDatagramQueue.Datagram d) {
         Packet first = d.first();
         if (first.type() == Packet.Type.INITIAL && first.fixedBit()) {
             open(d.listener(), d.from(), d.bytes(), first, d.packets());
@@ -301,13 +301,14 @@
             counted.count(Figure.DROPPED_SMALL);
             return;
         }
-        Opening opening = new Opening(initial.destination(), limits.quic().maxClientHelloBytes());
+        ClientHelloAssembler opening =
+                new ClientHelloAssembler(initial.destination(), limits.quic().maxClientHelloBytes());
         try {
             if (!opening.take(packets) || opening.closes()) {
                 counted.count(Figure.DROPPED_MALFORMED);
                 return;
             }
-        } catch (BadPacket e) {
+        } catch (MalformedPacketException e) {
             // Sound keys and no hello: whoever sent it hears so at once, in fewer bytes than it sent.
             listener.send(
                     from,
@@ -350,7 +351,7 @@
         }
         QuicSession session = new QuicSession(
                 this,
-                ConnectionMachine.opens(
+                ConnectionStateMachine.opens(
                         limits.quic(),
                         initial.destination(),
                         initial.source(),
@@ -376,18 +377,18 @@
      * one stands at the member to which the id leads; and where the id leads nowhere, the address is all that is left to go by
      * (QUIC-LB section 4.2). Null where none of this holds.
      */
-    private ClientPath joined(Strangers.Datagram d) {
+    private ClientPath joined(UnknownDatagramQueue.Datagram d) {
         if (d.first().type() != Packet.Type.SHORT) {
             return null;
         }
-        IdConfigurations.Place place = d.place();
+        ConnectionIdConfigurations.Place place = d.place();
         ConnectionId id = d.first().destination();
         QuicSession numbered = place == null ? null : table.numbered(place.member(), place.connection());
         if (numbered != null && numbered.standsAt(place.member())) {
             counted.count(Figure.IDS_JOINED);
             return numbered.path(d.listener(), d.from(), id);
         }
-        ClientPath known = table.path(new IdTable.Way(d.listener(), d.from()));
+        ClientPath known = table.path(new ConnectionTable.Way(d.listener(), d.from()));
         if (known == null || place == null) {
             return known;
         }
@@ -430,8 +431,8 @@
      * A later id that was not seen before: the server id in it tells where it belongs. Clients change ids when
      * they change networks, and a restarted node knows none. A member that is not serving gets nothing.
      */
-    private void carryOn(Strangers.Datagram d) {
-        IdConfigurations.Place place = d.place();
+    private void carryOn(UnknownDatagramQueue.Datagram d) {
+        ConnectionIdConfigurations.Place place = d.place();
         ConnectionId id = d.first().destination();
         if (place == null) {
             counted.count(Figure.DROPPED_UNKNOWN_ID);
@@ -443,7 +444,10 @@
             return;
         }
         QuicSession session = new QuicSession(
-                this, ConnectionMachine.carriesOn(limits.quic(), id, d.bytes(), clock.nowMs()), d.listener(), d.from());
+                this,
+                ConnectionStateMachine.carriesOn(limits.quic(), id, d.bytes(), clock.nowMs()),
+                d.listener(),
+                d.from());
         all.add(session);
         counted.count(Figure.CARRIED_ON);
         // Ids in the clear can be forged, so those that no member has answered may not fill the table.
--- a/node/src/main/java/tulipshed/quic/QuicFigures.java
+++ b/node/src/main/java/tulipshed/quic/QuicMetrics.java
@@ -1,7 +1,7 @@
 package tulipshed.quic;
 
 /** What the front has done and dropped since its start. */
-final class QuicFigures {
+final class QuicMetrics {
     /** What is counted. */
     enum Figure {
         DATAGRAMS,
--- a/node/src/main/java/tulipshed/quic/QuicSession.java
+++ b/node/src/main/java/tulipshed/quic/QuicSession.java
@@ -9,19 +9,19 @@
 import tulipshed.proxy.ClientConnection;
 import tulipshed.proxy.Request;
 import tulipshed.proxy.UpstreamConnector;
-import tulipshed.quic.QuicFigures.Figure;
+import tulipshed.quic.QuicMetrics.Figure;
 import tulipshed.transport.UdpSocket;
 
 /**
- * One connection of QUIC: carries out what its {@link ConnectionMachine} says, between the client's paths and the core, and is
+ * One connection of QUIC: carries out what its {@link ConnectionStateMachine} says, between the client's paths and the core, and is
  * the connector of its flows to members.
  */
 final class QuicSession implements ClientConnection, UpstreamConnector {
     private static final int LONGEST_REPLY = 43;
 
-    private final QuicFront front;
-    private final ConnectionMachine machine;
-    private final SessionIds ids = new SessionIds();
+    private final QuicFrontend front;
+    private final ConnectionStateMachine machine;
+    private final LearnedConnectionIds ids = new LearnedConnectionIds();
     private final List<ClientPath> paths = new ArrayList<>(1);
     /** By which the client was last heard. */
     private ClientPath current;
@@ -34,7 +34,7 @@
     private String numberedAt;
     private long number = -1;
 
-    QuicSession(QuicFront front, ConnectionMachine machine, UdpSocket listener, InetSocketAddress client) {
+    QuicSession(QuicFrontend front, ConnectionStateMachine machine, UdpSocket listener, InetSocketAddress client) {
         this.front = front;
         this.machine = machine;
         current = new ClientPath(this, listener, client, front.clock.nowMs());
@@ -47,7 +47,7 @@
     void open() {
         countedUnproven = !machine.proven();
         front.unproven(countedUnproven ? 1 : 0);
-        if (machine.stage() == ConnectionMachine.Stage.OPENING) {
+        if (machine.stage() == ConnectionStateMachine.Stage.OPENING) {
             front.waits(1);
         } else {
             arrive();
@@ -60,7 +60,7 @@
                 this,
                 this,
                 front.arrival(machine.keyedBy().toString()),
-                QuicFront.origin(current.client(), machine.takeOpening()),
+                QuicFrontend.origin(current.client(), machine.takeOpening()),
                 front.clock.nowMs(),
                 false);
         front.core.requestArrived(transaction);
@@ -74,7 +74,7 @@
                 this,
                 this,
                 front.arrival(machine.current().toString()),
-                QuicFront.origin(current.client(), null),
+                QuicFrontend.origin(current.client(), null),
                 front.clock.nowMs(),
                 true);
         front.core.adoptConnection(transaction, member);
@@ -100,9 +100,9 @@
         double nowMs = front.clock.nowMs();
         current = path;
         path.heard(nowMs);
-        boolean waited = machine.stage() == ConnectionMachine.Stage.OPENING;
-        ConnectionMachine.Step step = machine.fromClient(datagram, packets, nowMs);
-        if (waited && step != ConnectionMachine.Step.HOLD && step != ConnectionMachine.Step.DROP) {
+        boolean waited = machine.stage() == ConnectionStateMachine.Stage.OPENING;
+        ConnectionStateMachine.Step step = machine.fromClient(datagram, packets, nowMs);
+        if (waited && step != ConnectionStateMachine.Step.HOLD && step != ConnectionStateMachine.Step.DROP) {
             front.waits(-1);
         }
         if (machine.proven()) {
@@ -146,8 +146,8 @@
     }
 
     private void toMember(ClientPath path, byte[] datagram, double nowMs) {
-        if (path.side() == null && machine.stage() == ConnectionMachine.Stage.STANDING) {
-            path.side(FlowSide.further(front, flow, d -> fromMember(path, d)));
+        if (path.side() == null && machine.stage() == ConnectionStateMachine.Stage.STANDING) {
+            path.side(UpstreamFlow.further(front, flow, d -> fromMember(path, d)));
         }
         if (path.side() != null) {
             path.side().send(datagram, nowMs);
@@ -249,7 +249,7 @@
      * is left, which it accepts once it has learnt its tokens in the handshake.
      */
     private void answer(int code, String reason) {
-        if (machine.stage() == ConnectionMachine.Stage.ANSWERED) {
+        if (machine.stage() == ConnectionStateMachine.Stage.ANSWERED) {
             return;
         }
         if (machine.readsInitials()) {
@@ -284,12 +284,12 @@
         flow = opened;
         // A close of the client may have arrived and not have been read yet.
         front.receiveAvailable();
-        if (machine.stage() == ConnectionMachine.Stage.ANSWERED) {
+        if (machine.stage() == ConnectionStateMachine.Stage.ANSWERED) {
             // The client has gone; the core has just been notified, and abandons the attempt.
             return;
         }
         ClientPath path = current;
-        FlowSide side = FlowSide.open(front, opened, d -> fromMember(path, d));
+        UpstreamFlow side = UpstreamFlow.open(front, opened, d -> fromMember(path, d));
         path.side(side);
         if (side == null) {
             return;
@@ -317,18 +317,19 @@
         List<Packet> packets;
         try {
             packets = Packet.read(datagram, machine.clientIdLength());
-        } catch (BadPacket e) {
+        } catch (MalformedPacketException e) {
             return;
         }
-        ConnectionMachine.Step step = machine.fromMember(packets, front.clock.nowMs());
-        if (step == ConnectionMachine.Step.DROP || path.side() == null) {
+        ConnectionStateMachine.Step step = machine.fromMember(packets, front.clock.nowMs());
+        if (step == ConnectionStateMachine.Step.DROP || path.side() == null) {
             return;
         }
         path.side().answered();
         switch (step) {
             case REFUSED, FAILED -> {
                 closeSides();
-                front.core.attemptEnded(flow, step == ConnectionMachine.Step.REFUSED ? Outcome.FULL : Outcome.ERROR);
+                front.core.attemptEnded(
+                        flow, step == ConnectionStateMachine.Step.REFUSED ? Outcome.FULL : Outcome.ERROR);
                 return;
             }
             case RETRIED -> {
@@ -363,7 +364,7 @@
 
     /** Whether it stands at that member. */
     boolean standsAt(String member) {
-        return machine.stage() == ConnectionMachine.Stage.STANDING
+        return machine.stage() == ConnectionStateMachine.Stage.STANDING
                 && flow.endpoint().id().equals(member);
     }
 
@@ -395,7 +396,7 @@
 
     /** An id that the server at that member chose may tell how it numbers the connection. */
     private void number(ConnectionId id, String member) {
-        IdConfigurations.Place place = number < 0 ? front.place(id) : null;
+        ConnectionIdConfigurations.Place place = number < 0 ? front.place(id) : null;
         if (place != null && place.connection() >= 0 && place.member().equals(member)) {
             number = place.connection();
             numberedAt = member;
@@ -413,7 +414,7 @@
                 p.side(null);
             }
         }
-        FlowSide side = current.side();
+        UpstreamFlow side = current.side();
         switch (machine.tick(nowMs, side != null && side.silent(nowMs))) {
             case FORGET -> forget();
             case NEVER_WHOLE -> {
--- a/node/src/main/java/tulipshed/quic/Strangers.java
+++ b/node/src/main/java/tulipshed/quic/UnknownDatagramQueue.java
@@ -11,7 +11,7 @@
  * time. A bounded number wait, for a few milliseconds at most; over it the next are dropped before they cost anything, as the
  * kernel would drop them, and what is known with them. Without I/O.
  */
-final class Strangers {
+final class UnknownDatagramQueue {
     private final int most;
     private final ArrayDeque<Datagram> waiting = new ArrayDeque<>();
 
@@ -21,14 +21,14 @@
             InetSocketAddress from,
             byte[] bytes,
             List<Packet> packets,
-            IdConfigurations.Place place) {
+            ConnectionIdConfigurations.Place place) {
 
         Packet first() {
             return packets.get(0);
         }
     }
 
-    Strangers(int most) {
+    UnknownDatagramQueue(int most) {
         this.most = most;
     }
 
--- a/node/src/main/java/tulipshed/quic/FlowSide.java
+++ b/node/src/main/java/tulipshed/quic/UpstreamFlow.java
@@ -5,25 +5,25 @@
 import tulipshed.proxy.Attempt;
 
 /** One path's place on a socket towards its member, and whether anything comes back there. */
-final class FlowSide {
-    private final QuicFront front;
+final class UpstreamFlow {
+    private final QuicFrontend front;
     private final Attempt flow;
-    private FlowSockets.Seat seat;
+    private UpstreamSocketPool.Seat seat;
     private double unansweredSinceMs = Double.NaN;
     private int unanswered;
 
-    private FlowSide(QuicFront front, Attempt attempt) {
+    private UpstreamFlow(QuicFrontend front, Attempt attempt) {
         this.front = front;
         this.flow = attempt;
     }
 
     /** Opens a flow's first; null, and the core told why, where it may not be sent to or there is no socket for it. */
-    static FlowSide open(QuicFront front, Attempt attempt, Consumer<byte[]> heard) {
+    static UpstreamFlow open(QuicFrontend front, Attempt attempt, Consumer<byte[]> heard) {
         if (!front.core.mayForward(attempt)) {
             front.core.attemptEnded(attempt, Outcome.CONNECT_FAILED);
             return null;
         }
-        FlowSide side = further(front, attempt, heard);
+        UpstreamFlow side = further(front, attempt, heard);
         if (side == null) {
             // A shortage of this machine; it says nothing of the member.
             front.core.attemptEnded(attempt, Outcome.UNUSED);
@@ -32,8 +32,8 @@
     }
 
     /** Opens one more of a flow that stands, for another path of its client; null where there is no socket for it. */
-    static FlowSide further(QuicFront front, Attempt attempt, Consumer<byte[]> heard) {
-        FlowSide side = new FlowSide(front, attempt);
+    static UpstreamFlow further(QuicFrontend front, Attempt attempt, Consumer<byte[]> heard) {
+        UpstreamFlow side = new UpstreamFlow(front, attempt);
         side.seat = front.sockets.seat(attempt.endpoint().address(), front.clock.nowMs(), heard);
         return side.seat == null ? null : side;
     }
--- a/node/src/main/java/tulipshed/quic/FlowSlots.java
+++ b/node/src/main/java/tulipshed/quic/UpstreamPortAllocator.java
@@ -13,7 +13,7 @@
  * it is known by the member's address alone, as in a translator of addresses, and every flow has a port of its own at its
  * member. So many sockets are needed as flows stand at the fullest member. Without I/O; times in milliseconds.
  */
-final class FlowSlots {
+final class UpstreamPortAllocator {
     /** What is left of a member besides what is used there: flows that come and go quickly must not take ever more sockets. */
     private static final int MOST_LEFT = 64;
 
@@ -36,7 +36,7 @@
     private double[] leftMs = new double[16];
 
     /** What is left is not used again for so long: its member may still be sending to who was there. */
-    FlowSlots(double quietMs) {
+    UpstreamPortAllocator(double quietMs) {
         this.quietMs = quietMs;
     }
 
--- a/node/src/main/java/tulipshed/quic/FlowSockets.java
+++ b/node/src/main/java/tulipshed/quic/UpstreamSocketPool.java
@@ -9,22 +9,22 @@
 import java.util.function.Consumer;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
-import tulipshed.quic.QuicFigures.Figure;
+import tulipshed.quic.QuicMetrics.Figure;
 import tulipshed.transport.ProtocolErrorLog;
 import tulipshed.transport.UdpSocket;
 import tulipshed.transport.XnioEventLoop;
 
-/** The node's UDP sockets towards members, each shared by one flow of every member; {@link FlowSlots} says which. */
-final class FlowSockets {
+/** The node's UDP sockets towards members, each shared by one flow of every member; {@link UpstreamPortAllocator} says which. */
+final class UpstreamSocketPool {
     /** How often opening a socket is tried in a row: a shortage of this machine may be over at the next try. */
     static final int OPEN_TRIES = 5;
 
     private final XnioEventLoop loop;
     private final InetAddress address;
     private final ByteBuffer scratch;
-    private final QuicFigures counted;
+    private final QuicMetrics counted;
     private final ProtocolErrorLog openFailures;
-    private final FlowSlots slots;
+    private final UpstreamPortAllocator slots;
     private SocketOpener opener;
     private final Map<Integer, Socket> sockets = new HashMap<>();
 
@@ -83,11 +83,11 @@
         }
     }
 
-    FlowSockets(
+    UpstreamSocketPool(
             XnioEventLoop loop,
             InetAddress address,
             ByteBuffer scratch,
-            QuicFigures counted,
+            QuicMetrics counted,
             Limits limits,
             NodeLog log) {
         this.loop = loop;
@@ -95,7 +95,7 @@
         this.scratch = scratch;
         this.counted = counted;
         openFailures = new ProtocolErrorLog("quic", "cannot open an upstream socket", limits, log);
-        slots = new FlowSlots(limits.quic().upstreamSocketReuseDelayMs());
+        slots = new UpstreamPortAllocator(limits.quic().upstreamSocketReuseDelayMs());
         opener = loop::bindUdp;
     }
 
--- a/node/src/main/java/tulipshed/routing/MemberSchema.java
+++ b/node/src/main/java/tulipshed/routing/EndpointSchema.java
@@ -2,12 +2,12 @@
 
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.expression.Attribute;
-import tulipshed.expression.Frame;
+import tulipshed.expression.EvaluationFrame;
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
 
 /** What expressions may ask of a pool member. */
-public final class MemberSchema {
+public final class EndpointSchema {
     /** Characters of an id, a zone or a kind; a member with more is in no pool. */
     public static final int LONGEST = 256;
     /** What a member that has run for long is old, in milliseconds: a hundred years. */
@@ -27,7 +27,7 @@
     }
 
     /** Puts one member into a frame, its age by the clock of its start; false where its texts are too long. */
-    boolean fill(Frame f, EndpointInfo e, double nowMs) {
+    boolean fill(EvaluationFrame f, EndpointInfo e, double nowMs) {
         if (e.id().length() > LONGEST
                 || e.zone().length() > LONGEST
                 || e.machineType().length() > LONGEST) {
--- a/node/src/main/java/tulipshed/routing/MemberPools.java
+++ b/node/src/main/java/tulipshed/routing/PoolMembership.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 import java.util.Set;
 import tulipshed.decision.api.EndpointInfo;
-import tulipshed.expression.Frame;
+import tulipshed.expression.EvaluationFrame;
 import tulipshed.expression.Program;
 
 /** Named sets of members, worked out when the list changes, and in between only where they ask a member's age. */
-public final class MemberPools {
-    private final MemberSchema schema;
+public final class PoolMembership {
+    private final EndpointSchema schema;
     private final Map<String, Program.Value> conditions;
     private final boolean ages;
-    private final Frame frame;
+    private final EvaluationFrame frame;
     private Map<String, Set<String>> members = new LinkedHashMap<>();
 
     /** The conditions by the pools' names, in the order of the file; the program has been built. */
-    public MemberPools(MemberSchema schema, Map<String, Program.Value> conditions, boolean ages, Program program) {
+    public PoolMembership(EndpointSchema schema, Map<String, Program.Value> conditions, boolean ages, Program program) {
         this.schema = schema;
         this.conditions = new LinkedHashMap<>(conditions);
         this.ages = ages;
--- a/node/src/main/java/tulipshed/routing/Branch.java
+++ b/node/src/main/java/tulipshed/routing/PoolPreference.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /** Pools in order of preference: the first that is not passed over is used. */
-final class Branch {
-    private final List<Target> targets;
+final class PoolPreference {
+    private final List<PoolTarget> targets;
     private final boolean[] over;
     private int used;
 
-    Branch(List<Target> targets) {
+    PoolPreference(List<PoolTarget> targets) {
         this.targets = List.copyOf(targets);
         over = new boolean[targets.size()];
     }
@@ -26,7 +26,7 @@
         int first = -1;
         int some = -1;
         for (int i = 0; i < over.length; i++) {
-            Target t = targets.get(i);
+            PoolTarget t = targets.get(i);
             int ready = readiness.ready(t.pool());
             double share = readiness.share(t.pool());
             // Between the two bounds it stays as it was: a share that swings there changes nothing.
--- a/node/src/main/java/tulipshed/routing/Subject.java
+++ b/node/src/main/java/tulipshed/routing/RequestAttributes.java
@@ -4,7 +4,7 @@
  * What is known of a transaction when it arrives, in the names of the settings; tenant and group are null where there is
  * none, the hint 0 where none was given; the wait is in milliseconds.
  */
-public record Subject(
+public record RequestAttributes(
         String className,
         String tenant,
         String key,
@@ -13,10 +13,11 @@
         double hint,
         boolean repeat,
         boolean returning,
-        Origin origin) {
+        RequestOrigin origin) {
 
     /** The same with what rules made of it. */
-    public Subject as(Classified c) {
-        return new Subject(c.className(), c.tenant(), key, c.group(), waitMs, hint, repeat, returning, origin);
+    public RequestAttributes as(RequestClassification c) {
+        return new RequestAttributes(
+                c.className(), c.tenant(), key, c.group(), waitMs, hint, repeat, returning, origin);
     }
 }
--- a/node/src/main/java/tulipshed/routing/TransactionSchema.java
+++ b/node/src/main/java/tulipshed/routing/RequestSchema.java
@@ -4,12 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import tulipshed.expression.Attribute;
-import tulipshed.expression.Frame;
+import tulipshed.expression.EvaluationFrame;
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
 
 /** What expressions may ask of a transaction. */
-public final class TransactionSchema {
+public final class RequestSchema {
     /** What a client of QUIC says in the clear, in the names of expressions. */
     public static final String SERVER_NAME = "server-name";
 
@@ -32,7 +32,7 @@
     private final Map<String, Attribute> figures = new LinkedHashMap<>();
 
     /** For settings whose names of classes and tenants are that long at most; 0 where there are no tenants. */
-    public TransactionSchema(int longestClass, int longestTenant, Declarations declared, int longestLine) {
+    public RequestSchema(int longestClass, int longestTenant, Declarations declared, int longestLine) {
         requestClass = schema.add("class", Type.STRING, false, longestClass);
         tenant = schema.add("tenant", Type.STRING, longestTenant == 0, longestTenant);
         key = schema.add("key", Type.STRING, false, Math.min(longestLine, declared.longestKey()));
@@ -51,7 +51,7 @@
 
     /** The names that expressions may use where these figures are declared. */
     public static Collection<String> names(Declarations declared) {
-        return new TransactionSchema(1, 1, declared, 1).schema.names();
+        return new RequestSchema(1, 1, declared, 1).schema.names();
     }
 
     /** The attributes. */
@@ -60,7 +60,7 @@
     }
 
     /** Puts one transaction into a frame. */
-    void fill(Frame f, Subject s) {
+    void fill(EvaluationFrame f, RequestAttributes s) {
         f.begin();
         f.set(requestClass, s.className());
         if (s.tenant() != null) {
@@ -83,7 +83,7 @@
         }
     }
 
-    private static void set(Frame f, Attribute a, Object value) {
+    private static void set(EvaluationFrame f, Attribute a, Object value) {
         if (a == null) {
             return; // declared no more since the line was read
         } else if (value instanceof String text && a.type() == Type.STRING && text.length() <= a.longest()) {
@@ -100,7 +100,7 @@
     }
 
     /** Whether a transaction's texts are as short as expressions were promised; fronts see to it at the first line. */
-    boolean fits(Subject s) {
+    boolean fits(RequestAttributes s) {
         return s.className().length() <= requestClass.longest()
                 && s.key().length() <= key.longest()
                 && (s.tenant() == null || s.tenant().length() <= tenant.longest())
--- a/node/src/main/java/tulipshed/routing/Router.java
+++ b/node/src/main/java/tulipshed/routing/Router.java
@@ -13,18 +13,18 @@
  */
 public final class Router {
     private final Declarations declarations;
-    private final TransactionSchema schema;
-    private final Classification classification;
-    private final MemberPools pools;
+    private final RequestSchema schema;
+    private final ClassificationRules classification;
+    private final PoolMembership pools;
     private final Routes routes;
     private final Map<String, Integer> ready = new HashMap<>();
 
     /** Any of the parts may be null: there are no such rules then. Routes need pools. */
     public Router(
             Declarations declarations,
-            TransactionSchema schema,
-            Classification classification,
-            MemberPools pools,
+            RequestSchema schema,
+            ClassificationRules classification,
+            PoolMembership pools,
             Routes routes) {
         this.declarations = declarations;
         this.schema = schema;
@@ -39,20 +39,20 @@
     }
 
     /** What the rules make of a transaction. */
-    public Classified classify(Subject s) {
+    public RequestClassification classify(RequestAttributes s) {
         return classification == null || !schema.fits(s)
-                ? new Classified(s.className(), s.tenant(), s.group())
+                ? new RequestClassification(s.className(), s.tenant(), s.group())
                 : classification.classify(s);
     }
 
     /** The pool to which a transaction, as classified, is held now; null where any member may serve it. */
-    public String pool(Subject s) {
+    public String pool(RequestAttributes s) {
         return routes == null || !schema.fits(s) ? null : routes.pool(s);
     }
 
     /** The names of the rule and the route that count for a transaction as it came; null where there is none. */
-    public String[] names(Subject s) {
-        Subject classified = s.as(classify(s));
+    public String[] names(RequestAttributes s) {
+        RequestAttributes classified = s.as(classify(s));
         return new String[] {
             classification == null ? null : classification.rule(s), routes == null ? null : routes.route(classified)
         };
@@ -85,7 +85,7 @@
         }
         ready.clear();
         pools.members().keySet().forEach(name -> ready.put(name, readyMembers.applyAsInt(name)));
-        return routes.look(new Branch.Readiness() {
+        return routes.look(new PoolPreference.Readiness() {
             @Override
             public int ready(String pool) {
                 return ready.get(pool);
--- a/node/src/main/java/tulipshed/routing/Routes.java
+++ b/node/src/main/java/tulipshed/routing/Routes.java
@@ -4,32 +4,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import tulipshed.expression.Frame;
+import tulipshed.expression.EvaluationFrame;
 import tulipshed.expression.Program;
 import tulipshed.expression.RuleTable;
 
 /** Ordered routes: which pool a transaction is held to; of those that hold, the first counts. */
 public final class Routes {
-    private final TransactionSchema schema;
+    private final RequestSchema schema;
     private final List<Route> routes;
     private final RuleTable table;
-    private final Frame frame;
+    private final EvaluationFrame frame;
 
     /** One route: its branches, and what decides between them where there are several. */
     static final class Route {
         private final String name;
         private final Program.Value share;
         private final long[] upTo;
-        private final List<Branch> branches;
+        private final List<PoolPreference> branches;
 
-        Route(String name, Program.Value share, long[] upTo, List<Branch> branches) {
+        Route(String name, Program.Value share, long[] upTo, List<PoolPreference> branches) {
             this.name = name;
             this.share = share;
             this.upTo = upTo;
             this.branches = branches;
         }
 
-        Branch branch(Frame f) {
+        PoolPreference branch(EvaluationFrame f) {
             int i = 0;
             if (share != null) {
                 long at = share.whole(f);
@@ -45,10 +45,10 @@
      * What a route leads to: pools in order of preference, or a split, whose expression gives one of as many shares as
      * all weights together.
      */
-    public record Way(String name, Program.Value share, List<Integer> weights, List<List<Target>> branches) {}
+    public record Way(String name, Program.Value share, List<Integer> weights, List<List<PoolTarget>> branches) {}
 
     /** The table holds the conditions of the routes, in their order; the program has been built. */
-    public Routes(TransactionSchema schema, List<Way> ways, RuleTable table, Program program) {
+    public Routes(RequestSchema schema, List<Way> ways, RuleTable table, Program program) {
         this.schema = schema;
         this.table = table;
         frame = program.frame();
@@ -64,33 +64,33 @@
                     w.name(),
                     w.share(),
                     upTo,
-                    w.branches().stream().map(Branch::new).toList()));
+                    w.branches().stream().map(PoolPreference::new).toList()));
         }
     }
 
-    private Route find(Subject s) {
+    private Route find(RequestAttributes s) {
         schema.fill(frame, s);
         int found = table.first(frame);
         return found < 0 ? null : routes.get(found);
     }
 
     /** The pool that it is held to now, or null where any member may serve it. */
-    String pool(Subject s) {
+    String pool(RequestAttributes s) {
         Route r = find(s);
         return r == null ? null : r.branch(frame).pool();
     }
 
     /** The route that counts for it, or null. */
-    String route(Subject s) {
+    String route(RequestAttributes s) {
         Route r = find(s);
         return r == null ? null : r.name;
     }
 
     /** Looks at the pools again; whether any route uses another. */
-    boolean look(Branch.Readiness readiness) {
+    boolean look(PoolPreference.Readiness readiness) {
         boolean changed = false;
         for (Route r : routes) {
-            for (Branch b : r.branches) {
+            for (PoolPreference b : r.branches) {
                 changed |= b.look(readiness);
             }
         }
@@ -101,7 +101,7 @@
     Map<String, String> spilled() {
         Map<String, String> names = new TreeMap<>();
         for (Route r : routes) {
-            r.branches.stream().filter(Branch::spilled).forEach(b -> names.put(r.name, b.pool()));
+            r.branches.stream().filter(PoolPreference::spilled).forEach(b -> names.put(r.name, b.pool()));
         }
         return names;
     }
--- a/node/src/main/java/tulipshed/sexpr/Problems.java
+++ b/node/src/main/java/tulipshed/sexpr/Diagnostics.java
@@ -5,29 +5,29 @@
 import java.util.List;
 
 /** What is wrong with one file, told at once: the first twenty, and how many more there are. */
-public final class Problems {
+public final class Diagnostics {
     /** Told at most. */
     public static final int MOST = 20;
 
     private final String file;
-    private final List<Problem> first = new ArrayList<>();
+    private final List<Diagnostic> first = new ArrayList<>();
     private int count;
 
     /** No problems yet of the file with this name. */
-    public Problems(String file) {
+    public Diagnostics(String file) {
         this.file = file;
     }
 
     /** Notes one; the same at the same place counts once, as a define may be used in many rules. */
-    public void add(Place place, String message) {
-        Problem problem = new Problem(file, place, message);
+    public void add(SourcePosition place, String message) {
+        Diagnostic problem = new Diagnostic(file, place, message);
         if (!first.contains(problem) && count++ < MOST) {
             first.add(problem);
         }
     }
 
     /** Notes all that another noted of the same file. */
-    public void addAll(Problems other) {
+    public void addAll(Diagnostics other) {
         other.first.forEach(p -> add(p.place(), p.message()));
     }
 
@@ -42,8 +42,8 @@
     }
 
     /** The first of them, in the order of their places. */
-    public List<Problem> list() {
-        List<Problem> sorted = new ArrayList<>(first);
+    public List<Diagnostic> list() {
+        List<Diagnostic> sorted = new ArrayList<>(first);
         sorted.sort((a, b) -> a.place().line() != b.place().line()
                 ? Integer.compare(a.place().line(), b.place().line())
                 : Integer.compare(a.place().column(), b.place().column()));
@@ -54,7 +54,7 @@
     @Override
     public String toString() {
         StringBuilder out = new StringBuilder();
-        for (Problem p : list()) {
+        for (Diagnostic p : list()) {
             out.append(out.length() == 0 ? "" : "\n").append(p);
         }
         return count > MOST
--- a/node/src/main/java/tulipshed/sexpr/Form.java
+++ b/node/src/main/java/tulipshed/sexpr/Form.java
@@ -5,13 +5,13 @@
 /** What an S-expression is made of: words, texts, numbers and sequences of them. Every form knows its place. */
 public sealed interface Form {
     /** Where its first character stands. */
-    Place place();
+    SourcePosition place();
 
     /** What it is, for errors: never longer than a few words. */
     String describe();
 
     /** A name or an operator. */
-    record Word(String name, Place place) implements Form {
+    record Word(String name, SourcePosition place) implements Form {
         @Override
         public String describe() {
             return "the word " + Form.shorten(name);
@@ -19,7 +19,7 @@
     }
 
     /** A text in double quotes, its escapes undone. */
-    record Text(String value, Place place) implements Form {
+    record Text(String value, SourcePosition place) implements Form {
         @Override
         public String describe() {
             return "the text \"" + Form.shorten(value) + "\"";
@@ -27,7 +27,7 @@
     }
 
     /** A whole number of 64 bits. */
-    record Whole(long value, Place place) implements Form {
+    record Whole(long value, SourcePosition place) implements Form {
         @Override
         public String describe() {
             return "the number " + value;
@@ -35,7 +35,7 @@
     }
 
     /** A number with a decimal point. */
-    record Fraction(double value, Place place) implements Form {
+    record Fraction(double value, SourcePosition place) implements Form {
         @Override
         public String describe() {
             return "the number " + value;
@@ -43,7 +43,7 @@
     }
 
     /** Forms in round brackets, or in square ones, which hold literals. */
-    record Sequence(List<Form> items, boolean square, Place place) implements Form {
+    record Sequence(List<Form> items, boolean square, SourcePosition place) implements Form {
         @Override
         public String describe() {
             return square
--- a/node/src/main/java/tulipshed/sexpr/Spelling.java
+++ b/node/src/main/java/tulipshed/sexpr/NameSuggestions.java
@@ -3,10 +3,10 @@
 import java.util.Collection;
 
 /** Finds the name that was probably meant. */
-public final class Spelling {
+public final class NameSuggestions {
     private static final int LONGEST = 64;
 
-    private Spelling() {}
+    private NameSuggestions() {}
 
     /** {@code "; did you mean X?"} for the nearest of the known names, or nothing where none is near. */
     public static String hint(String name, Collection<String> known) {
--- a/node/src/main/java/tulipshed/sexpr/SexprReader.java
+++ b/node/src/main/java/tulipshed/sexpr/SexprReader.java
@@ -18,7 +18,7 @@
 
     private final String text;
     private final Bounds bounds;
-    private final Problems problems;
+    private final Diagnostics problems;
     private final List<Form> top = new ArrayList<>();
     private final ArrayDeque<Open> open = new ArrayDeque<>();
     private int at;
@@ -30,19 +30,20 @@
     /** What a file may be at most: bytes, brackets inside each other, and forms. */
     public record Bounds(int bytes, int depth, int forms) {}
 
-    private record Open(Place place, boolean square, List<Form> items) {}
+    private record Open(SourcePosition place, boolean square, List<Form> items) {}
 
-    private SexprReader(String text, Bounds bounds, Problems problems) {
+    private SexprReader(String text, Bounds bounds, Diagnostics problems) {
         this.text = text;
         this.bounds = bounds;
         this.problems = problems;
     }
 
     /** The forms of a file; where something is wrong it is noted, and the forms read so far are returned. */
-    public static List<Form> read(byte[] file, Bounds bounds, Problems problems) {
+    public static List<Form> read(byte[] file, Bounds bounds, Diagnostics problems) {
         if (file.length > bounds.bytes()) {
             problems.add(
-                    Place.START, "the file has " + file.length + " bytes; at most " + bounds.bytes() + " are read");
+                    SourcePosition.START,
+                    "the file has " + file.length + " bytes; at most " + bounds.bytes() + " are read");
             return List.of();
         }
         String text;
@@ -54,7 +55,7 @@
                     .decode(ByteBuffer.wrap(file))
                     .toString();
         } catch (CharacterCodingException e) {
-            problems.add(Place.START, "the file is not text in UTF-8");
+            problems.add(SourcePosition.START, "the file is not text in UTF-8");
             return List.of();
         }
         SexprReader reader = new SexprReader(text, bounds, problems);
@@ -122,7 +123,7 @@
     }
 
     private void text() {
-        Place from = here();
+        SourcePosition from = here();
         StringBuilder value = new StringBuilder();
         for (at++; at < text.length(); at++) {
             char c = text.charAt(at);
@@ -153,7 +154,7 @@
     }
 
     private void word() {
-        Place from = here();
+        SourcePosition from = here();
         int start = at;
         while (at < text.length() && inWord(text.charAt(at))) {
             at++;
@@ -196,13 +197,13 @@
     }
 
     /** What follows cannot be told apart any more. */
-    private void stop(Place place, String why) {
+    private void stop(SourcePosition place, String why) {
         problems.add(place, why);
         stopped = true;
     }
 
-    private Place here() {
-        return new Place(line, at - lineStart + 1);
+    private SourcePosition here() {
+        return new SourcePosition(line, at - lineStart + 1);
     }
 
     private static boolean inWord(char c) {
--- a/node/src/test/java/tulipshed/benchmark/ExpressionBenchmark.java
+++ b/node/src/test/java/tulipshed/benchmark/ExpressionBenchmark.java
@@ -31,15 +31,15 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import tulipshed.expression.Attribute;
-import tulipshed.expression.Checker;
-import tulipshed.expression.Expr;
-import tulipshed.expression.Frame;
+import tulipshed.expression.EvaluationFrame;
+import tulipshed.expression.Expression;
 import tulipshed.expression.Program;
 import tulipshed.expression.RuleTable;
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
+import tulipshed.expression.TypeChecker;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Problems;
 import tulipshed.sexpr.SexprReader;
 
 /** The first of many rules that holds: ours, CEL and JEXL on the same rules, of which the last holds. */
@@ -58,7 +58,7 @@
     private final Attribute tenant = schema.add("tenant", Type.STRING, false, 64);
     private final Attribute key = schema.add("key", Type.STRING, false, 64);
     private RuleTable table;
-    private Frame frame;
+    private EvaluationFrame frame;
     private final List<CelRuntime.Program> cel = new ArrayList<>();
     private final List<JexlExpression> jexl = new ArrayList<>();
     private String tenantNow;
@@ -89,9 +89,9 @@
                     .getAst()));
             jexl.add(engine.createExpression("tenant == 'tenant-" + i + "' && key =^ 'k-'"));
         }
-        Problems problems = new Problems("benchmark");
-        Checker checker = new Checker(schema, problems);
-        List<Expr> conditions = new ArrayList<>();
+        Diagnostics problems = new Diagnostics("benchmark");
+        TypeChecker checker = new TypeChecker(schema, problems);
+        List<Expression> conditions = new ArrayList<>();
         for (Form f : SexprReader.read(
                 text.toString().getBytes(StandardCharsets.US_ASCII),
                 new SexprReader.Bounds(4 << 20, 100, 400_000),
--- a/node/src/test/java/tulipshed/expression/ExpressionFuzzTest.java
+++ b/node/src/test/java/tulipshed/expression/ExpressionFuzzTest.java
@@ -11,8 +11,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Problems;
 import tulipshed.sexpr.SexprReader;
 
 /**
@@ -24,7 +24,7 @@
     private static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(1 << 20, 100, 100_000);
 
     private static Form form(String text) {
-        Problems problems = new Problems("test");
+        Diagnostics problems = new Diagnostics("test");
         List<Form> forms = SexprReader.read(text.getBytes(StandardCharsets.UTF_8), BOUNDS, problems);
         assertTrue(problems.none(), problems::toString);
         return forms.get(0);
@@ -37,9 +37,9 @@
         Type type = Type.values()[(int) Math.floorMod(seed, 4L)];
         String text = random.typed(type, 5);
         Form form = form(text);
-        Problems problems = new Problems("test");
-        Checker checker = new Checker(schema, problems);
-        Expr e = checker.expect(form, type);
+        Diagnostics problems = new Diagnostics("test");
+        TypeChecker checker = new TypeChecker(schema, problems);
+        Expression e = checker.expect(form, type);
         if (e == null) {
             // Only a text that could grow too long is refused of what is well typed.
             assertTrue(problems.toString().contains("may grow"), () -> text + "\n" + problems);
@@ -54,19 +54,19 @@
         Schema schema = RandomExpressions.schema();
         String text = random.untyped(3);
         Form form = form(text);
-        Problems problems = new Problems("test");
-        Expr e = new Checker(schema, problems).any(form);
+        Diagnostics problems = new Diagnostics("test");
+        Expression e = new TypeChecker(schema, problems).any(form);
         assertEquals(e == null, !problems.none(), text);
         if (e != null) {
             compare(random, schema, form, text, e);
         }
     }
 
-    private static void compare(RandomExpressions random, Schema schema, Form form, String text, Expr e) {
+    private static void compare(RandomExpressions random, Schema schema, Form form, String text, Expression e) {
         Program.Builder builder = new Program.Builder(schema);
         Program.Value value = builder.value(e);
-        Frame frame = builder.build().frame();
-        long bound = new Cost().bound(e);
+        EvaluationFrame frame = builder.build().frame();
+        long bound = new CostModel().bound(e);
         for (int i = 0; i < INPUTS; i++) {
             Map<String, Object> values = random.values(schema);
             RandomExpressions.fill(frame, schema, values);
@@ -88,10 +88,10 @@
     void aTableFindsTheFirstRuleThatHolds(@ForAll long seed) {
         RandomExpressions random = new RandomExpressions(seed);
         Schema schema = RandomExpressions.schema();
-        Problems problems = new Problems("test");
-        Checker checker = new Checker(schema, problems);
+        Diagnostics problems = new Diagnostics("test");
+        TypeChecker checker = new TypeChecker(schema, problems);
         List<Form> forms = new ArrayList<>();
-        List<Expr> conditions = new ArrayList<>();
+        List<Expression> conditions = new ArrayList<>();
         int rules = (int) Math.floorMod(seed, 40L);
         for (int i = 0; i < rules; i++) {
             String common = switch ((int) Math.floorMod(seed + i, 5L)) {
@@ -102,15 +102,15 @@
                 default -> "(= class " + quoted(random, schema) + ")";
             };
             Form form = form("(and " + common + " " + random.typed(Type.BOOLEAN, 1) + ")");
-            Expr e = checker.expect(form, Type.BOOLEAN);
+            Expression e = checker.expect(form, Type.BOOLEAN);
             assertNotNull(e, problems::toString);
             forms.add(form);
             conditions.add(e);
         }
         Program.Builder builder = new Program.Builder(schema);
         RuleTable table = builder.table(conditions, checker.terms());
-        Frame frame = builder.build().frame();
-        long bound = table.bound(new Cost());
+        EvaluationFrame frame = builder.build().frame();
+        long bound = table.bound(new CostModel());
         for (int i = 0; i < 5 * INPUTS; i++) {
             Map<String, Object> values = random.values(schema);
             int want = -1;
--- a/node/src/test/java/tulipshed/expression/ExpressionTest.java
+++ b/node/src/test/java/tulipshed/expression/ExpressionTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
-import tulipshed.sexpr.Problems;
 import tulipshed.sexpr.SexprReader;
 
 class ExpressionTest {
@@ -27,8 +27,8 @@
     private final Attribute tenant = schema.add("tenant", Type.STRING, true, 64);
     private final Attribute size = schema.add("size", Type.INTEGER, true, 0);
     private final Attribute source = schema.add("source", Type.ADDRESS, false, 0);
-    private final Problems problems = new Problems("f");
-    private final Checker checker = new Checker(schema, problems);
+    private final Diagnostics problems = new Diagnostics("f");
+    private final TypeChecker checker = new TypeChecker(schema, problems);
 
     private List<Form> forms(String text) {
         List<Form> forms = SexprReader.read(text.getBytes(StandardCharsets.UTF_8), BOUNDS, problems);
@@ -38,13 +38,13 @@
         return forms;
     }
 
-    private Expr any(String text) {
+    private Expression any(String text) {
         List<Form> forms = forms(text);
         return checker.any(forms.get(forms.size() - 1));
     }
 
-    private Frame fill(Program program, String cls, String k, String ten, Long sz, String from) {
-        Frame f = program.frame();
+    private EvaluationFrame fill(Program program, String cls, String k, String ten, Long sz, String from) {
+        EvaluationFrame f = program.frame();
         f.begin();
         f.set(requestClass, cls);
         f.set(key, k);
@@ -60,7 +60,7 @@
     }
 
     private Object value(String text) {
-        Expr e = any(text);
+        Expression e = any(text);
         assertNotNull(e, problems::toString);
         Program.Builder b = new Program.Builder(schema);
         Program.Value v = b.value(e);
@@ -153,10 +153,10 @@
     /** What grows with its input has a bound that says so, found without any input. */
     @Test
     void theBoundFollowsTheDeclaredLengths() {
-        assertEquals(1 + 1 + 1 + 4, new Cost().bound(any("(= class \"" + "x".repeat(64) + "\")")));
-        long regex = new Cost().bound(any("(matches key \"(a|b)*c\")"));
+        assertEquals(1 + 1 + 1 + 4, new CostModel().bound(any("(= class \"" + "x".repeat(64) + "\")")));
+        long regex = new CostModel().bound(any("(matches key \"(a|b)*c\")"));
         assertTrue(regex > 4000 / 16 * 5, "linear in the longest key: " + regex);
-        assertTrue(new Cost().bound(any("(contains key (substring key 0 1000))")) > 4000 * 1000 / 16);
+        assertTrue(new CostModel().bound(any("(contains key (substring key 0 1000))")) > 4000 * 1000 / 16);
     }
 
     /** Each define uses the one before it twice: as a tree this has 2^200 parts. */
@@ -167,8 +167,8 @@
             text.append("(define d" + i + " (+ d" + (i - 1) + " d" + (i - 1) + ")) ");
         }
         assertEquals(Long.MAX_VALUE, value(text + "(+ d60 d60)"), "2^61 times 8, bounded");
-        Expr e = any("(+ d60 d60)");
-        assertTrue(new Cost().bound(e) < 500, "each is worked out once: " + new Cost().bound(e));
+        Expression e = any("(+ d60 d60)");
+        assertTrue(new CostModel().bound(e) < 500, "each is worked out once: " + new CostModel().bound(e));
         assertFalse(e.asks("class"));
         assertTrue(e.toString().length() < 1000);
     }
@@ -202,7 +202,7 @@
         Program p = b.build();
         int[] counts = new int[40];
         for (int i = 0; i < 4000; i++) {
-            Frame f = fill(p, "gate", "key-" + i, null, null, "10.0.0.1");
+            EvaluationFrame f = fill(p, "gate", "key-" + i, null, null, "10.0.0.1");
             long before = 0;
             for (int n = 1; n <= 40; n++) {
                 long now = shares.get(n - 1).whole(f);
@@ -224,7 +224,7 @@
             text.append("(and (= (lower tenant-name) \"t" + i + "\") (prefix key \"k-\"))\n");
         }
         List<Form> rules = forms("(define tenant-name (default tenant \"\"))\n" + text);
-        List<Expr> conditions = new ArrayList<>();
+        List<Expression> conditions = new ArrayList<>();
         rules.subList(1, rules.size()).forEach(f -> conditions.add(checker.expect(f, Type.BOOLEAN)));
         assertTrue(problems.none(), problems::toString);
         Program.Builder b = new Program.Builder(schema);
@@ -235,9 +235,9 @@
                         "one lookup of (lower (default tenant \"\")) among 10000 literals finds 10000 rules, at most 1 at a "
                                 + "time"),
                 table.plan());
-        long bound = table.bound(new Cost());
+        long bound = table.bound(new CostModel());
         assertTrue(bound < 60, "whatever the number of rules: " + bound);
-        Frame f = fill(p, "gate", "k-1", "T9999", 1L, "10.0.0.1");
+        EvaluationFrame f = fill(p, "gate", "k-1", "T9999", 1L, "10.0.0.1");
         assertEquals(9999, table.first(f));
         assertTrue(f.spent() <= bound);
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -259,7 +259,7 @@
 
     @Test
     void aFrameHoldsNoLongerTextThanExpressionsWerePromised() {
-        Frame f = new Program.Builder(schema).build().frame();
+        EvaluationFrame f = new Program.Builder(schema).build().frame();
         assertThrows(IllegalArgumentException.class, () -> f.set(requestClass, "x".repeat(65)));
     }
 }
--- a/node/src/test/java/tulipshed/expression/RandomExpressions.java
+++ b/node/src/test/java/tulipshed/expression/RandomExpressions.java
@@ -55,7 +55,7 @@
         return values;
     }
 
-    static void fill(Frame f, Schema schema, Map<String, Object> values) {
+    static void fill(EvaluationFrame f, Schema schema, Map<String, Object> values) {
         f.begin();
         values.forEach((name, v) -> {
             Attribute a = schema.get(name);
--- a/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
+++ b/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
@@ -31,7 +31,8 @@
     }
 
     private String wrong(String text) {
-        return assertThrows(BadOperatorsFile.class, () -> read(text)).lines();
+        return assertThrows(InvalidOperatorsFileException.class, () -> read(text))
+                .lines();
     }
 
     @Test
@@ -154,7 +155,7 @@
     void aSpoiltFileIsReadOrRefusedWithPlaces(@ForAll long seed) throws IOException {
         try {
             OperatorsFile.read("f", InputFuzzer.corrupt(Files.readAllBytes(EXAMPLE), seed), names);
-        } catch (BadOperatorsFile e) {
+        } catch (InvalidOperatorsFileException e) {
             for (String line : e.lines().split("\n")) {
                 assertTrue(line.matches("f:[0-9]+:[0-9]+: .+|f: and [0-9]+ more"), line);
             }
--- a/node/src/test/java/tulipshed/quic/AddressTest.java
+++ b/node/src/test/java/tulipshed/quic/AddressTest.java
@@ -166,8 +166,9 @@
     void configurationsAreToldApartByTheFirstByte() {
         ServerIds zero = new ServerIds(0, 3, 4, null);
         ServerIds six = new ServerIds(6, 8, 8, new byte[16]);
-        IdConfigurations ids =
-                new IdConfigurations().with(zero, Map.of("000001", "a")).with(six, Map.of("0000000000000001", "b"));
+        ConnectionIdConfigurations ids = new ConnectionIdConfigurations()
+                .with(zero, Map.of("000001", "a"))
+                .with(six, Map.of("0000000000000001", "b"));
         ConnectionId a = zero.id(new byte[] {0, 0, 1}, new byte[4]);
         ConnectionId b = six.id(new byte[] {0, 0, 0, 0, 0, 0, 0, 1}, new byte[8]);
         assertEquals("a", ids.place(a).member());
--- a/node/src/test/java/tulipshed/quic/ConnectionMachineTest.java
+++ b/node/src/test/java/tulipshed/quic/ConnectionStateMachineTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.connectionid.ConnectionId;
 import tulipshed.limits.Limits;
-import tulipshed.quic.ConnectionMachine.Stage;
-import tulipshed.quic.ConnectionMachine.Step;
+import tulipshed.quic.ConnectionStateMachine.Stage;
+import tulipshed.quic.ConnectionStateMachine.Step;
 
 /** One connection, packet by packet. */
-class ConnectionMachineTest {
+class ConnectionStateMachineTest {
     private static final ConnectionId FIRST = new ConnectionId(new byte[] {1, 2, 3, 4, 5, 6, 7, 8});
     private static final ConnectionId CLIENT = new ConnectionId(new byte[] {9, 9});
     private static final ConnectionId SERVER = new ConnectionId(new byte[] {0x47, 1, 1, 1, 1, 1, 1, 1});
@@ -32,17 +32,17 @@
         return initial(StandIns.crypto(from, Arrays.copyOfRange(whole, from, Math.min(to, whole.length))));
     }
 
-    private ConnectionMachine opens(byte[] datagram) {
-        Opening opening = new Opening(FIRST, limits.maxClientHelloBytes());
+    private ConnectionStateMachine opens(byte[] datagram) {
+        ClientHelloAssembler opening = new ClientHelloAssembler(FIRST, limits.maxClientHelloBytes());
         opening.take(Packet.read(datagram, 8));
-        return ConnectionMachine.opens(limits, FIRST, CLIENT, datagram, opening, false, nowMs);
+        return ConnectionStateMachine.opens(limits, FIRST, CLIENT, datagram, opening, false, nowMs);
     }
 
-    private Step client(ConnectionMachine m, byte[] datagram) {
+    private Step client(ConnectionStateMachine m, byte[] datagram) {
         return m.fromClient(datagram, Packet.read(datagram, 8), nowMs);
     }
 
-    private Step member(ConnectionMachine m, byte[] datagram) {
+    private Step member(ConnectionStateMachine m, byte[] datagram) {
         return m.fromMember(Packet.read(datagram, CLIENT.length()), nowMs);
     }
 
@@ -56,7 +56,7 @@
 
     @Test
     void aHelloInThreePartsArrivesOnceAndStands() {
-        ConnectionMachine m = opens(hello(0, 1000));
+        ConnectionStateMachine m = opens(hello(0, 1000));
         assertEquals(Stage.OPENING, m.stage());
         assertEquals(Step.HOLD, client(m, hello(2000, 3000)));
         assertEquals(Step.HOLD, client(m, hello(2000, 3000)));
@@ -82,7 +82,7 @@
         byte[] spoilt = served(CLIENT);
         spoilt[60] ^= 1;
         assertEquals(Step.DROP, member(opens(whole()), spoilt), "who has no keys of it makes nothing of it");
-        ConnectionMachine m = opens(whole());
+        ConnectionStateMachine m = opens(whole());
         byte[] retry = RetryPacket.make(Version.V1, CLIENT, SERVER, FIRST, new byte[10], 3);
         assertEquals(Step.RETRIED, member(m, retry));
         assertEquals(SERVER, m.keyedBy());
@@ -95,7 +95,7 @@
 
     @Test
     void timeEndsEachStage() {
-        ConnectionMachine m = opens(hello(0, 1000));
+        ConnectionStateMachine m = opens(hello(0, 1000));
         assertEquals(Step.DROP, m.tick(nowMs + limits.clientHelloTimeoutMs(), false));
         assertEquals(Step.NEVER_WHOLE, m.tick(nowMs + limits.clientHelloTimeoutMs() + 1, false));
         m.answered(nowMs);
@@ -103,7 +103,7 @@
         assertEquals(Step.DROP, member(m, served(CLIENT)));
         assertEquals(Step.DROP, m.tick(nowMs + limits.finalResponseRepeatMs(), false));
         assertEquals(Step.FORGET, m.tick(nowMs + limits.finalResponseRepeatMs() + 1, false));
-        ConnectionMachine standing = opens(whole());
+        ConnectionStateMachine standing = opens(whole());
         assertEquals(Step.DROP, standing.tick(nowMs + 1e9, true), "while an answer is owed the core keeps the time");
         standing.stands();
         assertEquals(Step.SILENT, standing.tick(nowMs, true));
@@ -128,7 +128,7 @@
         System.arraycopy(close, 0, both, acknowledgement.length, close.length);
         assertEquals(Step.PASS, client(opens(whole()), acknowledgement));
         assertEquals(Step.TAKEN_BACK, client(opens(whole()), both));
-        ConnectionMachine retried = opens(whole());
+        ConnectionStateMachine retried = opens(whole());
         assertEquals(
                 Step.RETRIED, member(retried, RetryPacket.make(Version.V1, CLIENT, SERVER, FIRST, new byte[10], 3)));
         byte[] laterClose = InitialKeys.client(Version.V1, SERVER)
@@ -145,7 +145,7 @@
     void noOrderOfPacketsBreaksItsWord(@ForAll long seed) {
         Random random = new Random(seed);
         byte[] begun = random.nextBoolean() ? whole() : hello(0, 1000);
-        ConnectionMachine m = opens(begun);
+        ConnectionStateMachine m = opens(begun);
         int arrivals = m.stage() == Stage.OWED ? 1 : 0;
         long received = begun.length;
         long sent = 0;
--- a/node/src/test/java/tulipshed/quic/EndsTest.java
+++ b/node/src/test/java/tulipshed/quic/EndsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.connectionid.ConnectionId;
 import tulipshed.decision.api.Outcome;
-import tulipshed.quic.QuicFigures.Figure;
+import tulipshed.quic.QuicMetrics.Figure;
 import tulipshed.quic.StandIns.Client;
 import tulipshed.quic.StandIns.Client.Heard;
 import tulipshed.quic.StandIns.Server;
@@ -191,10 +191,10 @@
                 Thread.onSpinWait();
             }
         }
-        Strangers few = new Strangers(2);
-        Strangers.Datagram[] d = {
-            new Strangers.Datagram(null, null, null, null, null),
-            new Strangers.Datagram(null, null, new byte[1], null, null)
+        UnknownDatagramQueue few = new UnknownDatagramQueue(2);
+        UnknownDatagramQueue.Datagram[] d = {
+            new UnknownDatagramQueue.Datagram(null, null, null, null, null),
+            new UnknownDatagramQueue.Datagram(null, null, new byte[1], null, null)
         };
         assertTrue(few.offer(d[0]) && few.offer(d[1]) && !few.offer(d[0]));
         assertEquals(d[0], few.poll());
--- a/node/src/test/java/tulipshed/quic/FrontSetup.java
+++ b/node/src/test/java/tulipshed/quic/FrontSetup.java
@@ -33,7 +33,7 @@
     private final List<Node> nodes = new ArrayList<>();
     XnioEventLoop loop;
     ProxyCore core;
-    QuicFront front;
+    QuicFrontend front;
     double deadlineMs = 1200;
     int mostSessions = 100;
     double idleMs = 5000;
@@ -49,7 +49,7 @@
     }
 
     /** One node's parts. */
-    record Node(XnioEventLoop loop, ProxyCore core, QuicFront front) {}
+    record Node(XnioEventLoop loop, ProxyCore core, QuicFrontend front) {}
 
     static <T> T onLoop(XnioEventLoop loop, Task<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
@@ -67,7 +67,7 @@
         return onLoop(loop, task);
     }
 
-    long counted(QuicFigures.Figure figure) {
+    long counted(QuicMetrics.Figure figure) {
         return onLoop(() -> front.counted.get(figure));
     }
 
@@ -97,15 +97,15 @@
                 q.tokenClockToleranceMs()));
     }
 
-    IdConfigurations ids() {
+    ConnectionIdConfigurations ids() {
         Map<String, String> members = new HashMap<>();
         for (int i = 0; i < servers.size(); i++) {
             members.put(HexFormat.of().formatHex(servers.get(i).id), "s-" + (i + 1));
         }
-        return new IdConfigurations().with(StandIns.IDS, members).with(StandIns.NUMBERED, members);
+        return new ConnectionIdConfigurations().with(StandIns.IDS, members).with(StandIns.NUMBERED, members);
     }
 
-    private QuicConfig config(InetSocketAddress listen, IdConfigurations ids) {
+    private QuicConfig config(InetSocketAddress listen, ConnectionIdConfigurations ids) {
         return new QuicConfig(
                 listen, listen, "slot-booking", "vltava-kontejner", deadlineMs, ids, StandIns.RESET, tokens, policy);
     }
@@ -141,7 +141,7 @@
             return new Node(
                     started,
                     c,
-                    new QuicFront(
+                    new QuicFrontend(
                             new SystemClock(),
                             limits(),
                             config(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), ids()),
@@ -157,7 +157,7 @@
         return node;
     }
 
-    void configure(IdConfigurations changed) {
+    void configure(ConnectionIdConfigurations changed) {
         onLoop(() -> {
             front.reconfigure(config(front.address(), changed));
             return null;
@@ -181,7 +181,7 @@
 
     /** Waits until the loop has read so many datagrams of clients: what was sent may still be in the kernel. */
     void taken(long datagrams) {
-        while (counted(QuicFigures.Figure.DATAGRAMS) < datagrams) {
+        while (counted(QuicMetrics.Figure.DATAGRAMS) < datagrams) {
             Thread.onSpinWait();
         }
     }
--- a/node/src/test/java/tulipshed/quic/HelloTest.java
+++ b/node/src/test/java/tulipshed/quic/HelloTest.java
@@ -49,7 +49,10 @@
         Packet p = Packet.read(two, 8).get(0);
         assertEquals(Packet.Type.INITIAL, p.type());
         InitialKeys.client(Version.V2, ID).open(p);
-        assertThrows(BadPacket.class, () -> InitialKeys.client(Version.V1, ID).open(p), "other keys");
+        assertThrows(
+                MalformedPacketException.class,
+                () -> InitialKeys.client(Version.V1, ID).open(p),
+                "other keys");
         byte[] changed = two.clone();
         System.arraycopy(new byte[] {0, 0, 0, 1}, 0, changed, 1, 4);
         assertFalse(Packet.read(changed, 8).get(0).type() == Packet.Type.INITIAL, "a changed version opens nothing");
@@ -79,7 +82,7 @@
         assertTrue(
                 want.serverName().startsWith("slots-") && want.alpn().equals("slots"),
                 "in lower case; the greased one skipped");
-        Opening opening = new Opening(ID, MOST);
+        ClientHelloAssembler opening = new ClientHelloAssembler(ID, MOST);
         Version v = random.nextBoolean() ? Version.V1 : Version.V2;
         List<byte[]> frames = pieces(hello, random);
         for (int i = 0; i < frames.size(); i++) {
@@ -100,7 +103,7 @@
         assertNull(ClientHello.read(ByteBuffer.wrap(hello, 0, (int) Math.floorMod(seed, (long) hello.length)), MOST));
         try {
             ClientHello.read(ByteBuffer.wrap(InputFuzzer.corrupt(hello, seed)), MOST);
-        } catch (BadPacket expected) {
+        } catch (MalformedPacketException expected) {
             assertFalse(expected.getMessage().isEmpty());
         }
     }
@@ -110,16 +113,19 @@
         CryptoStream stream = new CryptoStream(100);
         stream.add(90, ByteBuffer.allocate(10), 10);
         assertEquals(0, stream.whole().remaining(), "a gap at the front");
-        assertThrows(BadPacket.class, () -> stream.add(91, ByteBuffer.allocate(10), 10));
-        assertThrows(BadPacket.class, () -> stream.add(1L << 60, ByteBuffer.allocate(10), 10));
+        assertThrows(MalformedPacketException.class, () -> stream.add(91, ByteBuffer.allocate(10), 10));
+        assertThrows(MalformedPacketException.class, () -> stream.add(1L << 60, ByteBuffer.allocate(10), 10));
         assertThrows(
-                BadPacket.class,
+                MalformedPacketException.class,
                 () -> stream.add(95, ByteBuffer.wrap(new byte[] {1}), 1),
                 "other than what came before");
         assertThrows(
-                BadPacket.class,
+                MalformedPacketException.class,
                 () -> ClientHello.read(ByteBuffer.wrap(new byte[] {1, 0, 0x40, 0}), MOST),
                 "longer than allowed");
-        assertThrows(BadPacket.class, () -> ClientHello.read(ByteBuffer.wrap(new byte[] {2}), MOST), "not a client's");
+        assertThrows(
+                MalformedPacketException.class,
+                () -> ClientHello.read(ByteBuffer.wrap(new byte[] {2}), MOST),
+                "not a client's");
     }
 }
--- a/node/src/test/java/tulipshed/quic/KwikTest.java
+++ b/node/src/test/java/tulipshed/quic/KwikTest.java
@@ -59,7 +59,7 @@
 
     private XnioEventLoop loop;
     private ProxyCore core;
-    private QuicFront front;
+    private QuicFrontend front;
     private final List<ServerConnector> servers = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final AtomicIntegerArray streams = new AtomicIntegerArray(2);
@@ -180,7 +180,7 @@
                             config.nameIndex())
                     .router());
             tell(EndpointStatus.SERVING, EndpointStatus.SERVING);
-            front = new QuicFront(
+            front = new QuicFrontend(
                     new SystemClock(),
                     Limits.forDescriptors(1024),
                     new QuicConfig(
@@ -189,7 +189,7 @@
                             "slot-booking",
                             "vltava-kontejner",
                             4000,
-                            new IdConfigurations().with(StandIns.IDS, Map.of()),
+                            new ConnectionIdConfigurations().with(StandIns.IDS, Map.of()),
                             StandIns.RESET,
                             null,
                             null),
@@ -296,8 +296,8 @@
         large.connect();
         echoes(large, 5, 2);
         large.close();
-        assertEquals(2, (long) onLoop(() -> front.counted.get(QuicFigures.Figure.OPENED_V1)));
-        assertEquals(1, (long) onLoop(() -> front.counted.get(QuicFigures.Figure.OPENED_V2)));
+        assertEquals(2, (long) onLoop(() -> front.counted.get(QuicMetrics.Figure.OPENED_V1)));
+        assertEquals(1, (long) onLoop(() -> front.counted.get(QuicMetrics.Figure.OPENED_V2)));
         assertEquals(3, (long)
                 onLoop(() -> core.metrics().responses().get("gate-status").established()));
     }
@@ -321,7 +321,7 @@
         }
         echoes(connection, 10, 7);
         System.out.println(echoed + 10 + " of " + (echoed + 10) + " echoes over " + rebinds + " rebinds");
-        assertTrue(onLoop(() -> front.counted.get(QuicFigures.Figure.REBINDS)) >= rebinds);
+        assertTrue(onLoop(() -> front.counted.get(QuicMetrics.Figure.REBINDS)) >= rebinds);
         assertEquals(1, (int) onLoop(front::sessionCount));
         assertEquals(1, (int) onLoop(() -> core.metrics().activeRequests()));
         connection.close();
--- a/node/src/test/java/tulipshed/quic/MigrationTest.java
+++ b/node/src/test/java/tulipshed/quic/MigrationTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.connectionid.ConnectionId;
 import tulipshed.decision.api.EndpointStatus;
-import tulipshed.quic.QuicFigures.Figure;
+import tulipshed.quic.QuicMetrics.Figure;
 import tulipshed.quic.StandIns.Client;
 import tulipshed.quic.StandIns.Client.Heard;
 import tulipshed.quic.StandIns.Server;
--- a/node/src/test/java/tulipshed/quic/QuicFrontTest.java
+++ b/node/src/test/java/tulipshed/quic/QuicFrontendTest.java
@@ -26,7 +26,7 @@
 import tulipshed.transport.UdpSocket;
 
 /** The second front with the real core and module between stand-in clients and servers on loopback. */
-class QuicFrontTest extends FrontSetup {
+class QuicFrontendTest extends FrontSetup {
     @Test
     void aClientThatRebindsKeepsItsConnectionAndItsServerSeesOneAddress() throws IOException {
         front(Manner.SERVES);
@@ -190,8 +190,8 @@
             assertEquals("RETRY", thief.hear().what(), "another's token is as none");
             standing.sendNumber(2);
             assertEquals(new Heard("number", 2), standing.hear(), "who stood before goes on");
-            assertEquals(58L, (long) onLoop(() -> front.counted.get(QuicFigures.Figure.RETRY_SENT)));
-            assertEquals(1L, (long) onLoop(() -> front.counted.get(QuicFigures.Figure.RETRY_ACCEPTED)));
+            assertEquals(58L, (long) onLoop(() -> front.counted.get(QuicMetrics.Figure.RETRY_SENT)));
+            assertEquals(1L, (long) onLoop(() -> front.counted.get(QuicMetrics.Figure.RETRY_ACCEPTED)));
             for (Client c : flood) {
                 c.close();
             }
@@ -208,7 +208,8 @@
         try (Client client = new Client(front.address(), 200);
                 Client later = new Client(front.address(), 201)) {
             assertEquals("served", open(client).what());
-            servers.get(0).ids = new IdConfigurations().with(StandIns.IDS, old).with(next, members);
+            servers.get(0).ids =
+                    new ConnectionIdConfigurations().with(StandIns.IDS, old).with(next, members);
             configure(servers.get(0).ids);
             ConnectionId before = client.server;
             client.server = next.id(new byte[] {0, 0, 0, 0, 1}, new byte[] {1, 2, 3, 4, 5, 6});
@@ -216,14 +217,14 @@
             assertEquals(new Heard("number", 1), client.hear(), "an id of the new configuration, never seen");
             assertEquals(1, (int) onLoop(front::sessionCount), "the same connection, so the module counts one");
             assertEquals(1, (int) onLoop(() -> core.metrics().activeRequests()));
-            configure(new IdConfigurations().with(next, members));
+            configure(new ConnectionIdConfigurations().with(next, members));
             client.server = before;
             client.sendNumber(2);
             assertEquals(new Heard("number", 2), client.hear(), "one that stands goes on under an id of the old");
             later.server = StandIns.IDS.id(servers.get(0).id, new byte[] {4, 4, 4, 4});
             later.sendNumber(3);
             taken(4);
-            long unknown = onLoop(() -> front.counted.get(QuicFigures.Figure.DROPPED_UNKNOWN_ID));
+            long unknown = onLoop(() -> front.counted.get(QuicMetrics.Figure.DROPPED_UNKNOWN_ID));
             assertEquals(1, unknown, "the old configuration leads nowhere any more");
             assertEquals(List.of(1, 2), servers.get(0).numbers);
         }
@@ -454,7 +455,7 @@
             client.send(client.initial());
             taken(1);
             assertEquals(0, (int) onLoop(front::sessionCount));
-            assertEquals(1, counted(QuicFigures.Figure.DROPPED_SMALL));
+            assertEquals(1, counted(QuicMetrics.Figure.DROPPED_SMALL));
             client.first = new ConnectionId(new byte[8]);
             assertEquals("served", open(client).what());
         }
--- a/node/src/test/java/tulipshed/quic/QuicLabProcess.java
+++ b/node/src/test/java/tulipshed/quic/QuicLabProcess.java
@@ -121,11 +121,11 @@
                     members.get(i - 1)));
         }
         RetryTokens tokens = new RetryTokens(Map.of(1, new byte[16]), 1, 10_000, 0, () -> new WallTime(0));
-        QuicFront front = FrontSetup.onLoop(loop, () -> {
+        QuicFrontend front = FrontSetup.onLoop(loop, () -> {
             ProxyCore core = new ProxyCore(
                     new SystemClock(), limits, config.settings(), 1, loop, NodeLog.silent(), Balancer::new);
             core.endpointsChanged(EndpointListKind.COMPLETE, listed);
-            return new QuicFront(
+            return new QuicFrontend(
                     new SystemClock(),
                     limits,
                     new QuicConfig(
@@ -134,7 +134,7 @@
                             "slot-booking",
                             "vltava-kontejner",
                             4000,
-                            new IdConfigurations().with(StandIns.NUMBERED, ids),
+                            new ConnectionIdConfigurations().with(StandIns.NUMBERED, ids),
                             StandIns.RESET,
                             tokens,
                             new RetryPolicy(200, 50, 1000)),
@@ -153,7 +153,7 @@
                     + FrontSetup.onLoop(loop, front::idCount) + " " + FrontSetup.onLoop(loop, front.sockets::count));
             System.err.println(FrontSetup.onLoop(
                     loop,
-                    () -> java.util.Arrays.stream(QuicFigures.Figure.values())
+                    () -> java.util.Arrays.stream(QuicMetrics.Figure.values())
                             .filter(f -> front.counted.get(f) > 0)
                             .map(f -> f + "=" + front.counted.get(f))
                             .toList()));
--- a/node/src/test/java/tulipshed/quic/QuicParserTest.java
+++ b/node/src/test/java/tulipshed/quic/QuicParserTest.java
@@ -82,10 +82,10 @@
         byte[] sound = initial(new byte[] {6, 0, 1, 1});
         byte[] spoilt = InputFuzzer.corrupt(sound, seed);
         assertFalse(Arrays.equals(sound, spoilt));
-        assertThrows(BadPacket.class, () -> {
+        assertThrows(MalformedPacketException.class, () -> {
             Packet p = Packet.read(spoilt, 8).get(0);
             if (p.type() != Packet.Type.INITIAL) {
-                throw new BadPacket("another kind now");
+                throw new MalformedPacketException("another kind now");
             }
             InitialKeys.client(Version.V1, DESTINATION).open(p);
         });
@@ -98,7 +98,7 @@
                 assertTrue(p.to() <= garbage.length && p.from() < p.to());
                 InitialFrames.read(Arrays.copyOfRange(garbage, p.from(), p.to()));
             }
-        } catch (BadPacket expected) {
+        } catch (MalformedPacketException expected) {
             assertFalse(expected.getMessage().isEmpty());
         }
     }
--- a/node/src/test/java/tulipshed/quic/SocketShortageTest.java
+++ b/node/src/test/java/tulipshed/quic/SocketShortageTest.java
@@ -30,10 +30,10 @@
     @Test
     void momentaryFailureIsRepeatedAtOnceForTheSameAttempt() throws IOException {
         front(Manner.SERVES);
-        failToOpen(FlowSockets.OPEN_TRIES - 1);
+        failToOpen(UpstreamSocketPool.OPEN_TRIES - 1);
         try (Client client = new Client(front.address(), 1)) {
             assertEquals("served", open(client).what());
-            assertEquals(FlowSockets.OPEN_TRIES, tries.get());
+            assertEquals(UpstreamSocketPool.OPEN_TRIES, tries.get());
             assertEquals(1L, (long) onLoop(() -> core.metrics().forwardedAttempts()));
         }
     }
@@ -42,12 +42,12 @@
     void lastingFailureIsBoundedAndHoldsNothingAgainstTheEndpoint() throws IOException {
         int clients = 20;
         front(Manner.SERVES);
-        failToOpen(clients * FlowSockets.OPEN_TRIES);
+        failToOpen(clients * UpstreamSocketPool.OPEN_TRIES);
         for (int i = 0; i < clients; i++) {
             try (Client client = new Client(front.address(), 1 + i)) {
                 assertEquals(new Heard("closed", InitialFrames.CONNECTION_REFUSED), open(client));
             }
-            assertEquals((1 + i) * FlowSockets.OPEN_TRIES, tries.get());
+            assertEquals((1 + i) * UpstreamSocketPool.OPEN_TRIES, tries.get());
         }
         assertEquals(0, (int) onLoop(core::ineligibleEndpoints));
         assertEquals(0, (int) onLoop(() -> core.metrics().activeRequests()));
@@ -67,13 +67,13 @@
                 Client second = new Client(front.address(), 1)) {
             assertEquals("served", open(client).what());
             assertEquals(new Heard("number", 1), number(client, 1));
-            failToOpen(datagrams * FlowSockets.OPEN_TRIES);
+            failToOpen(datagrams * UpstreamSocketPool.OPEN_TRIES);
             second.server = servers.get(0).conns.get(client.server).ids.next();
             for (int i = 1; i <= datagrams; i++) {
                 second.sendNumber(10 + i);
                 taken(2 + i);
             }
-            assertEquals(datagrams * FlowSockets.OPEN_TRIES, (int) onLoop(tries::get));
+            assertEquals(datagrams * UpstreamSocketPool.OPEN_TRIES, (int) onLoop(tries::get));
             assertEquals(new Heard("number", 2), number(client, 2));
             assertEquals(new Heard("number", 20), number(second, 20), "the first that it hears");
             assertEquals(1, (int) onLoop(() -> core.metrics().activeRequests()));
--- a/node/src/test/java/tulipshed/quic/StandIns.java
+++ b/node/src/test/java/tulipshed/quic/StandIns.java
@@ -131,8 +131,8 @@
         final Set<SocketAddress> addresses = ConcurrentHashMap.newKeySet();
 
         final Map<ConnectionId, Conn> conns = new ConcurrentHashMap<>();
-        volatile IdConfigurations ids =
-                new IdConfigurations().with(IDS, Map.of()).with(NUMBERED, Map.of());
+        volatile ConnectionIdConfigurations ids =
+                new ConnectionIdConfigurations().with(IDS, Map.of()).with(NUMBERED, Map.of());
         volatile Manner manner;
         /** The version that it chooses whatever the client began with, or null. */
         volatile Version answers;
--- a/node/src/test/java/tulipshed/quic/FlowSlotsTest.java
+++ b/node/src/test/java/tulipshed/quic/UpstreamPortAllocatorTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which socket a flow uses: never one that another flow of the same member uses, as that would mix up their clients. */
-class FlowSlotsTest {
+class UpstreamPortAllocatorTest {
     private record Flow(int member, int slot) {}
 
     @Property(tries = 300, seed = "91")
@@ -24,7 +24,7 @@
         Random random = new Random(seed);
         int most = 1 + random.nextInt(12);
         double quietMs = random.nextInt(3) * 50;
-        FlowSlots slots = new FlowSlots(quietMs);
+        UpstreamPortAllocator slots = new UpstreamPortAllocator(quietMs);
         List<Flow> live = new ArrayList<>();
         Set<Flow> taken = new HashSet<>();
         Map<Flow, Double> left = new HashMap<>();
@@ -78,7 +78,7 @@
     /** 2,000 connections over 20 members need 100 sockets, not 2,000. */
     @Test
     void socketsFollowTheFullestMember() {
-        FlowSlots slots = new FlowSlots(1000);
+        UpstreamPortAllocator slots = new UpstreamPortAllocator(1000);
         for (int i = 0; i < 2000; i++) {
             slots.take(i % 20, 0, () -> true);
         }
--- a/node/src/test/java/tulipshed/routing/RouterTest.java
+++ b/node/src/test/java/tulipshed/routing/RouterTest.java
@@ -41,8 +41,9 @@
         return list;
     }
 
-    private static Subject subject(String key) {
-        return new Subject("slot-board", "melnik-terminal", key, null, 1000, 0, false, false, Origin.UNKNOWN);
+    private static RequestAttributes subject(String key) {
+        return new RequestAttributes(
+                "slot-board", "melnik-terminal", key, null, 1000, 0, false, false, RequestOrigin.UNKNOWN);
     }
 
     @Test
--- a/node/src/test/java/tulipshed/sexpr/SexprReaderTest.java
+++ b/node/src/test/java/tulipshed/sexpr/SexprReaderTest.java
@@ -16,7 +16,7 @@
 
 class SexprReaderTest {
     private static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(2 << 20, 200, 400_000);
-    private final Problems problems = new Problems("f");
+    private final Diagnostics problems = new Diagnostics("f");
 
     private List<Form> read(String text) {
         return SexprReader.read(text.getBytes(StandardCharsets.UTF_8), BOUNDS, problems);
@@ -28,12 +28,15 @@
         assertTrue(problems.none(), problems::toString);
         Form.Sequence pool = (Form.Sequence) forms.get(0);
         assertEquals("pool", pool.head());
-        assertEquals(new Form.Text("a\"b\n", new Place(2, 7)), pool.items().get(1));
-        assertEquals(new Form.Whole(-12, new Place(2, 16)), pool.items().get(2));
-        assertEquals(new Form.Fraction(0.5, new Place(2, 20)), pool.items().get(3));
+        assertEquals(
+                new Form.Text("a\"b\n", new SourcePosition(2, 7)), pool.items().get(1));
+        assertEquals(
+                new Form.Whole(-12, new SourcePosition(2, 16)), pool.items().get(2));
+        assertEquals(
+                new Form.Fraction(0.5, new SourcePosition(2, 20)), pool.items().get(3));
         Form.Sequence list = (Form.Sequence) pool.items().get(4);
         assertTrue(list.square());
-        assertEquals(new Place(3, 3), list.place());
+        assertEquals(new SourcePosition(3, 3), list.place());
     }
 
     @ParameterizedTest
@@ -67,7 +70,7 @@
     void sizesAreBounded() {
         assertEquals(List.of(), read(" ".repeat((2 << 20) + 1)));
         assertEquals("f:1:1: the file has 2097153 bytes; at most 2097152 are read", problems.toString());
-        Problems forms = new Problems("g");
+        Diagnostics forms = new Diagnostics("g");
         SexprReader.read("a ".repeat(400_001).getBytes(StandardCharsets.US_ASCII), BOUNDS, forms);
         assertTrue(forms.toString().endsWith("more than 400000 forms"), forms::toString);
     }
@@ -76,12 +79,12 @@
     void binaryAndSpoiltFilesGiveProblemsOrForms(@ForAll long seed) {
         byte[] bytes = new byte[400];
         new Random(seed).nextBytes(bytes);
-        Problems binary = new Problems("b");
+        Diagnostics binary = new Diagnostics("b");
         SexprReader.read(bytes, BOUNDS, binary);
         assertFalse(binary.none(), "400 random bytes are not UTF-8");
         byte[] spoilt = InputFuzzer.corrupt(
                 "(route a (when (= class \"x\")) (to p [1 2.5]))".getBytes(StandardCharsets.US_ASCII), seed);
-        Problems p = new Problems("s");
+        Diagnostics p = new Diagnostics("s");
         List<Form> forms = SexprReader.read(spoilt, BOUNDS, p);
         assertTrue(!p.none() || !forms.isEmpty() || spoilt.length == 0 || spoilt[0] == ';');
     }
@@ -89,9 +92,9 @@
     @Test
     void noMoreThanTwentyAreToldAndTheRestIsCounted() {
         for (int i = 30; i > 0; i--) {
-            problems.add(new Place(i, 1), "wrong");
+            problems.add(new SourcePosition(i, 1), "wrong");
         }
-        problems.add(new Place(30, 1), "wrong");
+        problems.add(new SourcePosition(30, 1), "wrong");
         String[] lines = problems.toString().split("\n");
         assertEquals(21, lines.length);
         assertEquals("f:11:1: wrong", lines[0], "in the order of their places");
@@ -101,9 +104,9 @@
     @Test
     void theNearestNameIsTheOneMeant() {
         List<String> known = List.of("tenant", "class", "group", "deadline-ms");
-        assertEquals("; did you mean tenant?", Spelling.hint("tenat", known));
-        assertEquals("; did you mean class?", Spelling.hint("calss", known));
-        assertEquals("", Spelling.hint("berth", known));
-        assertEquals("", Spelling.hint("x".repeat(100_000), known));
+        assertEquals("; did you mean tenant?", NameSuggestions.hint("tenat", known));
+        assertEquals("; did you mean class?", NameSuggestions.hint("calss", known));
+        assertEquals("", NameSuggestions.hint("berth", known));
+        assertEquals("", NameSuggestions.hint("x".repeat(100_000), known));
     }
 }
