--- a/emulator/src/main/java/tulipshed/emulator/loadtest/LoadTestRun.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/LoadTestRun.java
@@ -148,7 +148,7 @@
             d.onNotified(states -> told.add(new Told(number, sinceMs(), states)));
             discoveries.add(d);
         }
-        world.atStart().news().forEach(this::news);
+        world.atStart().listings().forEach(this::news);
         world.onNews(this::news);
         NodeConfigWriter writer = new NodeConfigWriter();
         for (int n = 0; n < processes.size(); n++) {
@@ -191,7 +191,7 @@
             if (h.line() == null) {
                 ClientRequest over = carried.remove(h.connection());
                 if (over != null) {
-                    nodeOf(over).rules().over(h.atMs(), over.watched, "over at the node's end");
+                    nodeOf(over).rules().over(h.atMs(), over.observed, "over at the node's end");
                 }
                 continue;
             }
@@ -199,7 +199,7 @@
             ClientRequest t = words.length > 1 ? tries.get(words[1]) : null;
             if (t != null) {
                 carried.put(h.connection(), t);
-                nodeOf(t).rules().sent(h.atMs(), t.watched, h.member());
+                nodeOf(t).rules().sent(h.atMs(), t.observed, h.member());
             } else if (words.length < 2 || !hasLeft(words[1])) {
                 stranger();
             }
@@ -217,7 +217,7 @@
     }
 
     private void news(EndpointListing n) {
-        var e = n.listed().info();
+        var e = n.entry().info();
         long startedMs = startedEpochMs(n, new SystemWallClock().now().epochMs(), nowMs());
         String state =
                 e.status() == EndpointStatus.REMOVED ? "DELETED" : e.status().name();
@@ -226,7 +226,7 @@
                     .get(d)
                     .publish(
                             e.id(),
-                            addresses.get(d).get(n.member()),
+                            addresses.get(d).get(n.endpoint()),
                             e.zone(),
                             e.machineType(),
                             state,
@@ -236,18 +236,18 @@
         if (pushed()) {
             // What a node's agent has counts as told, whether the node asks it or not.
             for (int node = 0; node < nodes.size(); node++) {
-                nodes.get(node).rules().told(heardMs(node, nowMs()), n.member(), n.serving());
+                nodes.get(node).rules().told(heardMs(node, nowMs()), n.endpoint(), n.isServing());
             }
         }
         if (e.startedUs() > 0) {
-            started.put(n.member(), e.startedUs() / 1000.0);
+            started.put(n.endpoint(), e.startedUs() / 1000.0);
         }
     }
 
     /** When a member says that it started, by its own clock; 0 where it does not say. */
     static long startedEpochMs(EndpointListing n, long epochMs, double nowMs) {
-        long startedUs = n.listed().info().startedUs();
-        return startedUs == 0 ? 0 : epochMs - Math.round(nowMs - startedUs / 1000.0 - n.clockOffMs());
+        long startedUs = n.entry().info().startedUs();
+        return startedUs == 0 ? 0 : epochMs - Math.round(nowMs - startedUs / 1000.0 - n.clockOffsetMs());
     }
 
     /** What answers have told meanwhile, in the order in which they were given. */
@@ -357,7 +357,7 @@
      */
     private void awaitAnswers() throws IOException {
         dayIsOver = true;
-        while (tries.values().stream().anyMatch(t -> t.owed)) {
+        while (tries.values().stream().anyMatch(t -> t.answerPending)) {
             double before = nowMs();
             hearAll(before);
             handleSockets();
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/NodeConfigWriter.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/NodeConfigWriter.java
@@ -9,6 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import tulipshed.emulator.policy.EndpointListDelivery;
 import tulipshed.emulator.policy.EndpointListing;
 import tulipshed.emulator.scenario.Scenario;
 import tulipshed.emulator.scenario.Scenario.ClassOf;
@@ -26,7 +27,7 @@
             long seed,
             InetSocketAddress listen,
             InetSocketAddress discovery,
-            EndpointListing.Batch known,
+            EndpointListDelivery known,
             List<InetSocketAddress> members)
             throws IOException {
         ObjectNode all;
@@ -39,15 +40,15 @@
                 .put("seed", String.format("%016x", seed));
         ((ObjectNode) all.get("limits")).put("sockets", 8192);
         ArrayNode servers = ((ObjectNode) all.get("known")).putArray("servers");
-        for (EndpointListing n : known.news()) {
+        for (EndpointListing n : known.listings()) {
             servers.addObject()
-                    .put("id", n.listed().info().id())
-                    .put("addr", text(members.get(n.member())))
-                    .put("zone", n.listed().info().zone())
-                    .put("kind", n.listed().info().machineType())
+                    .put("id", n.entry().info().id())
+                    .put("addr", text(members.get(n.endpoint())))
+                    .put("zone", n.entry().info().zone())
+                    .put("kind", n.entry().info().machineType())
                     .put("cell", 0)
                     .put("state", "SERVING")
-                    .put("weight", n.listed().info().weight())
+                    .put("weight", n.entry().info().weight())
                     .put("started_ms", 0);
         }
         settings((ObjectNode) all.get("settings"), s, node);
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketEndpoint.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketEndpoint.java
@@ -51,7 +51,7 @@
         @Override
         public void line(LineConnection wire, String line) {
             if (flow != null) {
-                if (!flow.over && line.startsWith("M ") && run.runs(number)) {
+                if (!flow.ended && line.startsWith("M ") && run.runs(number)) {
                     wire.say(line);
                 }
                 return;
@@ -74,14 +74,14 @@
         @Override
         public void ended(LineConnection wire, boolean reset) {
             if (flow != null) {
-                run.nodeOf(flow.of).closedByNode(flow);
+                run.nodeOf(flow.request).closedByNode(flow);
             }
         }
     }
 
     /** What the emulated member made of a flow, in the member's own words. */
     static void end(EmulatedAttempt f, Outcome outcome) {
-        LineConnection w = (LineConnection) f.kept;
+        LineConnection w = (LineConnection) f.policyState;
         if (w == null || w.over()) {
             return;
         }
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
@@ -15,7 +15,7 @@
 import tulipshed.emulator.policy.ClientDemand;
 import tulipshed.emulator.policy.ClientRequest;
 import tulipshed.emulator.policy.EmulatedAttempt;
-import tulipshed.emulator.policy.EndpointListing;
+import tulipshed.emulator.policy.EndpointListDelivery;
 
 /** A node that is a process: its clients connect to it over loopback, its flows arrive at the members' sockets. */
 final class SocketNode extends NodeActor {
@@ -58,7 +58,7 @@
     }
 
     @Override
-    protected void begin(EndpointListing.Batch list) {
+    protected void begin(EndpointListDelivery list) {
         rules = newRules(SOCKETS_MS);
         clients.next(0);
     }
@@ -88,15 +88,15 @@
         public void line(LineConnection from, String line) {
             now();
             String word = line.contains(" ") ? line.substring(0, line.indexOf(' ')) : line;
-            if (t.standing) {
+            if (t.established) {
                 if (word.equals("M")) {
                     saidMs = Double.NaN;
                 } else if (word.equals("UP") || word.equals("BUSY") || word.equals("ERR")) {
-                    rules.answered(nowMs, t.watched, word);
+                    rules.answered(nowMs, t.observed, word);
                 }
                 if (word.equals("MOVE")) {
                     gone();
-                    if (t.flow == null || !t.flow.over) {
+                    if (t.attempt == null || !t.attempt.ended) {
                         // Its member counts those that it sends away itself.
                         count(tally().moves);
                     }
@@ -104,19 +104,19 @@
                 }
                 return;
             }
-            if (!t.owed) {
-                rules.answered(nowMs, t.watched, word + " after its answer");
+            if (!t.answerPending) {
+                rules.answered(nowMs, t.observed, word + " after its answer");
                 return;
             }
-            t.owed = false;
+            t.answerPending = false;
             if (word.equals("UP")) {
                 served++;
-                t.standing = true;
+                t.established = true;
                 standing.add(this);
                 remind(nowMs + SAYS_MS * random.nextDouble(), Kinds.SAYS, this, 0);
                 judgeAnswer(t, "served");
                 goOn(() -> clients.served(nowMs, t));
-                remind(Math.max(nowMs, t.wish.untilMs), Kinds.LIFE_OVER, this, 0);
+                remind(Math.max(nowMs, t.demand.wantedUntilMs), Kinds.LIFE_OVER, this, 0);
                 return;
             }
             remind(nowMs + LISTENS_ON_MS, Kinds.LIFE_OVER, this, 0);
@@ -131,21 +131,21 @@
         public void ended(LineConnection from, boolean reset) {
             now();
             drop();
-            if (t.standing) {
+            if (t.established) {
                 if (process.killed()) {
                     // Its members count all other resets.
                     count(tally().resets);
                 }
                 goOn(() -> clients.returns(nowMs, t));
-            } else if (t.owed) {
-                t.owed = false;
+            } else if (t.answerPending) {
+                t.answerPending = false;
                 if (process.killed()) {
-                    rules.left(t.watched);
+                    rules.left(t.observed);
                 } else {
-                    rules.closed(nowMs, t.watched);
+                    rules.closed(nowMs, t.observed);
                 }
-                goOn(() ->
-                        clients.again(nowMs, t.wish, world.scenario().clients().returnMs()));
+                goOn(() -> clients.again(
+                        nowMs, t.demand, world.scenario().clients().returnMs()));
             }
         }
 
@@ -167,7 +167,7 @@
         double sum = 0;
         for (Client c : standing) {
             if (!(atMs - c.saidMs > HEARS_MS)) {
-                sum += world.scenario().classes().get(c.t.wish.requestClass).worth();
+                sum += world.scenario().classes().get(c.t.demand.requestClass).worth();
             }
         }
         return sum;
@@ -194,7 +194,7 @@
      */
     private void judgeAnswer(ClientRequest t, String how) {
         rules.heldUp(Double.POSITIVE_INFINITY, dueMs(t) - latestMs(t));
-        rules.answered(nowMs, t.watched, how);
+        rules.answered(nowMs, t.observed, how);
         rules.heldUp(0, 0);
     }
 
@@ -204,7 +204,7 @@
 
     /** When the answer to a client is owed at the latest; infinite while the process is stopped. */
     private double dueMs(ClientRequest t) {
-        return pauses.dueMs(t.askedMs, latestMs(t));
+        return pauses.dueMs(t.arrivalMs, latestMs(t));
     }
 
     @Override
@@ -216,7 +216,7 @@
                 nowMs + graceMs,
                 rules.asked(nowMs, lastTry, nowMs + graceMs));
         Client c = new Client(t);
-        t.kept = c;
+        t.policyState = c;
         try {
             c.wire = run.connect(process.address(), c);
         } catch (ConnectException e) {
@@ -236,13 +236,13 @@
                 s.tenants().get(w.tenant).name(),
                 Math.round(graceMs),
                 w.group < 0 ? "" : ",g=g" + w.group,
-                w.returning ? ",again=1" : ""));
+                w.reconnecting ? ",again=1" : ""));
         remind(latestMs(t) + 1, Kinds.WAITED, t, 0);
     }
 
     @Override
     protected boolean unanswered(ClientRequest t) {
-        if (!t.owed) {
+        if (!t.answerPending) {
             return false;
         }
         double due = dueMs(t);
@@ -255,15 +255,15 @@
     }
 
     private void waitedInVain(ClientRequest t) {
-        t.owed = false;
-        rules.waited(nowMs, t.watched);
-        ((Client) t.kept).gone();
+        t.answerPending = false;
+        rules.waited(nowMs, t.observed);
+        ((Client) t.policyState).gone();
     }
 
     /** After the day's end: judges a client whose answer is overdue. */
     void judgeOverdue(ClientRequest t) {
         now();
-        if (t.owed && dueMs(t) < nowMs) {
+        if (t.answerPending && dueMs(t) < nowMs) {
             waitedInVain(t);
         }
     }
@@ -273,12 +273,12 @@
         now();
         endpointConnections++;
         EmulatedAttempt f = new EmulatedAttempt(t, member, nowMs, run.toldStartMs(member), this);
-        t.attempts++;
+        t.attemptCount++;
         // One that was held on its way comes after the one that took its place.
-        t.flow = t.flow == null || t.flow.over ? f : t.flow;
-        f.kept = wire;
+        t.attempt = t.attempt == null || t.attempt.ended ? f : t.attempt;
+        f.policyState = wire;
         if (!run.linked()) {
-            rules.sent(nowMs, t.watched, member);
+            rules.sent(nowMs, t.observed, member);
         }
         count(tally().attempts);
         sendToMember(member, Kinds.DIAL, f, 0);
@@ -288,17 +288,17 @@
     /** The node has ended a flow, because its client left or because it did not want to wait. */
     void closedByNode(EmulatedAttempt f) {
         now();
-        if (!f.over) {
-            f.over = true;
+        if (!f.ended) {
+            f.ended = true;
             over(f, "closed by the node");
-            sendToMember(f.member, Kinds.DROP, f, 0);
+            sendToMember(f.endpoint, Kinds.DROP, f, 0);
         }
     }
 
     /** Over links, the node's end of them says when a flow is over. */
     private void over(EmulatedAttempt f, String how) {
         if (!run.linked()) {
-            rules.over(nowMs, f.of.watched, how);
+            rules.over(nowMs, f.request.observed, how);
         }
     }
 
@@ -319,16 +319,16 @@
             case Kinds.UP -> up((EmulatedAttempt) m.what);
             case Kinds.ENDED -> {
                 EmulatedAttempt f = (EmulatedAttempt) m.what;
-                if (!f.over) {
-                    f.over = true;
+                if (!f.ended) {
+                    f.ended = true;
                     over(f, "" + Outcome.values()[(int) m.value]);
                     SocketEndpoint.end(f, Outcome.values()[(int) m.value]);
                 }
             }
             case Kinds.DELAY -> {
                 EmulatedAttempt f = (EmulatedAttempt) m.what;
-                if (!f.over) {
-                    ((LineConnection) f.kept).say("LOAD " + Math.round(m.value));
+                if (!f.ended) {
+                    ((LineConnection) f.policyState).say("LOAD " + Math.round(m.value));
                 }
             }
             case Kinds.SAYS -> {
@@ -364,8 +364,8 @@
     }
 
     private void up(EmulatedAttempt f) {
-        if (!f.over) {
-            ((LineConnection) f.kept).say("UP r" + Long.toHexString(f.of.id));
+        if (!f.ended) {
+            ((LineConnection) f.policyState).say("UP r" + Long.toHexString(f.request.id));
         }
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/Clients.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Clients.java
@@ -57,7 +57,7 @@
         if (factor > 0) {
             ClientDemand w = world.wish(random, nowMs);
             world.wants(node.tally(), w, nowMs);
-            w.firstAskedMs = nowMs;
+            w.firstRequestMs = nowMs;
             asks(nowMs, w);
             comes(nowMs, w);
         }
@@ -65,7 +65,7 @@
     }
 
     private boolean counted(ClientDemand w) {
-        return w.firstAskedMs >= world.scenario.settleMs();
+        return w.firstRequestMs >= world.scenario.settleMs();
     }
 
     private void asks(double nowMs, ClientDemand w) {
@@ -77,13 +77,13 @@
 
     public void comes(double nowMs, ClientDemand w) {
         double deadline = world.scenario.classes().get(w.requestClass).deadlineMs();
-        double left = w.firstAskedMs + deadline - nowMs;
-        if (left < LEAST_LEFT_MS || w.tries >= ways.tries()) {
+        double left = w.firstRequestMs + deadline - nowMs;
+        if (left < LEAST_LEFT_MS || w.requestCount >= ways.tries()) {
             rests(nowMs, w);
         } else if (!node.takes()) {
             node.elsewhere(w, nowMs + NO_NODE_MS);
         } else {
-            w.tries++;
+            w.requestCount++;
             node.asked(w, Math.min(left, deadline * ways.tryShare()));
         }
     }
@@ -102,9 +102,9 @@
     }
 
     private void begins(double atMs, ClientDemand w) {
-        if (atMs < w.untilMs) {
-            w.tries = 0;
-            w.firstAskedMs = atMs;
+        if (atMs < w.wantedUntilMs) {
+            w.requestCount = 0;
+            w.firstRequestMs = atMs;
             asks(atMs, w);
             node.elsewhere(w, atMs);
         }
@@ -112,12 +112,13 @@
 
     public void waited(double nowMs, ClientRequest t) {
         if (node.unanswered(t)) {
-            again(nowMs, t.wish, backoffMs(t.wish));
+            again(nowMs, t.demand, backoffMs(t.demand));
         }
     }
 
     private double backoffMs(ClientDemand w) {
-        double most = Math.min(ways.longestBackoffMs(), ways.backoffMs() * Math.pow(2, Math.max(0, w.tries - 1)));
+        double most =
+                Math.min(ways.longestBackoffMs(), ways.backoffMs() * Math.pow(2, Math.max(0, w.requestCount - 1)));
         return most * (0.5 + 0.5 * random.nextDouble());
     }
 
@@ -126,13 +127,13 @@
         boolean heeds = retryAfterMs > 0 && random.nextDouble() < ways.heed();
         double wait = nowMs < impatientUntilMs
                 ? ways.backoffMs() * random.nextDouble()
-                : heeds ? retryAfterMs * (1 + 0.1 * random.nextDouble()) : backoffMs(t.wish);
-        again(nowMs, t.wish, wait);
+                : heeds ? retryAfterMs * (1 + 0.1 * random.nextDouble()) : backoffMs(t.demand);
+        again(nowMs, t.demand, wait);
     }
 
     public void again(double nowMs, ClientDemand w, double waitMs) {
         double deadline = world.scenario.classes().get(w.requestClass).deadlineMs();
-        if (nowMs + waitMs + LEAST_LEFT_MS > w.firstAskedMs + deadline || w.tries >= ways.tries()) {
+        if (nowMs + waitMs + LEAST_LEFT_MS > w.firstRequestMs + deadline || w.requestCount >= ways.tries()) {
             rests(nowMs, w);
         } else {
             node.elsewhere(w, nowMs + waitMs);
@@ -141,8 +142,8 @@
 
     /** A client has its connection; the way back to it counts. */
     public void served(double nowMs, ClientRequest t) {
-        ClientDemand w = t.wish;
-        double took = nowMs + world.scenario.network().withinMs() - w.firstAskedMs;
+        ClientDemand w = t.demand;
+        double took = nowMs + world.scenario.network().withinMs() - w.firstRequestMs;
         Scenario.ClassOf c = world.scenario.classes().get(w.requestClass);
         node.tally().setupUs.recordValue(Math.min(3_600_000_000L, Math.round(took * 1000)));
         if (counted(w)) {
@@ -152,7 +153,7 @@
 
     /** A connection broke, or was moved: its client comes back for the rest of what it wanted. */
     public void returns(double nowMs, ClientRequest t) {
-        t.wish.returning = true;
-        begins(nowMs + ways.returnMs() * (0.5 + random.nextDouble()), t.wish);
+        t.demand.reconnecting = true;
+        begins(nowMs + ways.returnMs() * (0.5 + random.nextDouble()), t.demand);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedDiscovery.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedDiscovery.java
@@ -12,6 +12,7 @@
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.emulator.engine.Actor;
 import tulipshed.emulator.engine.Message;
+import tulipshed.emulator.policy.EndpointListDelivery;
 import tulipshed.emulator.policy.EndpointListing;
 import tulipshed.proxy.EndpointListEntry;
 
@@ -54,14 +55,14 @@
     }
 
     /** What every node is told at its start of the day. */
-    EndpointListing.Batch atStart() {
+    EndpointListDelivery atStart() {
         List<EndpointListing> all = new ArrayList<>();
         for (EndpointListing n : now) {
             if (n != null) {
                 all.add(n);
             }
         }
-        return new EndpointListing.Batch(EndpointListKind.CACHED, List.copyOf(all));
+        return new EndpointListDelivery(EndpointListKind.CACHED, List.copyOf(all));
     }
 
     private EndpointListing news(int member, EndpointStatus state, double startedMs) {
@@ -119,8 +120,8 @@
     /** A member's clock is so much ahead from now on; when it started is told anew, as that clock shows it. */
     private void stepClock(double nowMs, int member, double offMs) {
         clockOffMs[member] = offMs;
-        if (now[member] != null && now[member].listed().info().startedUs() > 0) {
-            EndpointInfo info = now[member].listed().info();
+        if (now[member] != null && now[member].entry().info().startedUs() > 0) {
+            EndpointInfo info = now[member].entry().info();
             change(nowMs, member, info.status(), info.startedUs() / 1000.0);
         }
     }
@@ -132,14 +133,14 @@
         }
         told = change + 1;
         onNews.accept(changes.get(change));
-        EndpointListing.Batch batch = new EndpointListing.Batch(EndpointListKind.CHANGES, List.of(changes.get(change)));
+        EndpointListDelivery batch = new EndpointListDelivery(EndpointListKind.CHANGES, List.of(changes.get(change)));
         for (int n = watching.nextSetBit(0); n >= 0; n = watching.nextSetBit(n + 1)) {
             toNode(nowMs, world.nodes[n], batch, change + 1);
         }
     }
 
     /** Over a cut it arrives once the way is back. */
-    private void toNode(double nowMs, NodeActor node, EndpointListing.Batch batch, int version) {
+    private void toNode(double nowMs, NodeActor node, EndpointListDelivery batch, int version) {
         double sentMs = world.cuts.backMs(site(), node.site, nowMs);
         send(sentMs + world.wayToDiscovery(node), node, Kinds.LIST, batch, version);
     }
@@ -171,24 +172,24 @@
         }
         watching.set(to.number);
         if (version < 0) {
-            toNode(nowMs, to, new EndpointListing.Batch(EndpointListKind.COMPLETE, complete()), told);
+            toNode(nowMs, to, new EndpointListDelivery(EndpointListKind.COMPLETE, complete()), told);
             return;
         }
         List<EndpointListing> since = version < told ? List.copyOf(changes.subList(version, told)) : List.of();
-        toNode(nowMs, to, new EndpointListing.Batch(EndpointListKind.CHANGES, since), told);
+        toNode(nowMs, to, new EndpointListDelivery(EndpointListKind.CHANGES, since), told);
     }
 
     /** The whole list as it is known by now. */
     private List<EndpointListing> complete() {
         Map<Integer, EndpointListing> all = new TreeMap<>();
-        world.atStart.news().forEach(n -> all.put(n.member(), n));
-        changes.subList(0, told).forEach(n -> all.put(n.member(), n));
-        all.values().removeIf(n -> n.listed().info().status() == EndpointStatus.REMOVED);
+        world.atStart.listings().forEach(n -> all.put(n.endpoint(), n));
+        changes.subList(0, told).forEach(n -> all.put(n.endpoint(), n));
+        all.values().removeIf(n -> n.entry().info().status() == EndpointStatus.REMOVED);
         return List.copyOf(all.values());
     }
 
     private void fail(double nowMs, NodeActor node) {
         failedCalls++;
-        toNode(nowMs, node, new EndpointListing.Batch(EndpointListKind.FAILED, List.of()), -1);
+        toNode(nowMs, node, new EndpointListDelivery(EndpointListKind.FAILED, List.of()), -1);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
@@ -11,15 +11,15 @@
 import tulipshed.emulator.engine.Message;
 import tulipshed.emulator.invariants.SlowStartInvariant;
 import tulipshed.emulator.policy.EmulatedAttempt;
+import tulipshed.emulator.policy.GroundTruth;
 import tulipshed.emulator.policy.PolicyFactory;
-import tulipshed.emulator.policy.PolicyHost;
 import tulipshed.emulator.scenario.Scenario;
 
 /**
  * A pool member: set-ups wait for its cores in order of arrival; standing connections ask for work that goes on, and where
  * that is more than it can do, work piles up and messages take long (docs/emulator-design.md gives the model).
  */
-final class EmulatedEndpoint extends Actor implements PolicyHost.Truth {
+final class EmulatedEndpoint extends Actor implements GroundTruth {
     private static final double TICK_MS = 150;
     private static final double NOTE_MS = 1000;
     private static final double SILENT_MS = 2000; // until a client gives up a member that says nothing
@@ -160,17 +160,17 @@
     }
 
     @Override
-    public double[] promised() {
+    public double[] committedLoad() {
         return promised;
     }
 
     @Override
-    public boolean holds(int group) {
+    public boolean holdsGroup(int group) {
         return standing.holds(group);
     }
 
     @Override
-    public PolicyHost.Truth at(double ms) {
+    public GroundTruth at(double ms) {
         return past == null ? this : past.at(ms, this);
     }
 
@@ -200,7 +200,7 @@
     // ---- Connections ----
 
     private void tell(double nowMs, EmulatedAttempt f, int kind, double value) {
-        NodeActor node = (NodeActor) f.from;
+        NodeActor node = (NodeActor) f.source;
         send(world.cuts.backMs(node.site, this, nowMs) + world.wayMs(site, node.site, random), node, kind, f, value);
     }
 
@@ -252,14 +252,14 @@
             return;
         }
         // Set up while nobody could hear of it, it stands once the way is back, if it is still wanted.
-        double until = Math.max(pausedUntilMs, world.cuts.backMs(((NodeActor) f.from).site, this, nowMs));
+        double until = Math.max(pausedUntilMs, world.cuts.backMs(((NodeActor) f.source).site, this, nowMs));
         if (nowMs < until) {
             remind(until, Kinds.TAKEN, f, of);
             return;
         }
         pending--;
         promised[0] = Math.max(0, promised[0] - f.load);
-        if (f.dropped) {
+        if (f.cancelled) {
             return;
         }
         account(nowMs);
@@ -275,8 +275,8 @@
     }
 
     private void drop(double nowMs, EmulatedAttempt f) {
-        f.dropped = true;
-        if (f.place >= 0) {
+        f.cancelled = true;
+        if (f.indexAtEndpoint >= 0) {
             account(nowMs);
             standing.remove(f);
         }
@@ -315,7 +315,7 @@
         // single
         // heavy one would push a member over that was sent two in as many seconds.
         double work = world.scenario.classes().get(from.requestClass).load();
-        cold.pushed(nowMs, work, able, from.believedStartMs >= startedMs - 1);
+        cold.pushed(nowMs, work, able, from.notifiedStartMs >= startedMs - 1);
         tally().strained(cold.strain(), cold.toldStrain());
         if (cold.falls()) {
             say(nowMs, "pushed over " + Math.round(nowMs - startedMs) + " ms after its start");
@@ -375,15 +375,16 @@
             noted = delay > noteFromMs;
             noticed.clear();
             for (EmulatedAttempt f : standing.flows()) {
-                if (noticed.add(((NodeActor) f.from).number)) {
+                if (noticed.add(((NodeActor) f.source).number)) {
                     tell(nowMs, f, Kinds.DELAY, delay);
                 }
             }
         }
         if (backlogMs > model.resetBacklogMs()) {
             List<EmulatedAttempt> heaviest = new ArrayList<>(standing.flows());
-            heaviest.sort(
-                    (a, b) -> a.load != b.load ? Double.compare(b.load, a.load) : Integer.compare(a.place, b.place));
+            heaviest.sort((a, b) -> a.load != b.load
+                    ? Double.compare(b.load, a.load)
+                    : Integer.compare(a.indexAtEndpoint, b.indexAtEndpoint));
             int many = (int) Math.ceil(standing.size() * model.resetShare());
             heaviest.subList(0, Math.min(many, heaviest.size())).forEach(f -> reset(nowMs, f, Outcome.RESET));
             backlogMs *= 1 - model.resetShare();
@@ -404,7 +405,7 @@
         account(nowMs);
         for (int i = standing.size() - 1; i >= 0; i--) {
             EmulatedAttempt f = standing.get(i);
-            if (world.cuts.backMs(((NodeActor) f.from).site, this, nowMs) > nowMs) {
+            if (world.cuts.backMs(((NodeActor) f.source).site, this, nowMs) > nowMs) {
                 standing.remove(f);
                 tally().at(tally().resets, nowMs);
             }
--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedNode.java
@@ -9,7 +9,9 @@
 import tulipshed.emulator.policy.ClientDemand;
 import tulipshed.emulator.policy.ClientRequest;
 import tulipshed.emulator.policy.EmulatedAttempt;
+import tulipshed.emulator.policy.EndpointListDelivery;
 import tulipshed.emulator.policy.EndpointListing;
+import tulipshed.emulator.policy.GroundTruth;
 import tulipshed.emulator.policy.HotRestart;
 import tulipshed.emulator.policy.Policy;
 import tulipshed.emulator.policy.PolicyHost;
@@ -42,22 +44,22 @@
     }
 
     @Override
-    protected void begin(EndpointListing.Batch list) {
+    protected void begin(EndpointListDelivery list) {
         start(list);
         clients.next(0);
     }
 
-    private void start(EndpointListing.Batch list) {
+    private void start(EndpointListDelivery list) {
         rules = newRules();
         rules.heldUp(holdUps.excusesUntilMs(), ProcessStalls.LONGEST_MS);
         policy = isHotRestarted ? new HotRestart(this, world.policies) : world.policies.apply(this);
-        policy.settle();
-        EndpointListing.Batch cached = new EndpointListing.Batch(EndpointListKind.CACHED, list.news());
+        policy.runReadyTasks();
+        EndpointListDelivery cached = new EndpointListDelivery(EndpointListKind.CACHED, list.listings());
         told(cached);
         hears(cached);
         if (world.scenario.discovery().pushed()) {
             // The node's own network code asks the agent, without the module's word.
-            watch();
+            watchEndpoints();
         }
     }
 
@@ -81,7 +83,7 @@
                 turn(() -> ended((EmulatedAttempt) m.what, Outcome.values()[(int) m.value]));
             }
             case Kinds.DELAY -> turn(() -> delayed((EmulatedAttempt) m.what, m.value));
-            case Kinds.LIST -> list((EndpointListing.Batch) m.what, (int) m.value);
+            case Kinds.LIST -> list((EndpointListDelivery) m.what, (int) m.value);
             case Kinds.LIFE_OVER -> turn(() -> lifeOver((EmulatedAttempt) m.what));
             case Kinds.LOAD_CHANGES -> turn(() -> loadChanges((EmulatedAttempt) m.what));
             case Kinds.LEAVES -> leaves((ClientRequest) m.what);
@@ -105,7 +107,7 @@
     @Override
     protected void settled() {
         if (up && !holdUps.isHeld(nowMs)) {
-            policy.settle();
+            policy.runReadyTasks();
         }
     }
 
@@ -120,7 +122,7 @@
         what.run();
         if (up && holdUps.isHeld(nowMs)) {
             // All that it leads to belongs to the turn that is held up.
-            policy.settle();
+            policy.runReadyTasks();
         }
     }
 
@@ -145,7 +147,7 @@
     }
 
     private String at(EmulatedAttempt f) {
-        return world.members[f.member].name;
+        return world.members[f.endpoint].name;
     }
 
     // ---- Clients ----
@@ -163,33 +165,33 @@
         keep(t);
         tell(
                 t,
-                "a client asks, try " + w.tries + (w.returning ? ", back after a break or a move" : "") + ", waits "
-                        + Math.round(graceMs) + " ms");
+                "a client asks, try " + w.requestCount + (w.reconnecting ? ", back after a break or a move" : "")
+                        + ", waits " + Math.round(graceMs) + " ms");
         remind(t.deadlineMs + SLACK_MS + 1, Kinds.WAITED, t, 0);
         if (random.nextDouble() < clients.giveUpShare()) {
             remind(nowMs + graceMs * random.nextDouble(), Kinds.LEAVES, t, 0);
         }
         turn(() -> {
-            if (t.place >= 0) {
-                t.arrived = true;
-                policy.arrived(t);
+            if (t.indexAtNode >= 0) {
+                t.received = true;
+                policy.requestArrived(t);
             }
         });
     }
 
     private void keep(ClientRequest t) {
-        t.place = tries.size();
+        t.indexAtNode = tries.size();
         tries.add(t);
     }
 
     private void forget(ClientRequest t) {
-        if (t.place >= 0) {
+        if (t.indexAtNode >= 0) {
             ClientRequest last = tries.remove(tries.size() - 1);
             if (last != t) {
-                tries.set(t.place, last);
-                last.place = t.place;
+                tries.set(t.indexAtNode, last);
+                last.indexAtNode = t.indexAtNode;
             }
-            t.place = -1;
+            t.indexAtNode = -1;
         }
     }
 
@@ -199,17 +201,17 @@
         ClientRequest t = new ClientRequest(++lastTry, w, 0, 0, rules.asked(0, lastTry, 0));
         keep(t);
         EmulatedAttempt f = new EmulatedAttempt(t, member, 0, Double.NaN, this);
-        t.flow = f;
-        t.attempts = 1;
-        rules.sent(0, t.watched, member);
-        rules.answered(0, t.watched, "served");
-        policy.alreadyOpen(t, f);
+        t.attempt = f;
+        t.attemptCount = 1;
+        rules.sent(0, t.observed, member);
+        rules.answered(0, t.observed, "served");
+        policy.connectionAdopted(t, f);
         stands(f);
         return f;
     }
 
     private void stands(EmulatedAttempt f) {
-        remind(Math.max(nowMs, f.of.wish.untilMs), Kinds.LIFE_OVER, f, 0);
+        remind(Math.max(nowMs, f.request.demand.wantedUntilMs), Kinds.LIFE_OVER, f, 0);
         double changes = world.scenario.clients().loadChangesPerS();
         if (changes > 0) {
             remind(nowMs + RandomStreams.exponential(random, 1000 / changes), Kinds.LOAD_CHANGES, f, 0);
@@ -217,9 +219,9 @@
     }
 
     private void leaves(ClientRequest t) {
-        if (t.owed && t.place >= 0) {
+        if (t.answerPending && t.indexAtNode >= 0) {
             tell(t, "the client leaves before it is answered");
-            rules.left(t.watched);
+            rules.left(t.observed);
             clients.leavesForGood();
             if (holdUps.isHeld(nowMs)) {
                 forget(t);
@@ -231,9 +233,9 @@
     }
 
     private void hasLeft(ClientRequest t) {
-        if (t.arrived) {
-            policy.left(t);
-            policy.settle();
+        if (t.received) {
+            policy.requestCancelled(t);
+            policy.runReadyTasks();
         }
         over(t);
     }
@@ -244,18 +246,18 @@
      */
     @Override
     protected boolean unanswered(ClientRequest t) {
-        if (t.place < 0 || t.standing || t.watched.answered()) {
+        if (t.indexAtNode < 0 || t.established || t.observed.answered()) {
             return false;
         }
-        t.gone = true;
+        t.clientTimedOut = true;
         remind(t.deadlineMs + LATE_MS, Kinds.OVERDUE, t, 0);
         return true;
     }
 
     private void overdue(ClientRequest t) {
-        rules.waited(nowMs, t.watched);
+        rules.waited(nowMs, t.observed);
         turn(() -> {
-            if (t.place >= 0 && !t.standing) {
+            if (t.indexAtNode >= 0 && !t.established) {
                 hasLeft(t);
             }
         });
@@ -263,27 +265,27 @@
 
     private void over(ClientRequest t) {
         forget(t);
-        if (t.flow != null) {
-            giveUp(t.flow);
+        if (t.attempt != null) {
+            cancel(t.attempt);
         }
     }
 
     // ---- Flows ----
 
     private void closes(EmulatedAttempt f) {
-        sendToMember(f.member, Kinds.DROP, f, 0);
+        sendToMember(f.endpoint, Kinds.DROP, f, 0);
     }
 
     private void up(EmulatedAttempt f) {
-        ClientRequest t = f.of;
-        if (t.place < 0 || f.over || !policy.up(f)) {
+        ClientRequest t = f.request;
+        if (t.indexAtNode < 0 || f.ended || !policy.attemptEstablished(f)) {
             closes(f);
             return;
         }
         tell(t, "served by " + at(f) + " after " + Math.round(nowMs - f.sentMs) + " ms");
         double answeredMs = writeMs();
-        rules.answered(answeredMs, t.watched, "served");
-        if (t.gone) {
+        rules.answered(answeredMs, t.observed, "served");
+        if (t.clientTimedOut) {
             lifeOver(f);
             return;
         }
@@ -292,53 +294,53 @@
     }
 
     private void ended(EmulatedAttempt f, Outcome outcome) {
-        ClientRequest t = f.of;
-        if (t.place < 0 || f.over) {
+        ClientRequest t = f.request;
+        if (t.indexAtNode < 0 || f.ended) {
             return;
         }
-        boolean stood = t.standing;
-        tell(t, (t.standing ? "the connection at " : "the flow to ") + at(f) + " ends: " + outcome);
-        f.over = true;
-        t.flow = null;
-        rules.over(nowMs, t.watched, outcome.name());
+        boolean stood = t.established;
+        tell(t, (t.established ? "the connection at " : "the flow to ") + at(f) + " ends: " + outcome);
+        f.ended = true;
+        t.attempt = null;
+        rules.over(nowMs, t.observed, outcome.name());
         if (stood) {
             forget(t);
         }
-        policy.ended(f, outcome);
-        policy.settle();
+        policy.attemptEnded(f, outcome);
+        policy.runReadyTasks();
         if (stood) {
             clients.returns(nowMs, t);
         }
     }
 
     private void delayed(EmulatedAttempt f, double ms) {
-        if (f.of.place >= 0 && f.of.standing && !f.over) {
-            tell(f.of, "messages at " + at(f) + " take " + Math.round(ms) + " ms");
-            policy.delayed(f, ms);
+        if (f.request.indexAtNode >= 0 && f.request.established && !f.ended) {
+            tell(f.request, "messages at " + at(f) + " take " + Math.round(ms) + " ms");
+            policy.latencyReported(f, ms);
         }
     }
 
     private void lifeOver(EmulatedAttempt f) {
-        ClientRequest t = f.of;
-        if (t.place >= 0 && t.standing && !f.over) {
-            f.over = true;
-            t.flow = null;
+        ClientRequest t = f.request;
+        if (t.indexAtNode >= 0 && t.established && !f.ended) {
+            f.ended = true;
+            t.attempt = null;
             forget(t);
             closes(f);
-            policy.ended(f, Outcome.OK);
+            policy.attemptEnded(f, Outcome.OK);
         }
     }
 
     private void loadChanges(EmulatedAttempt f) {
-        ClientRequest t = f.of;
-        if (t.place < 0 || !t.standing || f.over) {
+        ClientRequest t = f.request;
+        if (t.indexAtNode < 0 || !t.established || f.ended) {
             return;
         }
-        t.wish.load = t.wish.usualLoad
+        t.demand.load = t.demand.usualLoad
                 * RandomStreams.lognormal(random, world.scenario.clients().loadSwing());
-        sendToMember(f.member, Kinds.LOAD, f, t.wish.load);
+        sendToMember(f.endpoint, Kinds.LOAD, f, t.demand.load);
         if (world.scenario.clients().tellsLoad()) {
-            policy.loadChanged(f);
+            policy.loadReported(f);
         }
         remind(
                 nowMs
@@ -351,11 +353,11 @@
 
     // ---- The list ----
 
-    private void list(EndpointListing.Batch batch, int version) {
+    private void list(EndpointListDelivery batch, int version) {
         if (!up) {
             if (world.scenario.discovery().pushed()) {
                 // What the agent has counts as told to the next process from its first moment.
-                batch.news().forEach(known::started);
+                batch.listings().forEach(known::started);
             }
             return;
         }
@@ -367,27 +369,27 @@
         turn(() -> hears(batch));
     }
 
-    private void told(EndpointListing.Batch batch) {
-        for (EndpointListing n : batch.news()) {
-            rules.told(nowMs, n.member(), n.serving());
+    private void told(EndpointListDelivery batch) {
+        for (EndpointListing n : batch.listings()) {
+            rules.told(nowMs, n.endpoint(), n.isServing());
             known.started(n);
         }
         known.missing(batch).forEach(m -> rules.told(nowMs, m, false));
     }
 
-    private void hears(EndpointListing.Batch batch) {
+    private void hears(EndpointListDelivery batch) {
         if (world.tells(nowMs)) {
             tell(
                     null,
                     "list, " + batch.kind() + ": "
-                            + batch.news().stream()
+                            + batch.listings().stream()
                                     .limit(20)
-                                    .map(n -> n.listed().info().id() + " "
-                                            + n.listed().info().status())
+                                    .map(n -> n.entry().info().id() + " "
+                                            + n.entry().info().status())
                                     .toList());
         }
-        policy.list(batch);
-        policy.settle();
+        policy.endpointsChanged(batch);
+        policy.runReadyTasks();
     }
 
     /** The node's configuration is read again: discovery is elsewhere from now on. */
@@ -395,7 +397,7 @@
         if (up) {
             tell(null, "reads its configuration again");
             known.anew();
-            policy.reload();
+            policy.reconfigure();
         }
     }
 
@@ -427,10 +429,10 @@
             return;
         }
         policy.shutDown(List.copyOf(tries));
-        policy.settle();
+        policy.runReadyTasks();
         for (ClientRequest t : tries) {
-            if (t.owed) {
-                rules.closed(writeMs(), t.watched);
+            if (t.answerPending) {
+                rules.closed(writeMs(), t.observed);
             }
         }
         ends();
@@ -444,19 +446,19 @@
         holdUps.end();
         for (ClientRequest t : List.copyOf(tries)) {
             forget(t);
-            EmulatedAttempt f = t.flow;
+            EmulatedAttempt f = t.attempt;
             if (f != null) {
-                f.over = true;
-                t.flow = null;
+                f.ended = true;
+                t.attempt = null;
                 closes(f);
             }
-            if (t.standing && f != null) {
+            if (t.established && f != null) {
                 tally().at(tally().resets, nowMs);
                 clients.returns(nowMs, t);
-            } else if (t.owed) {
+            } else if (t.answerPending) {
                 // Nobody answers for a process that was killed; one that left in good order has been judged.
-                rules.left(t.watched);
-                clients.again(nowMs, t.wish, world.scenario.clients().returnMs() * (0.5 + random.nextDouble()));
+                rules.left(t.observed);
+                clients.again(nowMs, t.demand, world.scenario.clients().returnMs() * (0.5 + random.nextDouble()));
             }
         }
         remind(nowMs + world.scenario.nodes().restartMs(), Kinds.START, null, 0);
@@ -476,8 +478,8 @@
     }
 
     private void sendAway(ClientRequest t) {
-        if (up && t.place >= 0 && t.standing) {
-            move(t);
+        if (up && t.indexAtNode >= 0 && t.established) {
+            migrate(t);
         }
     }
 
@@ -487,9 +489,9 @@
      */
     private void cut() {
         for (ClientRequest t : tries) {
-            EmulatedAttempt f = t.flow;
-            double backMs = f == null ? nowMs : world.cuts.backMs(site, world.members[f.member], nowMs);
-            if (t.standing && backMs > nowMs) {
+            EmulatedAttempt f = t.attempt;
+            double backMs = f == null ? nowMs : world.cuts.backMs(site, world.members[f.endpoint], nowMs);
+            if (t.established && backMs > nowMs) {
                 double noticed = nowMs + SILENT_MS * (0.5 + 0.5 * random.nextDouble());
                 remind(
                         Math.min(noticed, backMs + world.scenario.network().leastMs()),
@@ -528,23 +530,23 @@
     }
 
     @Override
-    public int members() {
+    public int endpointCount() {
         return world.members.length;
     }
 
     @Override
-    public String nameOf(int member) {
+    public String endpointName(int member) {
         return world.members[member].name;
     }
 
     @Override
-    public EmulatedAttempt dial(ClientRequest t, int member) {
+    public EmulatedAttempt startAttempt(ClientRequest t, int member) {
         EmulatedAttempt f = new EmulatedAttempt(t, member, nowMs, known.startedMs(member), this);
-        t.attempts++;
-        t.flow = f;
-        tell(t, "attempt " + t.attempts + " to " + at(f));
+        t.attemptCount++;
+        t.attempt = f;
+        tell(t, "attempt " + t.attemptCount + " to " + at(f));
         double sentMs = writeMs();
-        rules.sent(sentMs, t.watched, member);
+        rules.sent(sentMs, t.observed, member);
         tally().at(tally().attempts, nowMs);
         double backMs = world.cuts.backMs(site, world.members[member], sentMs);
         if (backMs > sentMs) {
@@ -557,20 +559,20 @@
     }
 
     @Override
-    public void giveUp(EmulatedAttempt f) {
-        if (f.over) {
+    public void cancel(EmulatedAttempt f) {
+        if (f.ended) {
             return;
         }
-        f.over = true;
-        if (f.of.flow == f) {
-            f.of.flow = null;
+        f.ended = true;
+        if (f.request.attempt == f) {
+            f.request.attempt = null;
         }
-        rules.over(nowMs, f.of.watched, "given up");
+        rules.over(nowMs, f.request.observed, "given up");
         closes(f);
     }
 
     @Override
-    public void refuse(ClientRequest t, double retryAfterMs) {
+    public void reject(ClientRequest t, double retryAfterMs) {
         tell(t, "refused, to come again in " + Math.round(retryAfterMs) + " ms");
         turnedAway(t, "refused", tally().refused, retryAfterMs);
     }
@@ -583,51 +585,51 @@
 
     private void turnedAway(ClientRequest t, String how, long[] count, double retryAfterMs) {
         double answeredMs = writeMs();
-        rules.answered(answeredMs, t.watched, how);
-        if (t.place < 0) {
+        rules.answered(answeredMs, t.observed, how);
+        if (t.indexAtNode < 0) {
             return;
         }
         tally().at(count, nowMs);
         forget(t);
-        if (!t.gone) {
+        if (!t.clientTimedOut) {
             clients.refused(answeredMs, t, retryAfterMs);
         }
     }
 
     @Override
-    public void move(ClientRequest t) {
-        EmulatedAttempt f = t.flow;
-        if (t.place < 0 || !t.standing || f == null) {
+    public void migrate(ClientRequest t) {
+        EmulatedAttempt f = t.attempt;
+        if (t.indexAtNode < 0 || !t.established || f == null) {
             return;
         }
-        f.over = true;
-        t.flow = null;
+        f.ended = true;
+        t.attempt = null;
         forget(t);
         tell(t, "moved off " + at(f));
         tally().at(tally().moves, nowMs);
         closes(f);
         clients.returns(nowMs, t);
         // Told after the action, as of anything else that has ended.
-        after(0, () -> policy.ended(f, Outcome.OK));
+        schedule(0, () -> policy.attemptEnded(f, Outcome.OK));
     }
 
     @Override
-    public void after(double ms, Runnable what) {
+    public void schedule(double ms, Runnable what) {
         remind(nowMs + ms, Kinds.TIMER, new Later(generation, what), 0);
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
         // An agent is on the node's own machine; what it is not told over a cut comes once the way is back.
         if (world.scenario.discovery().pushed() || world.cuts.backMs(site, world.discovery.site(), nowMs) <= nowMs) {
             send(nowMs + world.wayToDiscovery(this), world.discovery, Kinds.WATCH, this, known.version());
         } else {
-            remind(nowMs + SILENT_MS, Kinds.LIST, new EndpointListing.Batch(EndpointListKind.FAILED, List.of()), -1);
+            remind(nowMs + SILENT_MS, Kinds.LIST, new EndpointListDelivery(EndpointListKind.FAILED, List.of()), -1);
         }
     }
 
     @Override
-    public Truth truth(int member) {
+    public GroundTruth groundTruth(int member) {
         return world.members[member];
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/EndpointHistory.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EndpointHistory.java
@@ -1,6 +1,6 @@
 package tulipshed.emulator.model;
 
-import tulipshed.emulator.policy.PolicyHost;
+import tulipshed.emulator.policy.GroundTruth;
 
 /** How a member was, tick by tick, for as long as anybody may ask: what those see that see true states late. */
 final class EndpointHistory {
@@ -13,15 +13,15 @@
             double load,
             double backlogMs,
             double strain,
-            double[] promised)
-            implements PolicyHost.Truth {
+            double[] committedLoad)
+            implements GroundTruth {
         @Override
-        public boolean holds(int group) {
+        public boolean holdsGroup(int group) {
             throw new UnsupportedOperationException("groups are not kept");
         }
 
         @Override
-        public PolicyHost.Truth at(double ms) {
+        public GroundTruth at(double ms) {
             return this;
         }
     }
@@ -30,13 +30,13 @@
     private int count;
 
     /** It is like this now. */
-    void note(double atMs, PolicyHost.Truth now) {
+    void note(double atMs, GroundTruth now) {
         states[count++ % TICKS] =
                 new State(atMs, now.alive(), now.capacity(), now.load(), now.backlogMs(), now.strain(), new double[1]);
     }
 
     /** The newest state that is at least that old, or the oldest kept; the state now where none is kept. */
-    PolicyHost.Truth at(double ms, PolicyHost.Truth now) {
+    GroundTruth at(double ms, GroundTruth now) {
         for (int i = count - 1; i >= Math.max(0, count - TICKS); i--) {
             State s = states[i % TICKS];
             if (s.atMs <= ms || i == Math.max(0, count - TICKS)) {
--- a/emulator/src/main/java/tulipshed/emulator/model/EstablishedLoad.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EstablishedLoad.java
@@ -52,7 +52,7 @@
     }
 
     void add(EmulatedAttempt f) {
-        f.place = flows.size();
+        f.indexAtEndpoint = flows.size();
         flows.add(f);
         counts[f.requestClass][f.tenant]++;
         cores += f.load;
@@ -64,10 +64,10 @@
     void remove(EmulatedAttempt f) {
         EmulatedAttempt last = flows.remove(flows.size() - 1);
         if (last != f) {
-            flows.set(f.place, last);
-            last.place = f.place;
+            flows.set(f.indexAtEndpoint, last);
+            last.indexAtEndpoint = f.indexAtEndpoint;
         }
-        f.place = -1;
+        f.indexAtEndpoint = -1;
         counts[f.requestClass][f.tenant]--;
         cores = flows.isEmpty() ? 0 : cores - f.load;
         if (f.group >= 0 && groups.merge(f.group, -1, Integer::sum) == 0) {
@@ -78,7 +78,7 @@
 
     /** A connection asks for so much from now on, in cores. */
     void load(EmulatedAttempt f, double now) {
-        if (f.place >= 0) {
+        if (f.indexAtEndpoint >= 0) {
             cores += now - f.load;
         }
         f.load = now;
--- a/emulator/src/main/java/tulipshed/emulator/model/Kinds.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Kinds.java
@@ -10,7 +10,7 @@
     public static final int UP = 5; // Flow: the member serves
     public static final int ENDED = 6; // Flow, outcome: the member ended it
     public static final int DELAY = 7; // Flow, milliseconds: messages there take so long
-    public static final int LIST = 8; // MemberNews.Batch
+    public static final int LIST = 8; // EndpointListDelivery
     public static final int LIFE_OVER = 9; // its own, Flow: the client has had what it wanted
     public static final int LOAD_CHANGES = 10; // its own, Flow
     public static final int LEAVES = 11; // its own, Try: the client leaves before it is answered
--- a/emulator/src/main/java/tulipshed/emulator/model/NodeActor.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/NodeActor.java
@@ -6,7 +6,7 @@
 import tulipshed.emulator.invariants.NodeInvariants;
 import tulipshed.emulator.policy.ClientDemand;
 import tulipshed.emulator.policy.ClientRequest;
-import tulipshed.emulator.policy.EndpointListing;
+import tulipshed.emulator.policy.EndpointListDelivery;
 
 /** The world's side of a node, emulated or a process of its own: where its clients come, and what its members see of it. */
 public abstract class NodeActor extends Actor {
@@ -31,7 +31,7 @@
     }
 
     /** The day begins; that is what discovery has told before. */
-    protected abstract void begin(EndpointListing.Batch list);
+    protected abstract void begin(EndpointListDelivery list);
 
     /** Whether the front layer sends it anybody. */
     protected abstract boolean takes();
--- a/emulator/src/main/java/tulipshed/emulator/model/NotifiedEndpoints.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/NotifiedEndpoints.java
@@ -9,16 +9,17 @@
 import java.util.TreeMap;
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
+import tulipshed.emulator.policy.EndpointListDelivery;
 import tulipshed.emulator.policy.EndpointListing;
 
 /** What a node was told of members, over all its processes. */
 final class NotifiedEndpoints {
-    private final EndpointListing.Batch atStart;
-    private final List<EndpointListing.Batch> heard = new ArrayList<>();
+    private final EndpointListDelivery atStart;
+    private final List<EndpointListDelivery> heard = new ArrayList<>();
     private final Map<Integer, Double> started = new HashMap<>();
     private int version;
 
-    NotifiedEndpoints(EndpointListing.Batch atStart) {
+    NotifiedEndpoints(EndpointListDelivery atStart) {
         this.atStart = atStart;
     }
 
@@ -33,17 +34,17 @@
     }
 
     /** What discovery told, up to that version. */
-    void hear(EndpointListing.Batch batch, int upTo) {
+    void hear(EndpointListDelivery batch, int upTo) {
         version = Math.max(version, upTo);
-        if (!batch.news().isEmpty()) {
+        if (!batch.listings().isEmpty()) {
             heard.add(batch);
         }
     }
 
     void started(EndpointListing n) {
-        long us = n.listed().info().startedUs();
+        long us = n.entry().info().startedUs();
         if (us > 0) {
-            started.put(n.member(), us / 1000.0);
+            started.put(n.endpoint(), us / 1000.0);
         }
     }
 
@@ -53,31 +54,31 @@
     }
 
     /** The list as this node last had it. */
-    EndpointListing.Batch remembered() {
+    EndpointListDelivery remembered() {
         Map<Integer, EndpointListing> last = last();
-        last.values().removeIf(n -> n.listed().info().status() == EndpointStatus.REMOVED);
-        return new EndpointListing.Batch(EndpointListKind.CACHED, List.copyOf(last.values()));
+        last.values().removeIf(n -> n.entry().info().status() == EndpointStatus.REMOVED);
+        return new EndpointListDelivery(EndpointListKind.CACHED, List.copyOf(last.values()));
     }
 
     private Map<Integer, EndpointListing> last() {
         Map<Integer, EndpointListing> last = new TreeMap<>();
-        atStart.news().forEach(n -> last.put(n.member(), n));
-        for (EndpointListing.Batch b : heard) {
+        atStart.listings().forEach(n -> last.put(n.endpoint(), n));
+        for (EndpointListDelivery b : heard) {
             if (b.kind() == EndpointListKind.COMPLETE) {
                 last.clear();
             }
-            b.news().forEach(n -> last.put(n.member(), n));
+            b.listings().forEach(n -> last.put(n.endpoint(), n));
         }
         return last;
     }
 
     /** Members once told of that a complete list does not name: it says that they are gone. */
-    List<Integer> missing(EndpointListing.Batch complete) {
+    List<Integer> missing(EndpointListDelivery complete) {
         if (complete.kind() == EndpointListKind.CHANGES || complete.kind() == EndpointListKind.FAILED) {
             return List.of();
         }
         Set<Integer> named = new HashSet<>();
-        complete.news().forEach(n -> named.add(n.member()));
+        complete.listings().forEach(n -> named.add(n.endpoint()));
         return last().keySet().stream().filter(m -> !named.contains(m)).toList();
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/World.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/World.java
@@ -11,6 +11,7 @@
 import tulipshed.emulator.engine.Actor;
 import tulipshed.emulator.engine.Engine;
 import tulipshed.emulator.policy.ClientDemand;
+import tulipshed.emulator.policy.EndpointListDelivery;
 import tulipshed.emulator.policy.EndpointListing;
 import tulipshed.emulator.policy.Policy;
 import tulipshed.emulator.policy.PolicyFactory;
@@ -32,7 +33,7 @@
     final EmulatedEndpoint[] members;
     final EmulatedDiscovery discovery;
     final Function<PolicyHost, Policy> policies;
-    final EndpointListing.Batch atStart;
+    final EndpointListDelivery atStart;
     final NetworkPartitions cuts = new NetworkPartitions();
     /** Members that run when the day begins; those after them come by a trouble. */
     final int listedAtStart;
@@ -136,7 +137,7 @@
             double at = scenario.settleMs() * random.nextDouble();
             ClientDemand w = wish(random, at);
             wants(tallies[0], w, at);
-            w.firstAskedMs = at;
+            w.firstRequestMs = at;
             nodes[random.nextInt(nodes.length)].remindSelf(at, Kinds.COMES, w);
         }
         for (int i = 0; i < scenario.clients().standing() && !scenario.clients().comeAtFirst(); i++) {
@@ -203,7 +204,7 @@
     }
 
     /** What discovery tells at the beginning. */
-    public EndpointListing.Batch atStart() {
+    public EndpointListDelivery atStart() {
         return atStart;
     }
 
@@ -260,7 +261,7 @@
 
     /** Counts what a client wants from now on, second by second. */
     void wants(Counters t, ClientDemand w, double nowMs) {
-        double until = Math.min(w.untilMs, scenario.lengthMs());
+        double until = Math.min(w.wantedUntilMs, scenario.lengthMs());
         for (double at = nowMs; at < until; ) {
             int second = (int) (at / 1000);
             double next = Math.min(until, (second + 1) * 1000.0);
--- a/emulator/src/main/java/tulipshed/emulator/policy/AttemptingPolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/AttemptingPolicy.java
@@ -18,87 +18,87 @@
     }
 
     /** A client asks. */
-    abstract void ask(ClientRequest t);
+    abstract void decide(ClientRequest request);
 
-    abstract void started(EmulatedAttempt f, double tookMs);
+    abstract void started(EmulatedAttempt attempt, double tookMs);
 
     /** A flow ended; {@code concluded} when nothing more is owed to the client. */
-    abstract void finished(EmulatedAttempt f, boolean concluded, Outcome outcome);
+    abstract void finished(EmulatedAttempt attempt, boolean concluded, Outcome outcome);
 
-    abstract void abandoned(ClientRequest t);
+    abstract void abandoned(ClientRequest request);
 
     @Override
-    public final void arrived(ClientRequest t) {
-        host.after(Math.max(0, t.leftMs(host.nowMs()) - MARGIN_MS), () -> overdue(t));
-        ask(t);
+    public final void requestArrived(ClientRequest request) {
+        host.schedule(Math.max(0, request.remainingMs(host.nowMs()) - MARGIN_MS), () -> timeOut(request));
+        decide(request);
     }
 
-    private void overdue(ClientRequest t) {
-        if (!t.owed) {
+    private void timeOut(ClientRequest request) {
+        if (!request.answerPending) {
             return;
         }
-        EmulatedAttempt f = t.flow;
-        if (f != null) {
-            host.giveUp(f);
-            finished(f, false, Outcome.TIMEOUT);
+        EmulatedAttempt attempt = request.attempt;
+        if (attempt != null) {
+            host.cancel(attempt);
+            finished(attempt, false, Outcome.TIMEOUT);
         }
     }
 
     /** Sends an attempt, bounded by a time-out where that is above 0. */
-    final EmulatedAttempt attempt(ClientRequest t, int member, double timeoutMs) {
-        EmulatedAttempt f = host.dial(t, member);
-        double left = t.leftMs(host.nowMs()) - MARGIN_MS;
+    final EmulatedAttempt startAttempt(ClientRequest request, int endpoint, double timeoutMs) {
+        EmulatedAttempt attempt = host.startAttempt(request, endpoint);
+        double left = request.remainingMs(host.nowMs()) - MARGIN_MS;
         if (timeoutMs > 0 && timeoutMs < left) {
-            host.after(timeoutMs, () -> {
-                if (!f.over && t.owed && t.flow == f) {
-                    host.giveUp(f);
-                    finished(f, false, Outcome.TIMEOUT);
+            host.schedule(timeoutMs, () -> {
+                if (!attempt.ended && request.answerPending && request.attempt == attempt) {
+                    host.cancel(attempt);
+                    finished(attempt, false, Outcome.TIMEOUT);
                 }
             });
         }
-        return f;
+        return attempt;
     }
 
     /** Stops waiting for an attempt. */
-    final void cancel(ClientRequest t) {
-        EmulatedAttempt f = t.flow;
-        if (f != null && !t.standing) {
-            host.giveUp(f);
-            finished(f, true, Outcome.CANCELLED);
+    final void cancelUnestablished(ClientRequest request) {
+        EmulatedAttempt attempt = request.attempt;
+        if (attempt != null && !request.established) {
+            host.cancel(attempt);
+            finished(attempt, true, Outcome.CANCELLED);
         }
     }
 
     @Override
-    public final boolean up(EmulatedAttempt f) {
-        if (f.over || !f.of.owed) {
+    public final boolean attemptEstablished(EmulatedAttempt attempt) {
+        if (attempt.ended || !attempt.request.answerPending) {
             return false;
         }
-        f.of.owed = false;
-        f.of.standing = true;
-        started(f, host.nowMs() - f.sentMs);
+        attempt.request.answerPending = false;
+        attempt.request.established = true;
+        started(attempt, host.nowMs() - attempt.sentMs);
         return true;
     }
 
     @Override
-    public final void ended(EmulatedAttempt f, Outcome outcome) {
-        finished(f, !f.of.owed, outcome);
+    public final void attemptEnded(EmulatedAttempt attempt, Outcome outcome) {
+        finished(attempt, !attempt.request.answerPending, outcome);
     }
 
     @Override
     public final void shutDown(List<ClientRequest> pending) {
-        for (ClientRequest t : pending) {
-            if (t.owed) {
-                left(t);
-                host.fail(t);
+        for (ClientRequest request : pending) {
+            if (request.answerPending) {
+                requestCancelled(request);
+                host.fail(request);
             }
         }
     }
 
     @Override
-    public final void left(ClientRequest t) {
-        t.owed = false;
-        abandoned(t);
+    public final void requestCancelled(ClientRequest request) {
+        request.answerPending = false;
+        abandoned(request);
         // Nobody waits for it either way.
-        cancel(t);
+        cancelUnestablished(request);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicies.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicies.java
@@ -13,8 +13,8 @@
         }
 
         @Override
-        int choose(ClientRequest t, int not) {
-            return any(not);
+        int choose(ClientRequest request, int excluded) {
+            return any(excluded);
         }
     }
 
@@ -25,9 +25,9 @@
         }
 
         @Override
-        int choose(ClientRequest t, int not) {
-            int a = any(not);
-            int b = any(not);
+        int choose(ClientRequest request, int excluded) {
+            int a = any(excluded);
+            int b = any(excluded);
             return a < 0 || open[b] / weight[b] >= open[a] / weight[a] ? a : b;
         }
     }
@@ -41,7 +41,7 @@
         }
 
         @Override
-        int choose(ClientRequest t, int not) {
+        int choose(ClientRequest request, int excluded) {
             if (servingCount() == 0) {
                 return -1;
             }
@@ -66,12 +66,12 @@
         }
 
         @Override
-        void came(int member) {
+        void came(int endpoint) {
             stale = true;
         }
 
         @Override
-        void went(int member) {
+        void went(int endpoint) {
             stale = true;
         }
 
@@ -100,7 +100,7 @@
         }
 
         @Override
-        int choose(ClientRequest t, int not) {
+        int choose(ClientRequest request, int excluded) {
             if (servingCount() == 0) {
                 return -1;
             }
@@ -113,16 +113,16 @@
                 all += open[serving(i)];
                 size += weight[serving(i)];
             }
-            long key = mix(t.wish.group >= 0 ? -1L - t.wish.group : t.id * 31 + host.node());
+            long key = mix(request.demand.group >= 0 ? -1L - request.demand.group : request.id * 31 + host.node());
             int at = Arrays.binarySearch(ring, key);
             at = at < 0 ? -at - 1 : at;
             for (int i = 0; i < ring.length; i++) {
-                int m = owner[(at + i) % ring.length];
-                if (m != not && open[m] < Math.ceil(BOUND * all * weight[m] / size)) {
-                    return m;
+                int endpoint = owner[(at + i) % ring.length];
+                if (endpoint != excluded && open[endpoint] < Math.ceil(BOUND * all * weight[endpoint] / size)) {
+                    return endpoint;
                 }
             }
-            return any(not);
+            return any(excluded);
         }
     }
 
@@ -137,26 +137,26 @@
 
         PeakEwma(PolicyHost host) {
             super(host);
-            mean = new double[host.members()];
-            at = new double[host.members()];
+            mean = new double[host.endpointCount()];
+            at = new double[host.endpointCount()];
         }
 
         @Override
-        void took(int member, double ms) {
+        void took(int endpoint, double ms) {
             double now = host.nowMs();
-            double old = Math.exp((at[member] - now) / DECAY_MS);
-            mean[member] = ms > mean[member] ? ms : mean[member] * old + ms * (1 - old);
-            at[member] = now;
+            double old = Math.exp((at[endpoint] - now) / DECAY_MS);
+            mean[endpoint] = ms > mean[endpoint] ? ms : mean[endpoint] * old + ms * (1 - old);
+            at[endpoint] = now;
         }
 
-        private double cost(int m) {
-            return (mean[m] + 1) * (open[m] + 1) / weight[m];
+        private double cost(int endpoint) {
+            return (mean[endpoint] + 1) * (open[endpoint] + 1) / weight[endpoint];
         }
 
         @Override
-        int choose(ClientRequest t, int not) {
-            int a = any(not);
-            int b = any(not);
+        int choose(ClientRequest request, int excluded) {
+            int a = any(excluded);
+            int b = any(excluded);
             return a < 0 || cost(b) >= cost(a) ? a : b;
         }
     }
@@ -174,22 +174,22 @@
         }
 
         @Override
-        int choose(ClientRequest t, int not) {
+        int choose(ClientRequest request, int excluded) {
             int best = -1;
             double least = MOST;
             for (int i = 0; i < servingCount(); i++) {
-                PolicyHost.Truth truth = host.truth(serving(i));
-                if (!truth.alive() || serving(i) == not || truth.strain() > STRAIN || truth.backlogMs() > 0) {
+                GroundTruth state = host.groundTruth(serving(i));
+                if (!state.alive() || serving(i) == excluded || state.strain() > STRAIN || state.backlogMs() > 0) {
                     continue;
                 }
-                double share = (truth.load() + truth.promised()[0] + t.wish.load) / truth.capacity();
+                double share = (state.load() + state.committedLoad()[0] + request.demand.load) / state.capacity();
                 if (share < least) {
                     least = share;
                     best = serving(i);
                 }
             }
             if (best >= 0) {
-                host.truth(best).promised()[0] += t.wish.load;
+                host.groundTruth(best).committedLoad()[0] += request.demand.load;
             }
             return best;
         }
--- a/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicy.java
@@ -21,22 +21,22 @@
     BaselinePolicy(PolicyHost host) {
         super(host);
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {host.seed(), 0x7A11D});
-        int n = host.members();
+        int n = host.endpointCount();
         placeOf = new int[n];
         java.util.Arrays.fill(placeOf, -1);
         weight = new double[n];
         open = new int[n];
-        host.after(random.nextDouble() * ASK_MS, host::watch);
+        host.schedule(random.nextDouble() * ASK_MS, host::watchEndpoints);
     }
 
     /** A member to try, other than one just tried where there is a choice; below 0 where there is none. */
-    abstract int choose(ClientRequest t, int not);
+    abstract int choose(ClientRequest request, int excluded);
 
-    void came(int member) {}
+    void came(int endpoint) {}
 
-    void went(int member) {}
+    void went(int endpoint) {}
 
-    void took(int member, double ms) {}
+    void took(int endpoint, double ms) {}
 
     final int servingCount() {
         return count;
@@ -46,104 +46,108 @@
         return serving[i];
     }
 
-    final int any(int not) {
+    final int any(int excluded) {
         if (count == 0) {
             return -1;
         }
-        int m = serving[random.nextInt(count)];
-        return m == not && count > 1 ? serving[(placeOf[m] + 1 + random.nextInt(count - 1)) % count] : m;
+        int endpoint = serving[random.nextInt(count)];
+        return endpoint == excluded && count > 1
+                ? serving[(placeOf[endpoint] + 1 + random.nextInt(count - 1)) % count]
+                : endpoint;
     }
 
     @Override
-    public void list(EndpointListing.Batch batch) {
-        if (batch.kind() == EndpointListKind.FAILED) {
-            host.after(ASK_MS * (0.5 + random.nextDouble()), host::watch);
+    public void endpointsChanged(EndpointListDelivery delivery) {
+        if (delivery.kind() == EndpointListKind.FAILED) {
+            host.schedule(ASK_MS * (0.5 + random.nextDouble()), host::watchEndpoints);
             return;
         }
-        if (batch.kind() != EndpointListKind.CHANGES) {
+        if (delivery.kind() != EndpointListKind.CHANGES) {
             while (count > 0) {
                 remove(serving[count - 1]);
             }
         }
-        for (EndpointListing n : batch.news()) {
-            weight[n.member()] = n.listed().info().weight();
-            if (n.serving() && placeOf[n.member()] < 0) {
+        for (EndpointListing listing : delivery.listings()) {
+            weight[listing.endpoint()] = listing.entry().info().weight();
+            if (listing.isServing() && placeOf[listing.endpoint()] < 0) {
                 if (count == serving.length) {
                     serving = java.util.Arrays.copyOf(serving, Math.max(16, 2 * count));
                 }
-                placeOf[n.member()] = count;
-                serving[count++] = n.member();
-                came(n.member());
-            } else if (!n.serving() && placeOf[n.member()] >= 0) {
-                remove(n.member());
+                placeOf[listing.endpoint()] = count;
+                serving[count++] = listing.endpoint();
+                came(listing.endpoint());
+            } else if (!listing.isServing() && placeOf[listing.endpoint()] >= 0) {
+                remove(listing.endpoint());
             }
         }
     }
 
     @Override
-    public void reload() {
-        host.watch();
+    public void reconfigure() {
+        host.watchEndpoints();
     }
 
-    private void remove(int member) {
-        int at = placeOf[member];
+    private void remove(int endpoint) {
+        int at = placeOf[endpoint];
         int last = serving[--count];
         serving[at] = last;
         placeOf[last] = at;
-        placeOf[member] = -1;
-        went(member);
+        placeOf[endpoint] = -1;
+        went(endpoint);
     }
 
     @Override
-    final void ask(ClientRequest t) {
-        place(t, -1);
+    final void decide(ClientRequest request) {
+        place(request, -1);
     }
 
-    private void place(ClientRequest t, int not) {
-        double left = t.leftMs(host.nowMs());
-        int m = t.attempts < host.scenario().nodes().maxAttempts() && left > 60 ? choose(t, not) : -1;
-        if (m < 0) {
-            t.owed = false;
-            host.refuse(
-                    t,
+    private void place(ClientRequest request, int excluded) {
+        double left = request.remainingMs(host.nowMs());
+        int endpoint = request.attemptCount < host.scenario().nodes().maxAttempts() && left > 60
+                ? choose(request, excluded)
+                : -1;
+        if (endpoint < 0) {
+            request.answerPending = false;
+            host.reject(
+                    request,
                     Math.min(RETRY_MS, host.scenario().nodes().maxRetryAfterMs())
                             * (0.75 + 0.25 * random.nextDouble()));
             return;
         }
-        open[m]++;
-        boolean last = t.attempts + 1 >= host.scenario().nodes().maxAttempts();
-        attempt(t, m, last ? 0 : left / 2);
+        open[endpoint]++;
+        boolean last = request.attemptCount + 1 >= host.scenario().nodes().maxAttempts();
+        startAttempt(request, endpoint, last ? 0 : left / 2);
     }
 
     @Override
-    public final void alreadyOpen(ClientRequest t, EmulatedAttempt f) {
-        t.owed = false;
-        t.standing = true;
-        open[f.member]++;
+    public final void connectionAdopted(ClientRequest request, EmulatedAttempt attempt) {
+        request.answerPending = false;
+        request.established = true;
+        open[attempt.endpoint]++;
     }
 
     @Override
-    void started(EmulatedAttempt f, double tookMs) {
-        took(f.member, tookMs);
+    void started(EmulatedAttempt attempt, double tookMs) {
+        took(attempt.endpoint, tookMs);
     }
 
     @Override
-    void finished(EmulatedAttempt f, boolean concluded, Outcome outcome) {
-        open[f.member]--;
-        if (!f.of.standing && outcome != Outcome.CANCELLED) {
-            took(f.member, Math.max(1000, host.nowMs() - f.sentMs));
+    void finished(EmulatedAttempt attempt, boolean concluded, Outcome outcome) {
+        open[attempt.endpoint]--;
+        if (!attempt.request.established && outcome != Outcome.CANCELLED) {
+            took(attempt.endpoint, Math.max(1000, host.nowMs() - attempt.sentMs));
         }
         if (!concluded) {
-            place(f.of, f.member);
+            place(attempt.request, attempt.endpoint);
         }
     }
 
     @Override
-    void abandoned(ClientRequest t) {}
+    void abandoned(ClientRequest request) {}
 
     @Override
-    public void delayed(EmulatedAttempt f, double delayMs) {}
+    public void latencyReported(EmulatedAttempt attempt, double delayMs) {}
 
     @Override
-    public void loadChanged(EmulatedAttempt f) {}
+    public void loadReported(EmulatedAttempt attempt) {}
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/ClientDemand.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ClientDemand.java
@@ -1,30 +1,48 @@
 package tulipshed.emulator.policy;
 
-/** What one client wants: a connection, until its life is over. Goes with the client from node to node. */
+/**
+ * The connection that a client wants until a given time. It goes with the client from node to node; only the node that
+ * the client asks at the time may change it.
+ */
 public final class ClientDemand {
+    /** Index of the request class in the scenario. */
     public final int requestClass;
+
+    /** Index of the tenant in the scenario. */
     public final int tenant;
-    /** Its group, or below 0. */
+
+    /** The client's affinity group; below 0 for none. */
     public final int group;
-    /** Work a second at its member, in cores, as usual and now. */
+
+    /** Usual load of the connection at its endpoint, in cores of speed 1. */
     public final double usualLoad;
 
+    /** Present load of the connection at its endpoint, in cores of speed 1. */
     public double load;
-    /** Until when it wants its connection, wherever that stands. */
-    public final double untilMs;
-    /** When it began to want its connection, this time. */
-    public double firstAskedMs;
 
-    public int tries;
-    /** Whether it had one before that broke or was moved. */
-    public boolean returning;
+    /** Virtual time until which the client wants a connection, wherever it is established. */
+    public final double wantedUntilMs;
+
+    /** Virtual time of the first request for the connection that the client wants now. */
+    public double firstRequestMs;
+
+    /** Requests since {@link #firstRequestMs}. */
+    public int requestCount;
+
+    /** Whether the client had a connection before, which broke or was migrated. */
+    public boolean reconnecting;
 
-    public ClientDemand(int requestClass, int tenant, int group, double load, double untilMs) {
+    /**
+     * A demand of which nothing has been asked yet.
+     *
+     * @param load usual and present load, in cores of speed 1
+     */
+    public ClientDemand(int requestClass, int tenant, int group, double load, double wantedUntilMs) {
         this.requestClass = requestClass;
         this.tenant = tenant;
         this.group = group;
         this.usualLoad = load;
         this.load = load;
-        this.untilMs = untilMs;
+        this.wantedUntilMs = wantedUntilMs;
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/ClientRequest.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ClientRequest.java
@@ -2,43 +2,65 @@
 
 import tulipshed.emulator.invariants.NodeInvariants;
 
-/** One coming of a client to a node, from its asking to the end of what came of it. */
+/**
+ * One request of a client at one node, until it is answered and its connection, if any, has ended. Its node and the
+ * node's policy share its fields.
+ */
 public final class ClientRequest {
+    /** Number of the request at its node. */
     public final long id;
-    public final ClientDemand wish;
-    public final double askedMs;
+
+    /** What the client wants. */
+    public final ClientDemand demand;
+
+    /** Virtual time at which it arrived. */
+    public final double arrivalMs;
+
+    /** Virtual time until which the client waits for the answer. */
     public final double deadlineMs;
-    public final NodeInvariants.Watched watched;
+
+    /** The record by which the invariants follow it. */
+    public final NodeInvariants.Watched observed;
+
     /** Whether its final answer is still owed. */
-    public boolean owed = true;
+    public boolean answerPending = true;
 
-    /** Whether the process has read it. */
-    public boolean arrived;
+    /** Whether the node's process has read it. */
+    public boolean received;
 
-    public boolean standing;
-    /** Whether its client has waited in vain and gone on. */
-    public boolean gone;
-    /** The flow that is out or stands, or null. */
-    public EmulatedAttempt flow;
+    /** Whether its connection is established. */
+    public boolean established;
 
-    public int attempts;
-    /** Its place among what the node holds. */
-    public int place = -1;
-    /** The process that decides of it, where a node has several. */
+    /** Whether the client stopped waiting because no answer came in time. */
+    public boolean clientTimedOut;
+
+    /** The attempt in progress or the established connection; null for none. */
+    public EmulatedAttempt attempt;
+
+    /** Number of attempts so far. */
+    public int attemptCount;
+
+    /** Its index in the node's list of requests; below 0 once the node has dropped it. */
+    public int indexAtNode = -1;
+
+    /** The process that decides on it, during a hot restart. */
     Object process;
-    /** What the policy keeps with it. */
-    public Object kept;
 
+    /** The policy's own state of the request. */
+    public Object policyState;
+
+    /** A request that has just arrived. */
     public ClientRequest(
-            long id, ClientDemand wish, double askedMs, double deadlineMs, NodeInvariants.Watched watched) {
+            long id, ClientDemand demand, double arrivalMs, double deadlineMs, NodeInvariants.Watched observed) {
         this.id = id;
-        this.wish = wish;
-        this.askedMs = askedMs;
+        this.demand = demand;
+        this.arrivalMs = arrivalMs;
         this.deadlineMs = deadlineMs;
-        this.watched = watched;
+        this.observed = observed;
     }
 
-    public double leftMs(double nowMs) {
+    /** Milliseconds until the client stops waiting; negative afterwards. */
+    public double remainingMs(double nowMs) {
         return deadlineMs - nowMs;
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/CorePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/CorePolicy.java
@@ -56,16 +56,16 @@
         this.numbers = numbers;
         this.trustsClocks = trustsClocks;
         startTimes = new EndpointStartTimes(host::clockMs);
-        Scenario s = host.scenario();
+        Scenario scenario = host.scenario();
         core = new ProxyCore(
                 host::clockMs,
                 Limits.forDescriptors(DESCRIPTORS),
-                SettingsFactory.of(s, host.node()),
+                SettingsFactory.of(scenario, host.node()),
                 host.seed(),
                 this,
                 ERRORS,
                 Balancer::new);
-        core.endpointListSource(host::watch);
+        core.endpointListSource(host::watchEndpoints);
     }
 
     /** One client's transaction, as its front would hold it. */
@@ -73,43 +73,43 @@
         private final ClientRequest t;
         private final Request transaction;
 
-        Client(ClientRequest t, boolean stoodBefore) {
-            this.t = t;
-            ClientDemand w = t.wish;
-            Scenario s = host.scenario();
+        Client(ClientRequest request, boolean stoodBefore) {
+            this.t = request;
+            ClientDemand demand = request.demand;
+            Scenario scenario = host.scenario();
             transaction = new Request(
                     this,
                     CorePolicy.this,
                     new Request.Attributes(
-                            w.requestClass,
-                            w.tenant,
-                            "k" + t.id,
-                            SettingsFactory.group(w),
-                            t.leftMs(host.nowMs()),
-                            s.clients().hints() ? w.usualLoad * 1e6 : 0,
-                            w.tries > 1,
-                            w.returning),
+                            demand.requestClass,
+                            demand.tenant,
+                            "k" + request.id,
+                            SettingsFactory.group(demand),
+                            request.remainingMs(host.nowMs()),
+                            scenario.clients().hints() ? demand.usualLoad * 1e6 : 0,
+                            demand.requestCount > 1,
+                            demand.reconnecting),
                     host.clockMs(),
                     stoodBefore);
         }
 
         @Override
         public void reject(double retryAfterMs) {
-            t.owed = false;
+            t.answerPending = false;
             forget(t);
-            host.refuse(t, retryAfterMs);
+            host.reject(t, retryAfterMs);
         }
 
         @Override
         public void fail() {
-            t.owed = false;
+            t.answerPending = false;
             forget(t);
             host.fail(t);
         }
 
         @Override
         public void migrate() {
-            host.move(t);
+            host.migrate(t);
         }
     }
 
@@ -122,11 +122,11 @@
 
     @Override
     public void schedule(double ms, Runnable task) {
-        host.after(ms, task);
+        host.schedule(ms, task);
     }
 
     @Override
-    public void settle() {
+    public void runReadyTasks() {
         Runnable task;
         while ((task = ready.poll()) != null) {
             task.run();
@@ -134,21 +134,21 @@
     }
 
     @Override
-    public void reload() {
+    public void reconfigure() {
         core.reconfigure(SettingsFactory.of(host.scenario(), host.node()));
         // As the node's own watch does when discovery moves: asked for all, at once.
-        host.watch();
+        host.watchEndpoints();
     }
 
     @Override
-    public void quotaShare(double share) {
+    public void quotaShareChanged(double share) {
         core.quotaShare(share);
     }
 
     @Override
     public void shutDown(List<ClientRequest> pending) {
         core.rejectAllPending();
-        settle();
+        runReadyTasks();
     }
 
     // ---- The connector ----
@@ -157,8 +157,8 @@
     public void open(Attempt attempt) {
         Client c = client(attempt);
         if (standing != null) {
-            standing.kept = attempt;
-            c.t.kept = c;
+            standing.policyState = attempt;
+            c.t.policyState = c;
             core.attemptEstablished(attempt);
             standing = null;
             return;
@@ -167,16 +167,17 @@
             core.attemptEnded(attempt, Outcome.UNUSED);
             return;
         }
-        EmulatedAttempt f = host.dial(c.t, numbers.get(attempt.endpoint().id()));
-        f.kept = attempt;
+        EmulatedAttempt emulated =
+                host.startAttempt(c.t, numbers.get(attempt.endpoint().id()));
+        emulated.policyState = attempt;
         core.attemptForwarded();
     }
 
     @Override
     public void abandon(Attempt attempt) {
         Client c = client(attempt);
-        if (c != null && c.t.flow != null && c.t.flow.kept == attempt) {
-            host.giveUp(c.t.flow);
+        if (c != null && c.t.attempt != null && c.t.attempt.policyState == attempt) {
+            host.cancel(c.t.attempt);
         }
     }
 
@@ -184,8 +185,8 @@
         return byTransaction.get(attempt.request());
     }
 
-    private void forget(ClientRequest t) {
-        if (t.kept instanceof Client c) {
+    private void forget(ClientRequest request) {
+        if (request.policyState instanceof Client c) {
             byTransaction.remove(c.transaction);
         }
     }
@@ -193,21 +194,21 @@
     // ---- What happens ----
 
     @Override
-    public void list(EndpointListing.Batch batch) {
+    public void endpointsChanged(EndpointListDelivery delivery) {
         List<EndpointListEntry> entries = trustsClocks
-                ? batch.news().stream().map(CorePolicy::asStamped).toList()
+                ? delivery.listings().stream().map(CorePolicy::asStamped).toList()
                 : startTimes.translate(
-                        batch.kind(),
-                        batch.news().stream().map(CorePolicy::asListed).toList());
-        core.endpointsChanged(batch.kind(), entries);
+                        delivery.kind(),
+                        delivery.listings().stream().map(CorePolicy::asListed).toList());
+        core.endpointsChanged(delivery.kind(), entries);
     }
 
     /** What discovery says of a member: its start is a wall time, on the clock of the member's machine. */
-    private static ListedEndpoint asListed(EndpointListing news) {
-        EndpointInfo info = news.listed().info();
+    private static ListedEndpoint asListed(EndpointListing listing) {
+        EndpointInfo info = listing.entry().info();
         WallTime started = info.startedUs() == 0
                 ? ListedEndpoint.LONG_AGO
-                : new WallTime(BEGINNING_EPOCH_MS + Math.round(info.startedUs() / 1000.0 + news.clockOffMs()));
+                : new WallTime(BEGINNING_EPOCH_MS + Math.round(info.startedUs() / 1000.0 + listing.clockOffsetMs()));
         return new ListedEndpoint(
                 info.id(),
                 info.status(),
@@ -216,13 +217,13 @@
                 info.machineType(),
                 info.weight(),
                 started,
-                news.listed().address());
+                listing.entry().address());
     }
 
     /** The same as a node would take it that held all clocks for one. */
-    private static EndpointListEntry asStamped(EndpointListing news) {
-        EndpointInfo info = news.listed().info();
-        long startedUs = info.startedUs() == 0 ? 0 : info.startedUs() + SettingsFactory.us(news.clockOffMs());
+    private static EndpointListEntry asStamped(EndpointListing listing) {
+        EndpointInfo info = listing.entry().info();
+        long startedUs = info.startedUs() == 0 ? 0 : info.startedUs() + SettingsFactory.us(listing.clockOffsetMs());
         return new EndpointListEntry(
                 new EndpointInfo(
                         info.id(),
@@ -232,65 +233,65 @@
                         info.machineType(),
                         info.weight(),
                         startedUs),
-                news.listed().address());
+                listing.entry().address());
     }
 
     @Override
-    public void arrived(ClientRequest t) {
-        Client c = new Client(t, false);
-        t.kept = c;
+    public void requestArrived(ClientRequest request) {
+        Client c = new Client(request, false);
+        request.policyState = c;
         byTransaction.put(c.transaction, c);
         core.requestArrived(c.transaction);
     }
 
     @Override
-    public void alreadyOpen(ClientRequest t, EmulatedAttempt f) {
-        Client c = new Client(t, true);
-        t.kept = c;
-        t.owed = false;
-        t.standing = true;
+    public void connectionAdopted(ClientRequest request, EmulatedAttempt attempt) {
+        Client c = new Client(request, true);
+        request.policyState = c;
+        request.answerPending = false;
+        request.established = true;
         byTransaction.put(c.transaction, c);
-        standing = f;
-        core.adoptConnection(c.transaction, host.nameOf(f.member));
-        settle();
+        standing = attempt;
+        core.adoptConnection(c.transaction, host.endpointName(attempt.endpoint));
+        runReadyTasks();
         standing = null;
     }
 
     @Override
-    public boolean up(EmulatedAttempt f) {
-        if (f.over || !core.attemptEstablished((Attempt) f.kept)) {
+    public boolean attemptEstablished(EmulatedAttempt attempt) {
+        if (attempt.ended || !core.attemptEstablished((Attempt) attempt.policyState)) {
             return false;
         }
-        f.of.owed = false;
-        f.of.standing = true;
+        attempt.request.answerPending = false;
+        attempt.request.established = true;
         return true;
     }
 
     @Override
-    public void ended(EmulatedAttempt f, Outcome outcome) {
-        if (f.kept != null) {
-            core.attemptEnded((Attempt) f.kept, outcome);
+    public void attemptEnded(EmulatedAttempt attempt, Outcome outcome) {
+        if (attempt.policyState != null) {
+            core.attemptEnded((Attempt) attempt.policyState, outcome);
         }
-        if (!f.of.owed) {
-            forget(f.of);
+        if (!attempt.request.answerPending) {
+            forget(attempt.request);
         }
     }
 
     @Override
-    public void left(ClientRequest t) {
-        t.owed = false;
-        core.clientDisconnected(((Client) t.kept).transaction);
-        settle();
-        forget(t);
+    public void requestCancelled(ClientRequest request) {
+        request.answerPending = false;
+        core.clientDisconnected(((Client) request.policyState).transaction);
+        runReadyTasks();
+        forget(request);
     }
 
     @Override
-    public void delayed(EmulatedAttempt f, double delayMs) {
-        core.latencyReported((Attempt) f.kept, delayMs);
+    public void latencyReported(EmulatedAttempt attempt, double delayMs) {
+        core.latencyReported((Attempt) attempt.policyState, delayMs);
     }
 
     @Override
-    public void loadChanged(EmulatedAttempt f) {
-        core.loadReported((Attempt) f.kept, f.of.wish.load * 1e6);
+    public void loadReported(EmulatedAttempt attempt) {
+        core.loadReported((Attempt) attempt.policyState, attempt.request.demand.load * 1e6);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/DelayedOraclePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/DelayedOraclePolicy.java
@@ -9,19 +9,19 @@
     private static final double MOST = 0.9; // of a member's capacity
     private static final double STRAIN = 0.7; // of what pushes a cold member over
 
-    private final double lateMs;
-    private final double[] since;
+    private final double delayMs;
+    private final double[] sentRecently;
     private double[] room = new double[0];
 
     /** One that sees states that many milliseconds late. */
     DelayedOraclePolicy(PolicyHost host, double lateMs) {
         super(host);
-        this.lateMs = lateMs;
-        since = new double[host.members()];
+        this.delayMs = lateMs;
+        sentRecently = new double[host.endpointCount()];
     }
 
     @Override
-    int choose(ClientRequest t, int not) {
+    int choose(ClientRequest request, int excluded) {
         double now = host.nowMs();
         if (room.length < servingCount()) {
             room = new double[2 * servingCount()];
@@ -29,12 +29,16 @@
         double all = 0;
         double holding = 0;
         for (int i = 0; i < servingCount(); i++) {
-            PolicyHost.Truth then = host.truth(serving(i)).at(now - lateMs);
-            boolean bears = then.alive() && serving(i) != not && then.strain() <= STRAIN && then.backlogMs() <= 0;
-            boolean holds = t.wish.group >= 0 && host.truth(serving(i)).holds(t.wish.group);
-            double more = t.wish.load
-                    + (t.wish.group < 0 || holds ? 0 : host.scenario().members().groupLoad());
-            double left = MOST * then.capacity() - then.load() - since[serving(i)] - more;
+            GroundTruth state = host.groundTruth(serving(i)).at(now - delayMs);
+            boolean bears =
+                    state.alive() && serving(i) != excluded && state.strain() <= STRAIN && state.backlogMs() <= 0;
+            boolean holds =
+                    request.demand.group >= 0 && host.groundTruth(serving(i)).holdsGroup(request.demand.group);
+            double more = request.demand.load
+                    + (request.demand.group < 0 || holds
+                            ? 0
+                            : host.scenario().members().groupLoad());
+            double left = MOST * state.capacity() - state.load() - sentRecently[serving(i)] - more;
             room[i] = bears && left > 0 ? holds ? -left : left : 0;
             all += Math.max(0, room[i]);
             holding += Math.max(0, -room[i]);
@@ -46,11 +50,11 @@
         for (int i = 0; i < servingCount(); i++) {
             x -= Math.max(0, sign * room[i]);
             if (sign * room[i] > 0 && x <= 0) {
-                int m = serving(i);
-                double load = t.wish.load;
-                since[m] += load;
-                host.after(lateMs, () -> since[m] -= load);
-                return m;
+                int endpoint = serving(i);
+                double load = request.demand.load;
+                sentRecently[endpoint] += load;
+                host.schedule(delayMs, () -> sentRecently[endpoint] -= load);
+                return endpoint;
             }
         }
         return -1;
--- a/emulator/src/main/java/tulipshed/emulator/policy/EmulatedAttempt.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/EmulatedAttempt.java
@@ -1,47 +1,64 @@
 package tulipshed.emulator.policy;
 
 /**
- * One attempt at a member. What comes first is the node's and never read by the member, what comes after {@code place} is
- * the member's: both run at the same time.
+ * One attempt of a request at an endpoint, and the connection that it becomes. Node and endpoint run concurrently, so each
+ * mutable field belongs to one of them: {@code ended} and {@code policyState} to the node, {@code indexAtEndpoint},
+ * {@code cancelled} and {@code load} to the endpoint. The endpoint must not read the request.
  */
 public final class EmulatedAttempt {
-    public final ClientRequest of;
-    /** The member's number. */
-    public final int member;
-    /** Which attempt of its try. */
+    /** The request that it serves. */
+    public final ClientRequest request;
+
+    /** Index of the endpoint. */
+    public final int endpoint;
+
+    /** Number of the attempt within its request, from 0. */
     public final int number;
 
+    /** Virtual time at which the node sent it. */
     public final double sentMs;
-    /** When the member had started, as the node had been told; NaN where it is thought warm. */
-    public final double believedStartMs;
-    /** The node's part that it came from; what comes back goes there. */
-    public final Object from;
 
+    /** Start of the endpoint's process as the node was notified; NaN where the node takes the endpoint to be warm. */
+    public final double notifiedStartMs;
+
+    /** The node's actor, to which the endpoint replies. */
+    public final Object source;
+
+    /** Index of the request class in the scenario. */
     public final int requestClass;
+
+    /** Index of the tenant in the scenario. */
     public final int tenant;
+
+    /** The client's affinity group; below 0 for none. */
     public final int group;
-    /** Nothing more is wanted of it, at the node. */
-    public boolean over;
-    /** What the policy keeps with it. */
-    public Object kept;
 
-    /** Its place among what stands at the member, or below 0. */
-    public int place = -1;
-    /** Whether the node has given it up, as the member knows. */
-    public boolean dropped;
+    /** Whether the attempt is over for the node. */
+    public boolean ended;
+
+    /** The policy's own state of the attempt. */
+    public Object policyState;
+
+    /** Its index among the endpoint's established connections; below 0 while it is none. */
+    public int indexAtEndpoint = -1;
+
+    /** Whether the endpoint knows that the node cancelled it. */
+    public boolean cancelled;
 
+    /** Present load at the endpoint, in cores of speed 1. */
     public double load;
 
-    public EmulatedAttempt(ClientRequest of, int member, double sentMs, double believedStartMs, Object from) {
-        this.of = of;
-        this.member = member;
-        this.number = of.attempts;
+    /** An attempt that is sent now. */
+    public EmulatedAttempt(ClientRequest request, int endpoint, double sentMs, double notifiedStartMs, Object source) {
+        this.request = request;
+        this.endpoint = endpoint;
+        this.number = request.attemptCount;
         this.sentMs = sentMs;
-        this.believedStartMs = believedStartMs;
-        this.from = from;
-        requestClass = of.wish.requestClass;
-        tenant = of.wish.tenant;
-        group = of.wish.group;
-        load = of.wish.load;
+        this.notifiedStartMs = notifiedStartMs;
+        this.source = source;
+        requestClass = request.demand.requestClass;
+        tenant = request.demand.tenant;
+        group = request.demand.group;
+        load = request.demand.load;
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/EndpointListing.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/EndpointListing.java
@@ -1,21 +1,18 @@
 package tulipshed.emulator.policy;
 
-import java.util.List;
-import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.proxy.EndpointListEntry;
 
 /**
- * What discovery tells of one member, by number; the entry is shared by all nodes.
+ * What discovery says of one endpoint; all nodes share one instance.
  *
- * @param listed with the time at which the member really started
- * @param clockOffMs by how much the clock that stamped that time is ahead
+ * @param endpoint the endpoint's index
+ * @param entry the list entry, with the virtual time at which the endpoint's process really started
+ * @param clockOffsetMs by how many milliseconds the clock of the endpoint's machine, which stamps the start, is ahead
  */
-public record EndpointListing(int member, EndpointListEntry listed, double clockOffMs) {
-    /** A list, or a change to one. */
-    public record Batch(EndpointListKind kind, List<EndpointListing> news) {}
-
-    public boolean serving() {
-        return listed.info().status() == EndpointStatus.SERVING;
+public record EndpointListing(int endpoint, EndpointListEntry entry, double clockOffsetMs) {
+    /** Whether the endpoint accepts new connections according to the list. */
+    public boolean isServing() {
+        return entry.info().status() == EndpointStatus.SERVING;
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/FaultyPolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/FaultyPolicy.java
@@ -45,38 +45,38 @@
     // ---- What the core does to the world ----
 
     @Override
-    public EmulatedAttempt dial(ClientRequest t, int member) {
-        int to = member;
+    public EmulatedAttempt startAttempt(ClientRequest request, int endpoint) {
+        int to = endpoint;
         if (fault == Fault.WHOLE_GRACE) {
             to = notServingSince.entrySet().stream()
                     .filter(e -> nowMs() - e.getValue() <= scenario().members().drainGraceMs())
                     .map(Map.Entry::getKey)
                     .min(Integer::compare)
-                    .orElse(member);
+                    .orElse(endpoint);
         } else if (fault == Fault.DRAINED_MEMBER) {
             to = notServingSince.entrySet().stream()
                     .filter(e -> nowMs() - e.getValue() > LONG_DRAINED_MS)
                     .map(Map.Entry::getKey)
                     .min(Integer::compare)
-                    .orElse(member);
+                    .orElse(endpoint);
         } else if (fault == Fault.COLD_MEMBER) {
             to = started.entrySet().stream()
                     .filter(e -> nowMs() - e.getValue() < scenario().members().warmMs() / 2)
                     .map(Map.Entry::getKey)
                     .min(Integer::compare)
-                    .orElse(member);
+                    .orElse(endpoint);
         }
-        return host.dial(t, to);
+        return host.startAttempt(request, to);
     }
 
     @Override
-    public void refuse(ClientRequest t, double retryAfterMs) {
+    public void reject(ClientRequest request, double retryAfterMs) {
         if (strikes(Fault.LATE_ANSWER)) {
-            host.after(t.leftMs(nowMs()) + LATE_MS, () -> host.refuse(t, retryAfterMs));
+            host.schedule(request.remainingMs(nowMs()) + LATE_MS, () -> host.reject(request, retryAfterMs));
         } else if (!strikes(Fault.SILENCE)) {
-            host.refuse(t, retryAfterMs);
+            host.reject(request, retryAfterMs);
             if (strikes(Fault.SECOND_ANSWER)) {
-                host.after(1, () -> host.refuse(t, retryAfterMs));
+                host.schedule(1, () -> host.reject(request, retryAfterMs));
             }
         }
     }
@@ -84,65 +84,65 @@
     // ---- What the world does to the core ----
 
     @Override
-    public void list(EndpointListing.Batch news) {
-        for (EndpointListing n : news.news()) {
-            if (n.serving()) {
-                notServingSince.remove(n.member());
-                long us = n.listed().info().startedUs();
+    public void endpointsChanged(EndpointListDelivery delivery) {
+        for (EndpointListing listing : delivery.listings()) {
+            if (listing.isServing()) {
+                notServingSince.remove(listing.endpoint());
+                long us = listing.entry().info().startedUs();
                 if (us > 0) {
-                    started.put(n.member(), us / 1000.0);
+                    started.put(listing.endpoint(), us / 1000.0);
                 }
             } else {
-                notServingSince.putIfAbsent(n.member(), nowMs());
-                started.remove(n.member());
+                notServingSince.putIfAbsent(listing.endpoint(), nowMs());
+                started.remove(listing.endpoint());
             }
         }
-        core.list(news);
+        core.endpointsChanged(delivery);
     }
 
     @Override
-    public void arrived(ClientRequest t) {
-        core.arrived(t);
+    public void requestArrived(ClientRequest request) {
+        core.requestArrived(request);
     }
 
     @Override
-    public void alreadyOpen(ClientRequest t, EmulatedAttempt f) {
-        core.alreadyOpen(t, f);
+    public void connectionAdopted(ClientRequest request, EmulatedAttempt attempt) {
+        core.connectionAdopted(request, attempt);
     }
 
     @Override
-    public boolean up(EmulatedAttempt f) {
-        return core.up(f);
+    public boolean attemptEstablished(EmulatedAttempt attempt) {
+        return core.attemptEstablished(attempt);
     }
 
     @Override
-    public void ended(EmulatedAttempt f, Outcome outcome) {
-        core.ended(f, outcome);
+    public void attemptEnded(EmulatedAttempt attempt, Outcome outcome) {
+        core.attemptEnded(attempt, outcome);
     }
 
     @Override
-    public void left(ClientRequest t) {
-        core.left(t);
+    public void requestCancelled(ClientRequest request) {
+        core.requestCancelled(request);
     }
 
     @Override
-    public void delayed(EmulatedAttempt f, double delayMs) {
-        core.delayed(f, delayMs);
+    public void latencyReported(EmulatedAttempt attempt, double delayMs) {
+        core.latencyReported(attempt, delayMs);
     }
 
     @Override
-    public void loadChanged(EmulatedAttempt f) {
-        core.loadChanged(f);
+    public void loadReported(EmulatedAttempt attempt) {
+        core.loadReported(attempt);
     }
 
     @Override
-    public void reload() {
-        core.reload();
+    public void reconfigure() {
+        core.reconfigure();
     }
 
     @Override
-    public void quotaShare(double share) {
-        core.quotaShare(share);
+    public void quotaShareChanged(double share) {
+        core.quotaShareChanged(share);
     }
 
     @Override
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public void settle() {
-        core.settle();
+    public void runReadyTasks() {
+        core.runReadyTasks();
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/ForwardingPolicyHost.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ForwardingPolicyHost.java
@@ -37,52 +37,52 @@
     }
 
     @Override
-    public int members() {
-        return host.members();
+    public int endpointCount() {
+        return host.endpointCount();
     }
 
     @Override
-    public String nameOf(int member) {
-        return host.nameOf(member);
+    public String endpointName(int endpoint) {
+        return host.endpointName(endpoint);
     }
 
     @Override
-    public EmulatedAttempt dial(ClientRequest t, int member) {
-        return host.dial(t, member);
+    public EmulatedAttempt startAttempt(ClientRequest request, int endpoint) {
+        return host.startAttempt(request, endpoint);
     }
 
     @Override
-    public void giveUp(EmulatedAttempt f) {
-        host.giveUp(f);
+    public void cancel(EmulatedAttempt attempt) {
+        host.cancel(attempt);
     }
 
     @Override
-    public void refuse(ClientRequest t, double retryAfterMs) {
-        host.refuse(t, retryAfterMs);
+    public void reject(ClientRequest request, double retryAfterMs) {
+        host.reject(request, retryAfterMs);
     }
 
     @Override
-    public void fail(ClientRequest t) {
-        host.fail(t);
+    public void fail(ClientRequest request) {
+        host.fail(request);
     }
 
     @Override
-    public void move(ClientRequest t) {
-        host.move(t);
+    public void migrate(ClientRequest request) {
+        host.migrate(request);
     }
 
     @Override
-    public void after(double ms, Runnable what) {
-        host.after(ms, what);
+    public void schedule(double delayMs, Runnable task) {
+        host.schedule(delayMs, task);
     }
 
     @Override
-    public void watch() {
-        host.watch();
+    public void watchEndpoints() {
+        host.watchEndpoints();
     }
 
     @Override
-    public Truth truth(int member) {
-        return host.truth(member);
+    public GroundTruth groundTruth(int endpoint) {
+        return host.groundTruth(endpoint);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/HotRestart.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/HotRestart.java
@@ -48,28 +48,28 @@
         }
 
         @Override
-        public void after(double ms, Runnable what) {
-            host.after(ms, () -> {
+        public void schedule(double delayMs, Runnable task) {
+            host.schedule(delayMs, () -> {
                 if (!isOver) {
-                    what.run();
+                    task.run();
                 }
             });
         }
 
-        void takes(ClientRequest t) {
-            t.process = this;
-            tries.add(t);
+        void takes(ClientRequest request) {
+            request.process = this;
+            tries.add(request);
         }
 
         /** Those of its requests and connections that are not over. */
         List<ClientRequest> held() {
-            tries.removeIf(t -> t.place < 0);
+            tries.removeIf(request -> request.indexAtNode < 0);
             return List.copyOf(tries);
         }
     }
 
-    private static Policy of(ClientRequest t) {
-        return ((NodeProcess) t.process).policy;
+    private static Policy of(ClientRequest request) {
+        return ((NodeProcess) request.process).policy;
     }
 
     private List<NodeProcess> running() {
@@ -79,36 +79,36 @@
     // ---- The hand-over ----
 
     /** Another process starts with the list that the node last had; without effect while one hands over. */
-    public void begin(EndpointListing.Batch list) {
+    public void begin(EndpointListDelivery list) {
         if (older != null) {
             return;
         }
         older = serving;
         isOlderServing = true;
         serving = new NodeProcess();
-        older.policy.quotaShare(HALF);
-        serving.policy.quotaShare(HALF);
-        serving.policy.list(list);
-        host.watch();
-        host.after(SIDE_BY_SIDE_MS, this::leave);
+        older.policy.quotaShareChanged(HALF);
+        serving.policy.quotaShareChanged(HALF);
+        serving.policy.endpointsChanged(list);
+        host.watchEndpoints();
+        host.schedule(SIDE_BY_SIDE_MS, this::leave);
     }
 
     private void leave() {
         isOlderServing = false;
-        older.policy.quotaShare(0);
-        serving.policy.quotaShare(1);
+        older.policy.quotaShareChanged(0);
+        serving.policy.quotaShareChanged(1);
         double leaveMs = host.scenario().nodes().leaveMs();
         List<ClientRequest> held = older.held();
         for (int i = 0; i < held.size(); i++) {
-            ClientRequest t = held.get(i);
-            host.after(leaveMs * i / held.size(), () -> host.move(t));
+            ClientRequest request = held.get(i);
+            host.schedule(leaveMs * i / held.size(), () -> host.migrate(request));
         }
-        host.after(leaveMs, this::end);
+        host.schedule(leaveMs, this::end);
     }
 
     private void end() {
         older.policy.shutDown(older.held());
-        older.held().forEach(host::move);
+        older.held().forEach(host::migrate);
         older.isOver = true;
         older = null;
     }
@@ -116,63 +116,64 @@
     // ---- What the world does to either ----
 
     @Override
-    public void list(EndpointListing.Batch news) {
-        running().forEach(p -> p.policy.list(news));
+    public void endpointsChanged(EndpointListDelivery delivery) {
+        running().forEach(process -> process.policy.endpointsChanged(delivery));
     }
 
     @Override
-    public void arrived(ClientRequest t) {
+    public void requestArrived(ClientRequest request) {
         // Both listen on one address; the system deals out what comes.
-        NodeProcess to = isOlderServing && t.id % 2 == 0 ? older : serving;
-        to.takes(t);
-        to.policy.arrived(t);
+        NodeProcess to = isOlderServing && request.id % 2 == 0 ? older : serving;
+        to.takes(request);
+        to.policy.requestArrived(request);
     }
 
     @Override
-    public void alreadyOpen(ClientRequest t, EmulatedAttempt f) {
-        serving.takes(t);
-        serving.policy.alreadyOpen(t, f);
+    public void connectionAdopted(ClientRequest request, EmulatedAttempt attempt) {
+        serving.takes(request);
+        serving.policy.connectionAdopted(request, attempt);
     }
 
     @Override
-    public boolean up(EmulatedAttempt f) {
-        return of(f.of).up(f);
+    public boolean attemptEstablished(EmulatedAttempt attempt) {
+        return of(attempt.request).attemptEstablished(attempt);
     }
 
     @Override
-    public void ended(EmulatedAttempt f, Outcome outcome) {
-        of(f.of).ended(f, outcome);
+    public void attemptEnded(EmulatedAttempt attempt, Outcome outcome) {
+        of(attempt.request).attemptEnded(attempt, outcome);
     }
 
     @Override
-    public void left(ClientRequest t) {
-        of(t).left(t);
+    public void requestCancelled(ClientRequest request) {
+        of(request).requestCancelled(request);
     }
 
     @Override
-    public void delayed(EmulatedAttempt f, double delayMs) {
-        of(f.of).delayed(f, delayMs);
+    public void latencyReported(EmulatedAttempt attempt, double delayMs) {
+        of(attempt.request).latencyReported(attempt, delayMs);
     }
 
     @Override
-    public void loadChanged(EmulatedAttempt f) {
-        of(f.of).loadChanged(f);
+    public void loadReported(EmulatedAttempt attempt) {
+        of(attempt.request).loadReported(attempt);
     }
 
     @Override
-    public void reload() {
-        running().forEach(p -> p.policy.reload());
+    public void reconfigure() {
+        running().forEach(process -> process.policy.reconfigure());
     }
 
     @Override
     public void shutDown(List<ClientRequest> pending) {
         running()
-                .forEach(p -> p.policy.shutDown(
-                        pending.stream().filter(t -> t.process == p).toList()));
+                .forEach(process -> process.policy.shutDown(pending.stream()
+                        .filter(request -> request.process == process)
+                        .toList()));
     }
 
     @Override
-    public void settle() {
-        running().forEach(p -> p.policy.settle());
+    public void runReadyTasks() {
+        running().forEach(process -> process.policy.runReadyTasks());
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/ModulePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ModulePolicy.java
@@ -33,90 +33,90 @@
         return SettingsFactory.us(host.nowMs());
     }
 
-    private NewRequest request(ClientRequest t, double nowMs) {
-        ClientDemand w = t.wish;
-        double hint = host.scenario().clients().hints() ? w.usualLoad * 1e6 : 0;
+    private NewRequest request(ClientRequest request, double nowMs) {
+        ClientDemand demand = request.demand;
+        double hint = host.scenario().clients().hints() ? demand.usualLoad * 1e6 : 0;
         return new NewRequest(
-                t.id,
-                w.requestClass,
-                w.tenant,
-                "k" + t.id,
-                SettingsFactory.group(w),
-                SettingsFactory.us(t.leftMs(nowMs)),
+                request.id,
+                demand.requestClass,
+                demand.tenant,
+                "k" + request.id,
+                SettingsFactory.group(demand),
+                SettingsFactory.us(request.remainingMs(nowMs)),
                 hint,
-                w.tries > 1,
+                demand.requestCount > 1,
                 false,
-                w.returning);
+                demand.reconnecting);
     }
 
     @Override
-    public void list(EndpointListing.Batch batch) {
-        List<EndpointInfo> entries = new ArrayList<>(batch.news().size());
-        batch.news().forEach(n -> entries.add(n.listed().info()));
-        module.endpointsChanged(now(), batch.kind(), entries);
+    public void endpointsChanged(EndpointListDelivery delivery) {
+        List<EndpointInfo> entries = new ArrayList<>(delivery.listings().size());
+        delivery.listings().forEach(listing -> entries.add(listing.entry().info()));
+        module.endpointsChanged(now(), delivery.kind(), entries);
     }
 
     @Override
-    public void reload() {
+    public void reconfigure() {
         module.reconfigure(now(), SettingsFactory.of(host.scenario(), host.node()));
-        host.watch();
+        host.watchEndpoints();
     }
 
     @Override
-    public void quotaShare(double share) {
+    public void quotaShareChanged(double share) {
         module.quotaShareChanged(now(), share);
     }
 
     @Override
-    void ask(ClientRequest t) {
-        tries.put(t.id, t);
-        module.requestArrived(now(), request(t, host.nowMs()));
+    void decide(ClientRequest request) {
+        tries.put(request.id, request);
+        module.requestArrived(now(), request(request, host.nowMs()));
     }
 
     @Override
-    public void alreadyOpen(ClientRequest t, EmulatedAttempt f) {
-        tries.put(t.id, t);
-        t.owed = false;
-        t.standing = true;
-        module.connectionAdopted(now(), request(t, host.nowMs()), host.nameOf(f.member));
+    public void connectionAdopted(ClientRequest request, EmulatedAttempt attempt) {
+        tries.put(request.id, request);
+        request.answerPending = false;
+        request.established = true;
+        module.connectionAdopted(now(), request(request, host.nowMs()), host.endpointName(attempt.endpoint));
     }
 
     @Override
-    void started(EmulatedAttempt f, double tookMs) {
-        module.attemptEstablished(now(), f.of.id, f.number, SettingsFactory.us(tookMs));
+    void started(EmulatedAttempt attempt, double tookMs) {
+        module.attemptEstablished(now(), attempt.request.id, attempt.number, SettingsFactory.us(tookMs));
     }
 
     @Override
-    void finished(EmulatedAttempt f, boolean concluded, Outcome outcome) {
+    void finished(EmulatedAttempt attempt, boolean concluded, Outcome outcome) {
         if (concluded) {
-            tries.remove(f.of.id);
+            tries.remove(attempt.request.id);
         }
-        module.attemptEnded(now(), f.of.id, f.number, concluded, outcome, LoadReport.NONE);
+        module.attemptEnded(now(), attempt.request.id, attempt.number, concluded, outcome, LoadReport.NONE);
     }
 
     @Override
-    void abandoned(ClientRequest t) {
-        module.requestCancelled(now(), t.id);
-        if (t.flow == null) {
-            tries.remove(t.id);
+    void abandoned(ClientRequest request) {
+        module.requestCancelled(now(), request.id);
+        if (request.attempt == null) {
+            tries.remove(request.id);
         }
     }
 
     @Override
-    public void delayed(EmulatedAttempt f, double delayMs) {
-        module.latencyReported(now(), f.of.id, delayMs);
+    public void latencyReported(EmulatedAttempt attempt, double delayMs) {
+        module.latencyReported(now(), attempt.request.id, delayMs);
     }
 
     @Override
-    public void loadChanged(EmulatedAttempt f) {
-        module.loadReported(now(), f.of.id, f.of.wish.load * 1e6);
+    public void loadReported(EmulatedAttempt attempt) {
+        module.loadReported(now(), attempt.request.id, attempt.request.demand.load * 1e6);
     }
 
     // ---- What the module decides ----
 
     @Override
     public void startAttempt(long requestId, String server, long timeoutUs) {
-        attempt(tries.get(requestId), numbers.get(server), timeoutUs / 1000.0);
+        startAttempt(tries.get(requestId), numbers.get(server), timeoutUs / 1000.0);
     }
 
     @Override
@@ -126,29 +126,29 @@
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        ClientRequest t = tries.remove(requestId);
-        t.owed = false;
-        host.refuse(t, retryAfterUs / 1000.0);
+        ClientRequest request = tries.remove(requestId);
+        request.answerPending = false;
+        host.reject(request, retryAfterUs / 1000.0);
     }
 
     @Override
     public void fail(long requestId) {
-        ClientRequest t = tries.remove(requestId);
-        t.owed = false;
-        host.fail(t);
+        ClientRequest request = tries.remove(requestId);
+        request.answerPending = false;
+        host.fail(request);
     }
 
     @Override
     public void migrate(long requestId) {
-        ClientRequest t = tries.get(requestId);
-        if (t != null) {
-            host.move(t);
+        ClientRequest request = tries.get(requestId);
+        if (request != null) {
+            host.migrate(request);
         }
     }
 
     @Override
     public void scheduleTimer(long afterUs, long token) {
-        host.after(afterUs / 1000.0, () -> module.timerFired(now(), token));
+        host.schedule(afterUs / 1000.0, () -> module.timerFired(now(), token));
     }
 
     @Override
@@ -163,7 +163,7 @@
 
     @Override
     public void watchEndpoints() {
-        host.watch();
+        host.watchEndpoints();
     }
 
     @Override
--- a/emulator/src/main/java/tulipshed/emulator/policy/Policy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/Policy.java
@@ -3,41 +3,41 @@
 import java.util.List;
 import tulipshed.decision.api.Outcome;
 
-/** What decides in an emulated node, from what a node of the real world would be told. */
+/** The load-balancing decisions of an emulated node, made from the events that a real node would see. */
 public interface Policy {
-    /** News of the list. */
-    void list(EndpointListing.Batch news);
+    /** Discovery delivered an endpoint list or changes to it. */
+    void endpointsChanged(EndpointListDelivery delivery);
 
-    /** A client asks; one final answer is owed. */
-    void arrived(ClientRequest t);
+    /** A client's request arrived; exactly one final answer is owed. */
+    void requestArrived(ClientRequest request);
 
-    /** A connection that stood at a member before the day began; its flow is up. */
-    void alreadyOpen(ClientRequest t, EmulatedAttempt f);
+    /** A connection that was established before the run began. */
+    void connectionAdopted(ClientRequest request, EmulatedAttempt attempt);
 
-    /** A member serves; false where the client must not hear of it any more. */
-    boolean up(EmulatedAttempt f);
+    /** An endpoint accepted the attempt; returns false where the client must no longer be connected to it. */
+    boolean attemptEstablished(EmulatedAttempt attempt);
 
-    /** A flow ended by itself or by its member's doing. */
-    void ended(EmulatedAttempt f, Outcome outcome);
+    /** An attempt or an established connection ended, other than by {@link PolicyHost#cancel}. */
+    void attemptEnded(EmulatedAttempt attempt, Outcome outcome);
 
-    /** The client left before it was answered. */
-    void left(ClientRequest t);
+    /** The client disconnected before it was answered. */
+    void requestCancelled(ClientRequest request);
 
-    /** Messages at a standing flow's member take this long now. */
-    void delayed(EmulatedAttempt f, double delayMs);
+    /** Messages of an established connection take that long at its endpoint now. */
+    void latencyReported(EmulatedAttempt attempt, double delayMs);
 
-    /** A standing connection's load changed. */
-    void loadChanged(EmulatedAttempt f);
+    /** The load of an established connection changed; it is in the request's {@link ClientDemand}. */
+    void loadReported(EmulatedAttempt attempt);
 
-    /** The configuration is read again: discovery is elsewhere from now on and must be asked anew. */
-    default void reload() {}
+    /** The configuration was read again: discovery moved and must be watched anew. */
+    default void reconfigure() {}
 
-    /** From now on the process may use that share of the node's quotas, as another one serves as well. */
-    default void quotaShare(double share) {}
+    /** From now on the process may use that share of the node's quotas, as another process serves as well. */
+    default void quotaShareChanged(double share) {}
 
-    /** The process ends in good order: each of these requests that is still owed its answer gets it now. */
+    /** The process ends gracefully: each of these requests whose answer is still owed gets it now. */
     void shutDown(List<ClientRequest> pending);
 
-    /** Runs what became ready with the last event; called after each. */
-    default void settle() {}
+    /** Runs the tasks that became ready with the last event; called after each event. */
+    default void runReadyTasks() {}
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/PolicyFactory.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/PolicyFactory.java
@@ -26,8 +26,8 @@
      */
     public static Function<PolicyHost, Policy> of(String name, Map<String, Integer> numbers) {
         return switch (name) {
-            case "module" -> h -> new ModulePolicy(h, numbers);
-            case "core" -> h -> new CorePolicy(h, numbers);
+            case "module" -> host -> new ModulePolicy(host, numbers);
+            case "core" -> host -> new CorePolicy(host, numbers);
             case "random" -> BaselinePolicies.AnyMember::new;
             case "least-of-two" -> BaselinePolicies.LeastOfTwo::new;
             case "round-robin" -> BaselinePolicies.RoundRobin::new;
@@ -35,15 +35,15 @@
             case "peak-ewma" -> BaselinePolicies.PeakEwma::new;
             case "clairvoyant" -> BaselinePolicies.Clairvoyant::new;
             case "sees-late-200", "sees-late-1000", "sees-late-5000" ->
-                h -> new DelayedOraclePolicy(h, Double.parseDouble(name.substring(SEES_LATE.length())));
-            case "core-late-answer" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.LATE_ANSWER);
-            case "core-second-answer" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.SECOND_ANSWER);
-            case "core-drained-member" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.DRAINED_MEMBER);
-            case "core-cold-member" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.COLD_MEMBER);
-            case "core-silence" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.SILENCE);
-            case "core-whole-grace" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.WHOLE_GRACE);
-            case "core-no-last-answers" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.NO_LAST_ANSWERS);
-            case "core-trusts-clocks" -> h -> new FaultyPolicy(h, numbers, FaultyPolicy.Fault.TRUSTS_CLOCKS);
+                host -> new DelayedOraclePolicy(host, Double.parseDouble(name.substring(SEES_LATE.length())));
+            case "core-late-answer" -> host -> new FaultyPolicy(host, numbers, FaultyPolicy.Fault.LATE_ANSWER);
+            case "core-second-answer" -> host -> new FaultyPolicy(host, numbers, FaultyPolicy.Fault.SECOND_ANSWER);
+            case "core-drained-member" -> host -> new FaultyPolicy(host, numbers, FaultyPolicy.Fault.DRAINED_MEMBER);
+            case "core-cold-member" -> host -> new FaultyPolicy(host, numbers, FaultyPolicy.Fault.COLD_MEMBER);
+            case "core-silence" -> host -> new FaultyPolicy(host, numbers, FaultyPolicy.Fault.SILENCE);
+            case "core-whole-grace" -> host -> new FaultyPolicy(host, numbers, FaultyPolicy.Fault.WHOLE_GRACE);
+            case "core-no-last-answers" -> host -> new FaultyPolicy(host, numbers, FaultyPolicy.Fault.NO_LAST_ANSWERS);
+            case "core-trusts-clocks" -> host -> new FaultyPolicy(host, numbers, FaultyPolicy.Fault.TRUSTS_CLOCKS);
             default -> throw new IllegalArgumentException("no policy is called " + name);
         };
     }
--- a/emulator/src/main/java/tulipshed/emulator/policy/PolicyHost.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/PolicyHost.java
@@ -2,70 +2,54 @@
 
 import tulipshed.emulator.scenario.Scenario;
 
-/** The node around a policy: what it can do. */
+/** The node around a policy: what the policy may ask and do. Times are virtual milliseconds. */
 public interface PolicyHost {
+    /** The virtual time, which no real node could read. */
     double nowMs();
 
-    /** What the node's own clock shows: it never steps, and its origin is that of no other clock. */
+    /** The node's own monotonic clock; its origin is that of no other clock. */
     double clockMs();
 
+    /** The scenario that is run. */
     Scenario scenario();
 
+    /** The node's index, from 0. */
     int node();
 
-    /** A seed of the node's own for this start. */
+    /** The seed of this process's random decisions. */
     long seed();
 
-    /** How many members there may ever be, and the name of one. */
-    int members();
+    /** The number of endpoints that there may ever be; their indexes are below it. */
+    int endpointCount();
 
-    String nameOf(int member);
+    /** The id that the endpoint list gives an endpoint. */
+    String endpointName(int endpoint);
 
-    /** Sends a flow towards a member. */
-    EmulatedAttempt dial(ClientRequest t, int member);
+    /** Starts an attempt of a request at an endpoint. */
+    EmulatedAttempt startAttempt(ClientRequest request, int endpoint);
 
-    /** Ends a flow of which nothing more is wanted; nothing is told of it from here on. */
-    void giveUp(EmulatedAttempt f);
+    /** Cancels an attempt; the policy hears no more of it. */
+    void cancel(EmulatedAttempt attempt);
 
-    /** Final answer: turned away, to come again after so long where above 0. */
-    void refuse(ClientRequest t, double retryAfterMs);
+    /**
+     * Final answer: rejected.
+     *
+     * @param retryAfterMs the Retry-After pause that the client is told; 0 for none
+     */
+    void reject(ClientRequest request, double retryAfterMs);
 
     /** Final answer: failed. */
-    void fail(ClientRequest t);
+    void fail(ClientRequest request);
 
-    /** Ends a standing connection politely; its client comes again. */
-    void move(ClientRequest t);
+    /** Closes an established connection gracefully; its client reconnects. */
+    void migrate(ClientRequest request);
 
-    /** Runs something later, unless the node has ended before. */
-    void after(double ms, Runnable what);
+    /** Runs a task after a delay, unless the process ends before. */
+    void schedule(double delayMs, Runnable task);
 
-    /** Asks discovery for changes from now on. */
-    void watch();
+    /** Asks discovery for the endpoint list and for changes to it from now on. */
+    void watchEndpoints();
 
-    /** The true state of a member, which only the clairvoyant may look at. */
-    Truth truth(int member);
-
-    /** How a member really is. */
-    interface Truth {
-        boolean alive();
-
-        /** What it can bear now, in cores, and what it bears. */
-        double capacity();
-
-        double load();
-
-        double backlogMs();
-
-        /** How far it is from being pushed over; 1 is the bound. */
-        double strain();
-
-        /** Whether it holds any of a group, now; its own doing, as nobody tells of it. */
-        boolean holds(int group);
-
-        /** How it was at that moment of the day, as far as that was kept. */
-        Truth at(double ms);
-
-        /** Work that is on its way to it, in cores; the clairvoyant's own note. */
-        double[] promised();
-    }
+    /** The true state of an endpoint, for oracle policies only. */
+    GroundTruth groundTruth(int endpoint);
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/SettingsFactory.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/SettingsFactory.java
@@ -23,14 +23,14 @@
         return Math.round(ms * 1000);
     }
 
-    static BalancerSettings of(Scenario s, int node) {
-        Scenario.Nodes n = s.nodes();
-        Scenario.MemberModel m = s.members();
+    static BalancerSettings of(Scenario scenario, int node) {
+        Scenario.Nodes nodes = scenario.nodes();
+        Scenario.MemberModel endpointModel = scenario.members();
         // A first guess of what the fleet holds, as an operator would state it.
-        double connections = s.clients().standing() > 0
-                ? s.clients().standing()
-                : s.clients().perSecond() * 10;
-        List<RequestClass> classes = s.classes().stream()
+        double connections = scenario.clients().standing() > 0
+                ? scenario.clients().standing()
+                : scenario.clients().perSecond() * 10;
+        List<RequestClass> classes = scenario.classes().stream()
                 .map(c -> new RequestClass(
                         c.name(),
                         us(c.aimMs()),
@@ -41,8 +41,8 @@
                         us(REPEAT_MS),
                         us(c.messageAimMs())))
                 .toList();
-        double quota = s.clients().perSecond();
-        List<Tenant> tenants = s.tenants().stream()
+        double quota = scenario.clients().perSecond();
+        List<Tenant> tenants = scenario.tenants().stream()
                 .map(t -> new Tenant(
                         t.name(),
                         t.share(),
@@ -51,36 +51,36 @@
                 .toList();
         return new BalancerSettings(
                 node,
-                n.count(),
-                "s" + node % s.network().sites(),
+                nodes.count(),
+                "s" + node % scenario.network().sites(),
                 false,
-                !s.discovery().pushed(),
-                n.groups(),
+                !scenario.discovery().pushed(),
+                nodes.groups(),
                 WeightSemantics.SIZE,
                 LoadReportSource.NONE,
                 new SiteLimits(
-                        n.maxAttempts(),
-                        us(n.maxRetryAfterMs()),
-                        n.cancel(),
+                        nodes.maxAttempts(),
+                        us(nodes.maxRetryAfterMs()),
+                        nodes.cancel(),
                         false,
                         false,
-                        n.maxRetryAfterMs() > 0,
-                        us(n.connectTimeoutMs()),
+                        nodes.maxRetryAfterMs() > 0,
+                        us(nodes.connectTimeoutMs()),
                         us(30_000),
                         1),
                 new ProtocolRules(
-                        us(m.drainGraceMs()),
-                        us(s.discovery().askWithinMs()),
-                        m.coldShare(),
-                        us(m.warmMs()),
-                        m.fallFactor(),
-                        us(m.fallMs())),
+                        us(endpointModel.drainGraceMs()),
+                        us(scenario.discovery().askWithinMs()),
+                        endpointModel.coldShare(),
+                        us(endpointModel.warmMs()),
+                        endpointModel.fallFactor(),
+                        us(endpointModel.fallMs())),
                 new Prices(0, 0, 0, 0.03, 0.19),
                 classes,
                 tenants);
     }
 
-    static String group(ClientDemand w) {
-        return w.group < 0 ? null : "g" + w.group;
+    static String group(ClientDemand demand) {
+        return demand.group < 0 ? null : "g" + demand.group;
     }
 }
