--- a/node/src/main/java/tulipshed/cli/AttributeValues.java
+++ b/node/src/main/java/tulipshed/cli/AttributeValues.java
@@ -11,7 +11,9 @@
 import tulipshed.expression.Network;
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
-import tulipshed.routing.Declarations;
+import tulipshed.routing.AttributeDeclaration;
+import tulipshed.routing.AttributeDeclarations;
+import tulipshed.routing.AttributeValue;
 import tulipshed.routing.EndpointSchema;
 import tulipshed.routing.RequestSchema;
 
@@ -72,7 +74,7 @@
 
     private static Schema schemaWith(Map<String, String> textByName) {
         Schema schema = new Schema();
-        Declarations none = new Declarations(Map.of(), MAX_STRING_LENGTH, MAX_STRING_LENGTH);
+        AttributeDeclarations none = new AttributeDeclarations(Map.of(), MAX_STRING_LENGTH, MAX_STRING_LENGTH);
         addAll(schema, new RequestSchema(MAX_STRING_LENGTH, MAX_STRING_LENGTH, none, MAX_STRING_LENGTH).schema());
         addAll(schema, new EndpointSchema().schema());
         textByName.forEach((name, text) -> {
@@ -104,15 +106,15 @@
             setAddress(frame, attribute, text);
             return;
         }
-        Object value = declarationOf(attribute).read(attribute.name(), text);
-        if (value instanceof String string) {
-            frame.set(attribute, string);
-        } else if (value instanceof Long integer) {
-            frame.set(attribute, (long) integer);
-        } else if (value instanceof Double decimal) {
-            frame.set(attribute, (double) decimal);
-        } else if (value instanceof Boolean bool) {
-            frame.set(attribute, (boolean) bool);
+        AttributeValue value = declarationOf(attribute).parse(attribute.name(), text);
+        if (value instanceof AttributeValue.StringValue string) {
+            frame.set(attribute, string.value());
+        } else if (value instanceof AttributeValue.IntegerValue integer) {
+            frame.set(attribute, integer.value());
+        } else if (value instanceof AttributeValue.DecimalValue decimal) {
+            frame.set(attribute, decimal.value());
+        } else if (value instanceof AttributeValue.BooleanValue bool) {
+            frame.set(attribute, bool.value());
         } else {
             throw wrongType(attribute, text);
         }
@@ -127,9 +129,9 @@
     }
 
     /** Returns the attribute as a declared one, whose values are read as those on the wire. */
-    private static Declarations declarationOf(Attribute attribute) {
-        return new Declarations(
-                Map.of(attribute.name(), new Declarations.Figure(attribute.type(), attribute.longest())), 1, 1);
+    private static AttributeDeclarations declarationOf(Attribute attribute) {
+        return new AttributeDeclarations(
+                Map.of(attribute.name(), new AttributeDeclaration(attribute.type(), attribute.longest())), 1, 1);
     }
 
     private static MalformedInputException wrongType(Attribute attribute, String text) {
--- a/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
+++ b/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
@@ -9,7 +9,7 @@
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.ProxyCore;
-import tulipshed.routing.Declarations;
+import tulipshed.routing.AttributeDeclarations;
 import tulipshed.routing.RequestOrigin;
 import tulipshed.time.Clock;
 import tulipshed.transport.ProtocolErrorLog;
@@ -30,7 +30,7 @@
     private final HealthCheckConnections healthCheckConnections;
     private final Set<UpstreamConnection> establishedUpstreams = new LinkedHashSet<>();
     private NameIndex names;
-    private Declarations declarations;
+    private AttributeDeclarations declarations;
     private OpenCommandParser openCommandParser;
     private boolean loadReportsLatency;
     private boolean isReady = true;
@@ -76,7 +76,7 @@
     }
 
     /** Replaces what the operators' rules declare of open commands; null if there are no rules. */
-    public void setDeclarations(Declarations changed) {
+    public void setDeclarations(AttributeDeclarations changed) {
         declarations = changed;
         rebuildParser();
     }
@@ -84,7 +84,7 @@
     private void rebuildParser() {
         openCommandParser = new OpenCommandParser(
                 names,
-                declarations == null ? Declarations.NONE : declarations,
+                declarations == null ? AttributeDeclarations.NONE : declarations,
                 context.limits().lineProtocol().longestWaitMs());
     }
 
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommand.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommand.java
@@ -1,8 +1,8 @@
 package tulipshed.lineprotocol;
 
 import java.nio.charset.StandardCharsets;
-import java.util.Map;
 import tulipshed.proxy.Request.Attributes;
+import tulipshed.routing.AdditionalAttributes;
 
 /**
  * A client's request for a connection, {@code OPEN ID KEY name=value,...} on the wire. Keeps the line as it came, so that
@@ -14,7 +14,7 @@
  * @param timeoutEnd index after the last character of the timeout
  * @param attributes what the client requests
  * @param adoptedFrom ID of the endpoint to which the connection was established before; null for a new connection
- * @param declaredAttributes the operators' further attributes, by name
+ * @param declaredAttributes the attributes that the operators have declared
  */
 record OpenCommand(
         String line,
@@ -23,7 +23,7 @@
         int timeoutEnd,
         Attributes attributes,
         String adoptedFrom,
-        Map<String, Object> declaredAttributes) {
+        AdditionalAttributes declaredAttributes) {
 
     /** A timeout of 0 would mean to the endpoint that the client has gone. */
     private static final long MIN_TIMEOUT_MS = 1;
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommandBuilder.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommandBuilder.java
@@ -1,10 +1,10 @@
 package tulipshed.lineprotocol;
 
-import java.util.HashMap;
-import java.util.Map;
 import java.util.regex.Pattern;
 import tulipshed.proxy.Request.Attributes;
-import tulipshed.routing.Declarations;
+import tulipshed.routing.AdditionalAttributes;
+import tulipshed.routing.AttributeDeclarations;
+import tulipshed.routing.AttributeValue;
 
 /** Gives the fields of one open command their meaning, and checks that the command is complete. Used once. */
 final class OpenCommandBuilder {
@@ -37,7 +37,7 @@
     private boolean isRetry;
     private boolean isReconnecting;
     private String adoptedFrom;
-    private Map<String, Object> declaredAttributes = Map.of();
+    private final AdditionalAttributes.Builder declaredAttributes = AdditionalAttributes.builder();
 
     /** A builder of the command with that line, ID and key. */
     OpenCommandBuilder(OpenCommandParser parser, String line, String id, String key) {
@@ -73,13 +73,12 @@
 
     /** A field that the operators have declared is read; all others are only forwarded. */
     private void furtherField(String name, String value) {
-        if (parser.declarations().figures().containsKey(name)) {
-            Object read = parser.declarations().read(name, value);
-            if (read == null) {
+        if (parser.declarations().byName().containsKey(name)) {
+            AttributeValue parsed = parser.declarations().parse(name, value);
+            if (parsed == null) {
                 throw new MalformedLineException("a value that does not match its declaration");
             }
-            declaredAttributes = declaredAttributes.isEmpty() ? new HashMap<>() : declaredAttributes;
-            declaredAttributes.put(name, read);
+            declaredAttributes.put(name, parsed);
         }
     }
 
@@ -93,7 +92,7 @@
         requireWithinLimits();
         Attributes attributes =
                 new Attributes(classIndex, tenantIndex, key, group, timeoutMs, loadHintUsPerS, isRetry, isReconnecting);
-        return new OpenCommand(line, id, timeoutStart, timeoutEnd, attributes, adoptedFrom, declaredAttributes);
+        return new OpenCommand(line, id, timeoutStart, timeoutEnd, attributes, adoptedFrom, declaredAttributes.build());
     }
 
     private void requireComplete() {
@@ -110,9 +109,9 @@
     }
 
     private void requireWithinLimits() {
-        Declarations declarations = parser.declarations();
-        if (key.length() > declarations.longestKey()
-                || (group != null && group.length() > declarations.longestGroup())) {
+        AttributeDeclarations declarations = parser.declarations();
+        if (key.length() > declarations.maxKeyLength()
+                || (group != null && group.length() > declarations.maxGroupLength())) {
             throw new MalformedLineException("a key or a group that is longer than declared");
         }
     }
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommandParser.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommandParser.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import tulipshed.config.NameIndex;
-import tulipshed.routing.Declarations;
+import tulipshed.routing.AttributeDeclarations;
 
 /**
  * Parses the syntax of open commands; what the fields mean is {@link OpenCommandBuilder}'s.
@@ -13,7 +13,7 @@
  * @param declarations the further attributes that the operators have declared
  * @param maxTimeoutMs the longest timeout that a new connection may have
  */
-record OpenCommandParser(NameIndex names, Declarations declarations, double maxTimeoutMs) {
+record OpenCommandParser(NameIndex names, AttributeDeclarations declarations, double maxTimeoutMs) {
     /** The command word on the wire. */
     private static final String OPEN_WORD = "OPEN";
 
--- a/node/src/main/java/tulipshed/operators/CaseTable.java
+++ b/node/src/main/java/tulipshed/operators/CaseTable.java
@@ -13,7 +13,10 @@
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.expression.Network;
-import tulipshed.routing.Declarations;
+import tulipshed.routing.AdditionalAttributes;
+import tulipshed.routing.AttributeDeclarations;
+import tulipshed.routing.AttributeValue;
+import tulipshed.routing.MatchedRules;
 import tulipshed.routing.RequestAttributes;
 import tulipshed.routing.RequestClassification;
 import tulipshed.routing.RequestOrigin;
@@ -164,9 +167,9 @@
         failed = 0;
         Router router = rules.router();
         if (router != null) {
-            router.members(members, 0);
-            Map<String, Set<String>> pools = router.pools();
-            router.look(pool -> pools.get(pool).size());
+            router.updatePools(members, 0);
+            Map<String, Set<String>> pools = router.endpointIdsByPool();
+            router.reevaluateSpillover(pool -> pools.get(pool).size());
         }
         for (Case c : cases) {
             int before = lines.size();
@@ -199,7 +202,8 @@
                 : !names.tenantNames().contains(String.valueOf(tenant))) {
             return "the settings have no tenant " + tenant;
         }
-        Collection<String> known = RequestSchema.names(router == null ? Declarations.NONE : router.declarations());
+        Collection<String> known =
+                RequestSchema.names(router == null ? AttributeDeclarations.NONE : router.declarations());
         for (String name : c.given().keySet()) {
             if (!known.contains(name)) {
                 return "a transaction has no " + name + NameSuggestions.hint(name, known);
@@ -211,12 +215,11 @@
     private static RequestAttributes subject(Case c) {
         Map<String, Object> g = c.given();
         Network source = Network.parse(String.valueOf(g.getOrDefault("source-address", "127.0.0.1")));
-        Map<String, Object> figures = new HashMap<>(g);
         RequestOrigin origin = new RequestOrigin(
                 String.valueOf(g.getOrDefault("front", "line")),
                 source == null ? 0 : source.high(),
                 source == null ? 0 : source.low(),
-                figures);
+                additionalAttributes(g));
         return new RequestAttributes(
                 String.valueOf(g.get("class")),
                 (String) g.get("tenant"),
@@ -229,6 +232,23 @@
                 origin);
     }
 
+    private static AdditionalAttributes additionalAttributes(Map<String, Object> given) {
+        AdditionalAttributes.Builder builder = AdditionalAttributes.builder();
+        given.forEach((name, value) -> builder.put(name, attributeValue(value)));
+        return builder.build();
+    }
+
+    private static AttributeValue attributeValue(Object value) {
+        if (value instanceof String string) {
+            return new AttributeValue.StringValue(string);
+        } else if (value instanceof Long integer) {
+            return new AttributeValue.IntegerValue(integer);
+        } else if (value instanceof Double decimal) {
+            return new AttributeValue.DecimalValue(decimal);
+        }
+        return new AttributeValue.BooleanValue((Boolean) value);
+    }
+
     private static Map<String, String> got(RequestAttributes s, Router router) {
         Map<String, String> got = new HashMap<>();
         RequestClassification c =
@@ -237,10 +257,10 @@
         got.put("tenant", c.tenant());
         got.put("group", c.group());
         if (router != null) {
-            String[] found = router.names(s);
-            got.put("rule", found[0]);
-            got.put("route", found[1]);
-            got.put("pool", router.pool(s.as(c)));
+            MatchedRules matched = router.matchedRules(s);
+            got.put("rule", matched.classificationRule());
+            got.put("route", matched.route());
+            got.put("pool", router.poolFor(s.withClassification(c)));
         }
         return got;
     }
--- a/node/src/main/java/tulipshed/operators/RouteReader.java
+++ b/node/src/main/java/tulipshed/operators/RouteReader.java
@@ -12,6 +12,7 @@
 import tulipshed.expression.TypeChecker;
 import tulipshed.routing.PoolTarget;
 import tulipshed.routing.RequestSchema;
+import tulipshed.routing.RouteDefinition;
 import tulipshed.routing.Routes;
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
@@ -67,14 +68,14 @@
         }
         Program.Builder builder = new Program.Builder(schema.schema());
         RuleTable table = builder.table(routes.stream().map(Read::when).toList(), checker.terms());
-        List<Routes.Way> ways = new ArrayList<>();
+        List<RouteDefinition> definitions = new ArrayList<>();
         for (Read r : routes) {
-            ways.add(new Routes.Way(
+            definitions.add(new RouteDefinition(
                     r.name(), r.share() == null ? null : builder.value(r.share()), r.weights(), r.branches()));
         }
         Program program = builder.build();
         explain(sections.get(0).place(), routes, table);
-        return problems.count() > before ? null : new Routes(schema, ways, table, program);
+        return problems.count() > before ? null : new Routes(schema, definitions, table, program);
     }
 
     private Read route(Form.Sequence s, Set<String> seen) {
@@ -197,7 +198,10 @@
                         .append(r.share() == null ? "" : r.weights().get(i) + " ");
                 for (PoolTarget t : r.branches().get(i)) {
                     to.append(t == r.branches().get(i).get(0) ? "" : ", else ").append(t.pool());
-                    to.append(t.back() > 0 ? " (passed over below " + t.below() + ", back at " + t.back() + ")" : "");
+                    to.append(
+                            t.restoreAt() > 0
+                                    ? " (passed over below " + t.spillBelow() + ", back at " + t.restoreAt() + ")"
+                                    : "");
                 }
             }
             lines.add("route " + r.name() + ": when " + r.when() + " (boolean, cost at most " + bound + ")"
--- a/node/src/main/java/tulipshed/operators/RuleReader.java
+++ b/node/src/main/java/tulipshed/operators/RuleReader.java
@@ -11,6 +11,7 @@
 import tulipshed.expression.RuleTable;
 import tulipshed.expression.Type;
 import tulipshed.expression.TypeChecker;
+import tulipshed.routing.ClassificationRule;
 import tulipshed.routing.ClassificationRules;
 import tulipshed.routing.RequestSchema;
 import tulipshed.sexpr.Diagnostics;
@@ -60,9 +61,9 @@
         }
         Program.Builder builder = new Program.Builder(schema.schema());
         RuleTable table = builder.table(rules.stream().map(Read::when).toList(), checker.terms());
-        List<ClassificationRules.Rule> made = new ArrayList<>();
+        List<ClassificationRule> made = new ArrayList<>();
         for (Read r : rules) {
-            made.add(new ClassificationRules.Rule(
+            made.add(new ClassificationRule(
                     r.name(), r.className(), r.tenant(), r.group() == null ? null : builder.value(r.group())));
         }
         Program program = builder.build();
--- a/node/src/main/java/tulipshed/operators/SectionReader.java
+++ b/node/src/main/java/tulipshed/operators/SectionReader.java
@@ -13,8 +13,9 @@
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
 import tulipshed.expression.TypeChecker;
+import tulipshed.routing.AttributeDeclaration;
+import tulipshed.routing.AttributeDeclarations;
 import tulipshed.routing.ClassificationRules;
-import tulipshed.routing.Declarations;
 import tulipshed.routing.EndpointSchema;
 import tulipshed.routing.PoolMembership;
 import tulipshed.routing.RequestSchema;
@@ -50,7 +51,7 @@
 
     OperatorsFile read(List<Form> forms) {
         sort(forms);
-        Declarations declarations = declarations();
+        AttributeDeclarations declarations = declarations();
         long maxCost = USUAL_COST;
         if (once.containsKey("max-cost")) {
             SectionFields f = new SectionFields(
@@ -97,7 +98,7 @@
                             ? "no retry"
                             : "retry from " + quic.retry().on() + " connections without proof on"));
         }
-        boolean rules = classification != null || memberPools != null || declarations != Declarations.NONE;
+        boolean rules = classification != null || memberPools != null || declarations != AttributeDeclarations.NONE;
         return new OperatorsFile(
                 rules ? new Router(declarations, transactions, classification, memberPools, read) : null,
                 quic,
@@ -169,8 +170,8 @@
         }
     }
 
-    private Declarations declarations() {
-        Map<String, Declarations.Figure> figures = new LinkedHashMap<>();
+    private AttributeDeclarations declarations() {
+        Map<String, AttributeDeclaration> figures = new LinkedHashMap<>();
         if (once.containsKey("attributes")) {
             List<Form> items = once.get("attributes").items();
             items.subList(1, items.size()).forEach(f -> figure(f, figures));
@@ -187,12 +188,12 @@
             group = f.has("group") ? (int) f.whole("group", 1, LONGEST_LINE, 1) : group;
         }
         return figures.isEmpty() && !once.containsKey("longest")
-                ? Declarations.NONE
-                : new Declarations(figures, key, group);
+                ? AttributeDeclarations.NONE
+                : new AttributeDeclarations(figures, key, group);
     }
 
     /** {@code (NAME TYPE [LONGEST])}. */
-    private void figure(Form form, Map<String, Declarations.Figure> figures) {
+    private void figure(Form form, Map<String, AttributeDeclaration> figures) {
         Form.Sequence s = form instanceof Form.Sequence x ? x : null;
         if (s == null
                 || s.head() == null
@@ -227,9 +228,9 @@
         }
         if (TAKEN.contains(s.head())
                 || Builtins.form(s.head()) != null
-                || RequestSchema.names(Declarations.NONE).contains(s.head())) {
+                || RequestSchema.names(AttributeDeclarations.NONE).contains(s.head())) {
             problems.add(s.place(), s.head() + " has a meaning already");
-        } else if (figures.putIfAbsent(s.head(), new Declarations.Figure(t, t == Type.STRING ? longest : 0)) != null) {
+        } else if (figures.putIfAbsent(s.head(), new AttributeDeclaration(t, t == Type.STRING ? longest : 0)) != null) {
             problems.add(s.place(), s.head() + " stands twice");
         }
     }
--- a/node/src/main/java/tulipshed/proxy/RequestRouting.java
+++ b/node/src/main/java/tulipshed/proxy/RequestRouting.java
@@ -49,13 +49,13 @@
         router = changed;
         spilloverPools = Map.of();
         if (router != null) {
-            router.members(listed, nowMs);
+            router.updatePools(listed, nowMs);
         }
     }
 
     /** Whether pools or routes may change without a change of the endpoint list. */
     boolean needsPolling() {
-        return router != null && (router.routes() || router.agesMatter());
+        return router != null && (router.hasRoutes() || router.poolsDependOnAge());
     }
 
     /** Gives a request the class, tenant and group that the rules assign. */
@@ -64,7 +64,7 @@
             return;
         }
         Attributes attributes = request.attributes();
-        RequestClassification classified = router.classify(subjectOf(request));
+        RequestClassification classified = router.classify(attributesOf(request));
         // A name that the settings no longer have changes nothing.
         request.setAttributes(new Attributes(
                 classIndices.getOrDefault(classified.className(), attributes.requestClass()),
@@ -81,10 +81,10 @@
 
     /** The pool that must serve the request as routes are now, null for any endpoint. */
     String poolOf(Request request) {
-        return hasRoutes() ? router.pool(subjectOf(request)) : null;
+        return hasRoutes() ? router.poolFor(attributesOf(request)) : null;
     }
 
-    private RequestAttributes subjectOf(Request request) {
+    private RequestAttributes attributesOf(Request request) {
         Attributes attributes = request.attributes();
         return new RequestAttributes(
                 classNameOf(attributes.requestClass()),
@@ -112,20 +112,20 @@
 
     /** Fills the pools from the endpoints listed now; whether any pool changed. */
     boolean updatePools(Collection<EndpointInfo> listed, double nowMs) {
-        return router != null && router.members(listed, nowMs);
+        return router != null && router.updatePools(listed, nowMs);
     }
 
     /** Notifies the decision module of all pools. */
     void publishPools(BalancerApi balancer, long nowUs) {
-        balancer.poolsChanged(nowUs, router == null ? Map.of() : router.pools());
+        balancer.poolsChanged(nowUs, router == null ? Map.of() : router.endpointIdsByPool());
     }
 
     /** Decides which pool each route uses, by eligible endpoints; a change is logged, and pending requests are rerouted. */
     void evaluateSpillover(BalancerApi balancer, long nowUs, Collection<Request> requests) {
-        if (router == null || !router.look(pool -> balancer.eligibleCount(nowUs, pool))) {
+        if (router == null || !router.reevaluateSpillover(pool -> balancer.eligibleCount(nowUs, pool))) {
             return;
         }
-        Map<String, String> changed = router.spilled();
+        Map<String, String> changed = router.spilloverPools();
         logSpillover(changed);
         spilloverPools = changed;
         rerouteRequests(balancer, nowUs, requests);
@@ -161,7 +161,7 @@
 
     /** Whether the rules have routes. */
     boolean hasRoutes() {
-        return router != null && router.routes();
+        return router != null && router.hasRoutes();
     }
 
     /** How many routes use another pool than their preferred one. */
--- a/node/src/main/java/tulipshed/quic/QuicFrontend.java
+++ b/node/src/main/java/tulipshed/quic/QuicFrontend.java
@@ -5,10 +5,8 @@
 import java.nio.ByteBuffer;
 import java.security.SecureRandom;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import tulipshed.config.NameIndex;
@@ -19,6 +17,8 @@
 import tulipshed.proxy.ProxyCore;
 import tulipshed.proxy.Request.Attributes;
 import tulipshed.quic.QuicMetrics.Figure;
+import tulipshed.routing.AdditionalAttributes;
+import tulipshed.routing.AttributeValue;
 import tulipshed.routing.RequestOrigin;
 import tulipshed.routing.RequestSchema;
 import tulipshed.time.Clock;
@@ -160,17 +160,21 @@
 
     /** Where a transaction came from, and what its client said in the clear; null where it is not known. */
     static RequestOrigin origin(InetSocketAddress from, ClientHelloAssembler opening) {
-        Map<String, Object> figures = new HashMap<>();
+        AdditionalAttributes.Builder attributes = AdditionalAttributes.builder();
         if (opening != null) {
-            figures.put(RequestSchema.QUIC_VERSION, opening.version().number);
+            attributes.put(RequestSchema.QUIC_VERSION, new AttributeValue.IntegerValue(opening.version().number));
             if (opening.hello().serverName() != null) {
-                figures.put(RequestSchema.SERVER_NAME, opening.hello().serverName());
+                attributes.put(
+                        RequestSchema.SERVER_NAME,
+                        new AttributeValue.StringValue(opening.hello().serverName()));
             }
             if (opening.hello().alpn() != null) {
-                figures.put(RequestSchema.ALPN, opening.hello().alpn());
+                attributes.put(
+                        RequestSchema.ALPN,
+                        new AttributeValue.StringValue(opening.hello().alpn()));
             }
         }
-        return RequestOrigin.of(NAME, from.getAddress(), figures);
+        return RequestOrigin.of(NAME, from.getAddress(), attributes.build());
     }
 
     /** A client's hello is waited for, or no more. */
--- /dev/null
+++ b/node/src/main/java/tulipshed/routing/ClassificationRule.java
@@ -0,0 +1,13 @@
+package tulipshed.routing;
+
+import tulipshed.expression.Program;
+
+/**
+ * What one classification rule assigns; null keeps what the request came with.
+ *
+ * @param name the name of the rule
+ * @param className the name of the class, or null
+ * @param tenant the name of the tenant, or null
+ * @param group the expression that computes the affinity group, or null; an empty string means no group
+ */
+public record ClassificationRule(String name, String className, String tenant, Program.Value group) {}
--- a/node/src/main/java/tulipshed/routing/ClassificationRules.java
+++ b/node/src/main/java/tulipshed/routing/ClassificationRules.java
@@ -5,43 +5,51 @@
 import tulipshed.expression.Program;
 import tulipshed.expression.RuleTable;
 
-/** Ordered rules that give a transaction another class, tenant or group; of those that hold, the first counts. */
+/** Ordered rules that assign a class, tenant or group to a request; the first whose condition holds applies. */
 public final class ClassificationRules {
     private final RequestSchema schema;
-    private final List<Rule> rules;
-    private final RuleTable table;
+    private final List<ClassificationRule> rules;
+    private final RuleTable conditions;
     private final EvaluationFrame frame;
 
-    /** What a rule gives; null leaves what was told. */
-    public record Rule(String name, String className, String tenant, Program.Value group) {}
-
-    /** The table holds the conditions of the rules, in their order; the program has been built. */
-    public ClassificationRules(RequestSchema schema, List<Rule> rules, RuleTable table, Program program) {
+    /**
+     * Rules over the attributes of a schema.
+     *
+     * @param conditions the conditions of the rules, in the order of the rules
+     * @param program the program of the conditions and group expressions, which is complete
+     */
+    public ClassificationRules(
+            RequestSchema schema, List<ClassificationRule> rules, RuleTable conditions, Program program) {
         this.schema = schema;
         this.rules = List.copyOf(rules);
-        this.table = table;
+        this.conditions = conditions;
         frame = program.frame();
     }
 
-    /** What the rules make of it. */
-    RequestClassification classify(RequestAttributes s) {
-        schema.fill(frame, s);
-        int found = table.first(frame);
-        if (found < 0) {
-            return new RequestClassification(s.className(), s.tenant(), s.group());
+    /** Returns the class, tenant and group that the request has by the rules. */
+    RequestClassification classify(RequestAttributes request) {
+        ClassificationRule rule = firstMatch(request);
+        if (rule == null) {
+            return request.unclassified();
         }
-        Rule r = rules.get(found);
-        CharSequence group = r.group() == null ? s.group() : r.group().text(frame);
+        CharSequence group =
+                rule.group() == null ? request.group() : rule.group().text(frame);
         return new RequestClassification(
-                r.className() == null ? s.className() : r.className(),
-                r.tenant() == null ? s.tenant() : r.tenant(),
+                rule.className() == null ? request.className() : rule.className(),
+                rule.tenant() == null ? request.tenant() : rule.tenant(),
                 group == null || group.length() == 0 ? null : group.toString());
     }
 
-    /** The rule that counts for it, or null. */
-    String rule(RequestAttributes s) {
-        schema.fill(frame, s);
-        int found = table.first(frame);
-        return found < 0 ? null : rules.get(found).name();
+    /** Returns the name of the rule that applies to the request, null where none does. */
+    String matchingRule(RequestAttributes request) {
+        ClassificationRule rule = firstMatch(request);
+        return rule == null ? null : rule.name();
+    }
+
+    /** Leaves the attributes of the request in the frame. */
+    private ClassificationRule firstMatch(RequestAttributes request) {
+        schema.fill(frame, request);
+        int index = conditions.first(frame);
+        return index < 0 ? null : rules.get(index);
     }
 }
--- a/node/src/main/java/tulipshed/routing/EndpointSchema.java
+++ b/node/src/main/java/tulipshed/routing/EndpointSchema.java
@@ -6,40 +6,53 @@
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
 
-/** What expressions may ask of a pool member. */
+/** The attributes of an endpoint in expressions. Holds their external names, those of the operators' file. */
 public final class EndpointSchema {
-    /** Characters of an id, a zone or a kind; a member with more is in no pool. */
-    public static final int LONGEST = 256;
-    /** What a member that has run for long is old, in milliseconds: a hundred years. */
-    public static final long OLD_MS = 3_155_760_000_000L;
+    /** Characters of an ID, a zone or a machine type at most; an endpoint that exceeds it belongs to no pool. */
+    private static final int MAX_STRING_LENGTH = 256;
+    /** The age of an endpoint whose start is unknown, in milliseconds: a hundred years. */
+    private static final long UNKNOWN_AGE_MS = 3_155_760_000_000L;
+
+    private static final double US_PER_MS = 1000.0;
 
     private final Schema schema = new Schema();
-    private final Attribute id = schema.add("member.id", Type.STRING, false, LONGEST);
-    private final Attribute zone = schema.add("member.zone", Type.STRING, false, LONGEST);
-    private final Attribute kind = schema.add("member.kind", Type.STRING, false, LONGEST);
+    private final Attribute id = schema.add("member.id", Type.STRING, false, MAX_STRING_LENGTH);
+    private final Attribute zone = schema.add("member.zone", Type.STRING, false, MAX_STRING_LENGTH);
+    private final Attribute machineType = schema.add("member.kind", Type.STRING, false, MAX_STRING_LENGTH);
     private final Attribute cell = schema.add("member.cell", Type.INTEGER, false, 0);
     private final Attribute weight = schema.add("member.weight", Type.DECIMAL, false, 0);
-    private final Attribute age = schema.add("member.age-ms", Type.INTEGER, false, 0);
+    private final Attribute ageMs = schema.add("member.age-ms", Type.INTEGER, false, 0);
 
-    /** The attributes. */
+    /** Returns the attributes. */
     public Schema schema() {
         return schema;
     }
 
-    /** Puts one member into a frame, its age by the clock of its start; false where its texts are too long. */
-    boolean fill(EvaluationFrame f, EndpointInfo e, double nowMs) {
-        if (e.id().length() > LONGEST
-                || e.zone().length() > LONGEST
-                || e.machineType().length() > LONGEST) {
+    /**
+     * Sets the attributes of an endpoint in a frame.
+     *
+     * @param nowMs the time, on the clock of the endpoint's start
+     * @return false where its strings are too long, and the frame is unchanged
+     */
+    boolean fill(EvaluationFrame frame, EndpointInfo endpoint, double nowMs) {
+        if (endpoint.id().length() > MAX_STRING_LENGTH
+                || endpoint.zone().length() > MAX_STRING_LENGTH
+                || endpoint.machineType().length() > MAX_STRING_LENGTH) {
             return false;
         }
-        f.begin();
-        f.set(id, e.id());
-        f.set(zone, e.zone());
-        f.set(kind, e.machineType());
-        f.set(cell, (long) e.cell());
-        f.set(weight, e.weight());
-        f.set(age, e.startedUs() == 0 ? OLD_MS : Math.max(0, (long) (nowMs - e.startedUs() / 1000.0)));
+        frame.begin();
+        frame.set(id, endpoint.id());
+        frame.set(zone, endpoint.zone());
+        frame.set(machineType, endpoint.machineType());
+        frame.set(cell, (long) endpoint.cell());
+        frame.set(weight, endpoint.weight());
+        frame.set(ageMs, ageMs(endpoint, nowMs));
         return true;
     }
+
+    private static long ageMs(EndpointInfo endpoint, double nowMs) {
+        return endpoint.startedUs() == 0
+                ? UNKNOWN_AGE_MS
+                : Math.max(0, (long) (nowMs - endpoint.startedUs() / US_PER_MS));
+    }
 }
--- a/node/src/main/java/tulipshed/routing/PoolMembership.java
+++ b/node/src/main/java/tulipshed/routing/PoolMembership.java
@@ -10,52 +10,63 @@
 import tulipshed.expression.EvaluationFrame;
 import tulipshed.expression.Program;
 
-/** Named sets of members, worked out when the list changes, and in between only where they ask a member's age. */
+/**
+ * Which endpoints belong to which pool. Evaluated when the endpoint list changes, and in between only where a condition
+ * reads the age of an endpoint.
+ */
 public final class PoolMembership {
     private final EndpointSchema schema;
-    private final Map<String, Program.Value> conditions;
-    private final boolean ages;
+    private final Map<String, Program.Value> conditionByPool;
+    private final boolean dependsOnAge;
     private final EvaluationFrame frame;
-    private Map<String, Set<String>> members = new LinkedHashMap<>();
+    private Map<String, Set<String>> endpointIdsByPool = new LinkedHashMap<>();
 
-    /** The conditions by the pools' names, in the order of the file; the program has been built. */
-    public PoolMembership(EndpointSchema schema, Map<String, Program.Value> conditions, boolean ages, Program program) {
+    /**
+     * Empty pools.
+     *
+     * @param conditionByPool the conditions by name of the pool, in the order of the operators' file
+     * @param dependsOnAge whether a condition reads the age of an endpoint
+     * @param program the program of the conditions, which is complete
+     */
+    public PoolMembership(
+            EndpointSchema schema, Map<String, Program.Value> conditionByPool, boolean dependsOnAge, Program program) {
         this.schema = schema;
-        this.conditions = new LinkedHashMap<>(conditions);
-        this.ages = ages;
+        this.conditionByPool = new LinkedHashMap<>(conditionByPool);
+        this.dependsOnAge = dependsOnAge;
         frame = program.frame();
-        conditions.keySet().forEach(name -> members.put(name, Set.of()));
+        conditionByPool.keySet().forEach(pool -> endpointIdsByPool.put(pool, Set.of()));
     }
 
-    /** Whether what is in a pool may change while the list does not. */
-    boolean ages() {
-        return ages;
+    /** Whether pools may change while the endpoint list does not. */
+    boolean dependsOnAge() {
+        return dependsOnAge;
     }
 
-    /** Works them out anew; whether anything changed. */
+    /** Evaluates the conditions of all pools anew; whether any pool changed. */
     boolean update(Collection<EndpointInfo> listed, double nowMs) {
-        Map<String, Set<String>> now = new LinkedHashMap<>();
-        conditions.keySet().forEach(name -> now.put(name, new HashSet<>()));
-        for (EndpointInfo e : listed) {
-            if (schema.fill(frame, e, nowMs)) {
-                conditions.forEach((name, condition) -> {
+        Map<String, Set<String>> updated = new LinkedHashMap<>();
+        conditionByPool.keySet().forEach(pool -> updated.put(pool, new HashSet<>()));
+        for (EndpointInfo endpoint : listed) {
+            if (schema.fill(frame, endpoint, nowMs)) {
+                conditionByPool.forEach((pool, condition) -> {
                     if (condition.truth(frame)) {
-                        now.get(name).add(e.id());
+                        updated.get(pool).add(endpoint.id());
                     }
                 });
             }
         }
-        boolean changed = !now.equals(members);
-        members = now;
+        boolean changed = !updated.equals(endpointIdsByPool);
+        endpointIdsByPool = updated;
         return changed;
     }
 
-    /** The ids of the members of each pool. */
-    Map<String, Set<String>> members() {
-        return Collections.unmodifiableMap(members);
+    /** Returns the IDs of the endpoints of each pool, in the order of the operators' file. */
+    Map<String, Set<String>> endpointIdsByPool() {
+        return Collections.unmodifiableMap(endpointIdsByPool);
     }
 
+    /** Returns how many endpoints a pool has. */
     int size(String pool) {
-        return members.get(pool).size();
+        return endpointIdsByPool.get(pool).size();
     }
 }
--- a/node/src/main/java/tulipshed/routing/PoolPreference.java
+++ b/node/src/main/java/tulipshed/routing/PoolPreference.java
@@ -2,49 +2,52 @@
 
 import java.util.List;
 
-/** Pools in order of preference: the first that is not passed over is used. */
+/** Pools in order of preference; the first that is not skipped is used. */
 final class PoolPreference {
+    private static final int NONE = -1;
+
     private final List<PoolTarget> targets;
-    private final boolean[] over;
-    private int used;
+    private final boolean[] skipped;
+    private int usedIndex;
 
     PoolPreference(List<PoolTarget> targets) {
         this.targets = List.copyOf(targets);
-        over = new boolean[targets.size()];
+        skipped = new boolean[targets.size()];
     }
 
+    /** Returns the pool in use. */
     String pool() {
-        return targets.get(used).pool();
+        return targets.get(usedIndex).pool();
     }
 
-    boolean spilled() {
-        return used > 0;
+    /** Whether another pool than the preferred one is in use. */
+    boolean isSpilled() {
+        return usedIndex > 0;
     }
 
-    /** Looks at the pools again; whether another is used from now on. */
-    boolean look(Readiness readiness) {
-        int first = -1;
-        int some = -1;
-        for (int i = 0; i < over.length; i++) {
-            PoolTarget t = targets.get(i);
-            int ready = readiness.ready(t.pool());
-            double share = readiness.share(t.pool());
-            // Between the two bounds it stays as it was: a share that swings there changes nothing.
-            over[i] = ready == 0 || (over[i] ? share < t.back() : share < t.below());
-            first = first < 0 && !over[i] ? i : first;
-            some = some < 0 && ready > 0 ? i : some;
+    /**
+     * Chooses the first pool that is not skipped; where all are, the first that has a ready endpoint, and else the first.
+     *
+     * @return whether another pool is in use from now on
+     */
+    boolean reevaluate(PoolReadiness readiness) {
+        int firstKept = NONE;
+        int firstReady = NONE;
+        for (int i = 0; i < skipped.length; i++) {
+            PoolTarget target = targets.get(i);
+            int readyCount = readiness.readyCount(target.pool());
+            double readyShare = readiness.readyShare(target.pool());
+            double minShare = skipped[i] ? target.restoreAt() : target.spillBelow();
+            skipped[i] = readyCount == 0 || readyShare < minShare;
+            if (firstKept == NONE && !skipped[i]) {
+                firstKept = i;
+            }
+            if (firstReady == NONE && readyCount > 0) {
+                firstReady = i;
+            }
         }
-        int before = used;
-        used = first >= 0 ? first : Math.max(some, 0);
-        return used != before;
-    }
-
-    /** What the module knows of the pools. */
-    interface Readiness {
-        /** Members to which something could be sent now. */
-        int ready(String pool);
-
-        /** Their share of the pool's members; 0 for an empty pool. */
-        double share(String pool);
+        int previousIndex = usedIndex;
+        usedIndex = firstKept != NONE ? firstKept : Math.max(firstReady, 0);
+        return usedIndex != previousIndex;
     }
 }
--- a/node/src/main/java/tulipshed/routing/RequestClassification.java
+++ b/node/src/main/java/tulipshed/routing/RequestClassification.java
@@ -1,4 +1,10 @@
 package tulipshed.routing;
 
-/** What the rules make of a transaction: its class, its tenant and its group, the last two null where there is none. */
+/**
+ * What the classification rules assign to a request.
+ *
+ * @param className the name of its class
+ * @param tenant the name of its tenant, null where there is none
+ * @param group its affinity group, null where there is none
+ */
 public record RequestClassification(String className, String tenant, String group) {}
--- a/node/src/main/java/tulipshed/routing/RequestOrigin.java
+++ b/node/src/main/java/tulipshed/routing/RequestOrigin.java
@@ -1,20 +1,23 @@
 package tulipshed.routing;
 
 import java.net.InetAddress;
-import java.util.Map;
 import tulipshed.expression.Network;
 
 /**
- * Where a transaction came from: the front that took it, its client's address as the 128 bits of IPv6, and the further
- * figures that it carried, by their names, as String, Long, Double or Boolean.
+ * Where a request came from.
+ *
+ * @param frontend the name of the frontend that accepted it, empty where it is unknown
+ * @param sourceHigh the upper 64 bits of the client's IPv6 address, or of its IPv4 address mapped to IPv6
+ * @param sourceLow the lower 64 bits of that address
+ * @param additional the attributes that the request carries besides those that every request has
  */
-public record RequestOrigin(String front, long sourceHigh, long sourceLow, Map<String, Object> figures) {
-    /** Where nothing is known. */
-    public static final RequestOrigin UNKNOWN = new RequestOrigin("", 0, 0, Map.of());
+public record RequestOrigin(String frontend, long sourceHigh, long sourceLow, AdditionalAttributes additional) {
+    /** The origin of a request of which nothing is known. */
+    public static final RequestOrigin UNKNOWN = new RequestOrigin("", 0, 0, AdditionalAttributes.NONE);
 
-    /** From that front and address. */
-    public static RequestOrigin of(String front, InetAddress source, Map<String, Object> figures) {
+    /** Returns the origin of a request that a frontend accepted from that address. */
+    public static RequestOrigin of(String frontend, InetAddress source, AdditionalAttributes additional) {
         byte[] bytes = source.getAddress();
-        return new RequestOrigin(front, Network.high(bytes), Network.low(bytes), figures);
+        return new RequestOrigin(frontend, Network.high(bytes), Network.low(bytes), additional);
     }
 }
--- a/node/src/main/java/tulipshed/routing/RequestSchema.java
+++ b/node/src/main/java/tulipshed/routing/RequestSchema.java
@@ -7,103 +7,129 @@
 import tulipshed.expression.EvaluationFrame;
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
+import tulipshed.routing.AttributeValue.BooleanValue;
+import tulipshed.routing.AttributeValue.DecimalValue;
+import tulipshed.routing.AttributeValue.IntegerValue;
+import tulipshed.routing.AttributeValue.StringValue;
 
-/** What expressions may ask of a transaction. */
+/** The attributes of a request in expressions. Holds their external names, those of the operators' file. */
 public final class RequestSchema {
-    /** What a client of QUIC says in the clear, in the names of expressions. */
+    /** The server name that a QUIC client asks for (TLS SNI). */
     public static final String SERVER_NAME = "server-name";
-
+    /** The first application protocol that a QUIC client offers (TLS ALPN). */
     public static final String ALPN = "alpn";
+    /** The version number of a QUIC client's first packet. */
     public static final String QUIC_VERSION = "quic-version";
-    private static final int LONGEST_FRONT = 16;
-    private static final int LONGEST_SAID = 255;
+
+    private static final int MAX_FRONTEND_LENGTH = 16;
+    private static final int MAX_HANDSHAKE_STRING_LENGTH = 255;
 
     private final Schema schema = new Schema();
     private final Attribute requestClass;
     private final Attribute tenant;
     private final Attribute key;
     private final Attribute group;
-    private final Attribute deadline;
-    private final Attribute hint;
+    private final Attribute timeoutMs;
+    private final Attribute loadHint;
     private final Attribute retry;
-    private final Attribute again;
-    private final Attribute front;
+    private final Attribute reconnecting;
+    private final Attribute frontend;
     private final Attribute source;
-    private final Map<String, Attribute> figures = new LinkedHashMap<>();
+    private final Map<String, Attribute> additional = new LinkedHashMap<>();
 
-    /** For settings whose names of classes and tenants are that long at most; 0 where there are no tenants. */
-    public RequestSchema(int longestClass, int longestTenant, Declarations declared, int longestLine) {
-        requestClass = schema.add("class", Type.STRING, false, longestClass);
-        tenant = schema.add("tenant", Type.STRING, longestTenant == 0, longestTenant);
-        key = schema.add("key", Type.STRING, false, Math.min(longestLine, declared.longestKey()));
-        group = schema.add("group", Type.STRING, true, Math.min(longestLine, declared.longestGroup()));
-        deadline = schema.add("deadline-ms", Type.INTEGER, false, 0);
-        hint = schema.add("hint", Type.DECIMAL, true, 0);
+    /**
+     * The schema of requests under these settings and declarations.
+     *
+     * @param maxClassLength the characters of the name of a class at most
+     * @param maxTenantLength the characters of the name of a tenant at most, 0 where there are no tenants
+     * @param maxLineLength the characters at most of a key or a group for which less is not declared
+     */
+    public RequestSchema(
+            int maxClassLength, int maxTenantLength, AttributeDeclarations declarations, int maxLineLength) {
+        requestClass = schema.add("class", Type.STRING, false, maxClassLength);
+        tenant = schema.add("tenant", Type.STRING, maxTenantLength == 0, maxTenantLength);
+        key = schema.add("key", Type.STRING, false, Math.min(maxLineLength, declarations.maxKeyLength()));
+        group = schema.add("group", Type.STRING, true, Math.min(maxLineLength, declarations.maxGroupLength()));
+        timeoutMs = schema.add("deadline-ms", Type.INTEGER, false, 0);
+        loadHint = schema.add("hint", Type.DECIMAL, true, 0);
         retry = schema.add("retry", Type.BOOLEAN, false, 0);
-        again = schema.add("again", Type.BOOLEAN, false, 0);
-        front = schema.add("front", Type.STRING, false, LONGEST_FRONT);
+        reconnecting = schema.add("again", Type.BOOLEAN, false, 0);
+        frontend = schema.add("front", Type.STRING, false, MAX_FRONTEND_LENGTH);
         source = schema.add("source-address", Type.ADDRESS, false, 0);
-        figures.put(SERVER_NAME, schema.add(SERVER_NAME, Type.STRING, true, LONGEST_SAID));
-        figures.put(ALPN, schema.add(ALPN, Type.STRING, true, LONGEST_SAID));
-        figures.put(QUIC_VERSION, schema.add(QUIC_VERSION, Type.INTEGER, true, 0));
-        declared.figures().forEach((name, f) -> figures.put(name, schema.add(name, f.type(), true, f.longest())));
+        addAdditional(SERVER_NAME, Type.STRING, MAX_HANDSHAKE_STRING_LENGTH);
+        addAdditional(ALPN, Type.STRING, MAX_HANDSHAKE_STRING_LENGTH);
+        addAdditional(QUIC_VERSION, Type.INTEGER, 0);
+        declarations.byName().forEach((name, declared) -> addAdditional(name, declared.type(), declared.maxLength()));
+    }
+
+    private void addAdditional(String name, Type type, int maxLength) {
+        additional.put(name, schema.add(name, type, true, maxLength));
     }
 
-    /** The names that expressions may use where these figures are declared. */
-    public static Collection<String> names(Declarations declared) {
-        return new RequestSchema(1, 1, declared, 1).schema.names();
+    /** Returns the names that expressions may use under these declarations. */
+    public static Collection<String> names(AttributeDeclarations declarations) {
+        return new RequestSchema(1, 1, declarations, 1).schema.names();
     }
 
-    /** The attributes. */
+    /** Returns the attributes. */
     public Schema schema() {
         return schema;
     }
 
-    /** Puts one transaction into a frame. */
-    void fill(EvaluationFrame f, RequestAttributes s) {
-        f.begin();
-        f.set(requestClass, s.className());
-        if (s.tenant() != null) {
-            f.set(tenant, s.tenant());
+    /** Sets the attributes of a request in a frame. */
+    void fill(EvaluationFrame frame, RequestAttributes request) {
+        frame.begin();
+        frame.set(requestClass, request.className());
+        if (request.tenant() != null) {
+            frame.set(tenant, request.tenant());
         }
-        f.set(key, s.key());
-        if (s.group() != null) {
-            f.set(group, s.group());
+        frame.set(key, request.key());
+        if (request.group() != null) {
+            frame.set(group, request.group());
         }
-        f.set(deadline, (long) s.waitMs());
-        if (s.hint() > 0) {
-            f.set(hint, s.hint());
+        frame.set(timeoutMs, (long) request.timeoutMs());
+        if (request.loadHintUsPerS() > 0) {
+            frame.set(loadHint, request.loadHintUsPerS());
         }
-        f.set(retry, s.repeat());
-        f.set(again, s.returning());
-        f.set(front, s.origin().front());
-        f.set(source, s.origin().sourceHigh(), s.origin().sourceLow());
-        if (!s.origin().figures().isEmpty()) {
-            s.origin().figures().forEach((name, value) -> set(f, figures.get(name), value));
+        frame.set(retry, request.retry());
+        frame.set(reconnecting, request.reconnecting());
+        fillOrigin(frame, request.origin());
+    }
+
+    private void fillOrigin(EvaluationFrame frame, RequestOrigin origin) {
+        frame.set(frontend, origin.frontend());
+        frame.set(source, origin.sourceHigh(), origin.sourceLow());
+        if (!origin.additional().isEmpty()) {
+            origin.additional().forEach((name, value) -> setAdditional(frame, additional.get(name), value));
         }
     }
 
-    private static void set(EvaluationFrame f, Attribute a, Object value) {
-        if (a == null) {
-            return; // declared no more since the line was read
-        } else if (value instanceof String text && a.type() == Type.STRING && text.length() <= a.longest()) {
-            f.set(a, text);
-        } else if (value instanceof Long whole && a.type() == Type.INTEGER) {
-            f.set(a, (long) whole);
-        } else if (value instanceof Long whole && a.type() == Type.DECIMAL) {
-            f.set(a, (double) whole);
-        } else if (value instanceof Double fraction && a.type() == Type.DECIMAL) {
-            f.set(a, (double) fraction);
-        } else if (value instanceof Boolean truth && a.type() == Type.BOOLEAN) {
-            f.set(a, (boolean) truth);
+    /** Ignores a value whose attribute was declared otherwise, or not at all, by the time that rules read it. */
+    private static void setAdditional(EvaluationFrame frame, Attribute attribute, AttributeValue value) {
+        if (attribute == null) {
+            return;
+        }
+        Type type = attribute.type();
+        if (value instanceof StringValue string
+                && type == Type.STRING
+                && string.value().length() <= attribute.longest()) {
+            frame.set(attribute, string.value());
+        } else if (value instanceof IntegerValue integer && type == Type.INTEGER) {
+            frame.set(attribute, integer.value());
+        } else if (value instanceof IntegerValue integer && type == Type.DECIMAL) {
+            frame.set(attribute, (double) integer.value());
+        } else if (value instanceof DecimalValue decimal && type == Type.DECIMAL) {
+            frame.set(attribute, decimal.value());
+        } else if (value instanceof BooleanValue bool && type == Type.BOOLEAN) {
+            frame.set(attribute, bool.value());
         }
     }
 
-    /** Whether a transaction's texts are as short as expressions were promised; fronts see to it at the first line. */
-    boolean fits(RequestAttributes s) {
-        return s.className().length() <= requestClass.longest()
-                && s.key().length() <= key.longest()
-                && (s.tenant() == null || s.tenant().length() <= tenant.longest())
-                && (s.group() == null || s.group().length() <= group.longest());
+    /** Whether the strings of a request keep the lengths that expressions rely on; frontends check them on arrival. */
+    boolean fits(RequestAttributes request) {
+        return request.className().length() <= requestClass.longest()
+                && request.key().length() <= key.longest()
+                && (request.tenant() == null || request.tenant().length() <= tenant.longest())
+                && (request.group() == null || request.group().length() <= group.longest());
     }
 }
--- /dev/null
+++ b/node/src/main/java/tulipshed/routing/Route.java
@@ -0,0 +1,50 @@
+package tulipshed.routing;
+
+import java.util.List;
+import tulipshed.expression.EvaluationFrame;
+import tulipshed.expression.Program;
+
+/** One route with the pools that its branches use now. */
+final class Route {
+    private final String name;
+    /** Null for a route of a single branch. */
+    private final Program.Value splitPoint;
+    /** The split point at which each branch ends, exclusively. */
+    private final long[] branchEnds;
+
+    private final List<PoolPreference> branches;
+
+    Route(RouteDefinition definition) {
+        name = definition.name();
+        splitPoint = definition.splitPoint();
+        branchEnds = new long[definition.branches().size()];
+        long sum = 0;
+        for (int i = 0; i < branchEnds.length; i++) {
+            sum += definition.weights().get(i);
+            branchEnds[i] = sum;
+        }
+        branches = definition.branches().stream().map(PoolPreference::new).toList();
+    }
+
+    /** Returns the name of the route. */
+    String name() {
+        return name;
+    }
+
+    /** Returns all branches, in the order of their definition. */
+    List<PoolPreference> branches() {
+        return branches;
+    }
+
+    /** Returns the branch for the request whose attributes are in the frame. */
+    PoolPreference branchFor(EvaluationFrame frame) {
+        int index = 0;
+        if (splitPoint != null) {
+            long point = splitPoint.whole(frame);
+            while (point >= branchEnds[index]) {
+                index++;
+            }
+        }
+        return branches.get(index);
+    }
+}
--- a/node/src/main/java/tulipshed/routing/Router.java
+++ b/node/src/main/java/tulipshed/routing/Router.java
@@ -8,20 +8,37 @@
 import tulipshed.decision.api.EndpointInfo;
 
 /**
- * What the operators' rules make of transactions: class, tenant and group, and the pool that each is held to. It decides
- * nothing else: which member of the pool, and whether at all, stays with the decision module. Without I/O; for one thread.
+ * Applies the operators' rules to requests: assigns class, tenant and group, and the pool that must serve a request. Which
+ * endpoint of the pool serves it, and whether any does, is up to the decision module. Does no I/O; confined to one thread.
  */
 public final class Router {
-    private final Declarations declarations;
+    private final AttributeDeclarations declarations;
     private final RequestSchema schema;
     private final ClassificationRules classification;
     private final PoolMembership pools;
     private final Routes routes;
-    private final Map<String, Integer> ready = new HashMap<>();
+    private final Map<String, Integer> readyCountByPool = new HashMap<>();
+    private final PoolReadiness readiness = new PoolReadiness() {
+        @Override
+        public int readyCount(String pool) {
+            return readyCountByPool.get(pool);
+        }
+
+        @Override
+        public double readyShare(String pool) {
+            return pools.size(pool) == 0 ? 0 : (double) readyCountByPool.get(pool) / pools.size(pool);
+        }
+    };
 
-    /** Any of the parts may be null: there are no such rules then. Routes need pools. */
+    /**
+     * A router of these rules.
+     *
+     * @param classification null where there are no classification rules
+     * @param pools null where there are no pools
+     * @param routes null where there are no routes; they need pools
+     */
     public Router(
-            Declarations declarations,
+            AttributeDeclarations declarations,
             RequestSchema schema,
             ClassificationRules classification,
             PoolMembership pools,
@@ -33,73 +50,68 @@
         this.routes = routes;
     }
 
-    /** What fronts must hold transactions to. */
-    public Declarations declarations() {
+    /** Returns the declarations that frontends must check requests against. */
+    public AttributeDeclarations declarations() {
         return declarations;
     }
 
-    /** What the rules make of a transaction. */
-    public RequestClassification classify(RequestAttributes s) {
-        return classification == null || !schema.fits(s)
-                ? new RequestClassification(s.className(), s.tenant(), s.group())
-                : classification.classify(s);
+    /** Returns the class, tenant and group that the request has by the rules. */
+    public RequestClassification classify(RequestAttributes request) {
+        return classification == null || !schema.fits(request)
+                ? request.unclassified()
+                : classification.classify(request);
     }
 
-    /** The pool to which a transaction, as classified, is held now; null where any member may serve it. */
-    public String pool(RequestAttributes s) {
-        return routes == null || !schema.fits(s) ? null : routes.pool(s);
+    /** Returns the pool that must serve a classified request now, null where any endpoint may. */
+    public String poolFor(RequestAttributes request) {
+        return routes == null || !schema.fits(request) ? null : routes.poolFor(request);
     }
 
-    /** The names of the rule and the route that count for a transaction as it came; null where there is none. */
-    public String[] names(RequestAttributes s) {
-        RequestAttributes classified = s.as(classify(s));
-        return new String[] {
-            classification == null ? null : classification.rule(s), routes == null ? null : routes.route(classified)
-        };
+    /** Returns the rules that apply to a request as it arrived. */
+    public MatchedRules matchedRules(RequestAttributes request) {
+        RequestAttributes classified = request.withClassification(classify(request));
+        return new MatchedRules(
+                classification == null ? null : classification.matchingRule(request),
+                routes == null ? null : routes.matchingRoute(classified));
     }
 
-    /** The list changed, or members grew older; whether the pools changed. */
-    public boolean members(Collection<EndpointInfo> listed, double nowMs) {
+    /** Evaluates the pools against the listed endpoints; whether any pool changed. */
+    public boolean updatePools(Collection<EndpointInfo> listed, double nowMs) {
         return pools != null && pools.update(listed, nowMs);
     }
 
-    /** The ids of the members of each pool. */
-    public Map<String, Set<String>> pools() {
-        return pools == null ? Map.of() : pools.members();
+    /** Returns the IDs of the endpoints of each pool. */
+    public Map<String, Set<String>> endpointIdsByPool() {
+        return pools == null ? Map.of() : pools.endpointIdsByPool();
     }
 
-    /** Whether pools may change while the list does not. */
-    public boolean agesMatter() {
-        return pools != null && pools.ages();
+    /** Whether pools may change while the endpoint list does not. */
+    public boolean poolsDependOnAge() {
+        return pools != null && pools.dependsOnAge();
     }
 
-    /** Whether there are routes, whose pools want looking at now and then. */
-    public boolean routes() {
+    /** Whether there are routes, whose use of pools is to be re-evaluated in intervals. */
+    public boolean hasRoutes() {
         return routes != null;
     }
 
-    /** Asks how many members of each pool are ready; whether any route uses another pool from now on. */
-    public boolean look(ToIntFunction<String> readyMembers) {
+    /**
+     * Decides anew which pool each route uses.
+     *
+     * @param readyEndpoints how many endpoints of the pool of that name are ready
+     * @return whether any route uses another pool from now on
+     */
+    public boolean reevaluateSpillover(ToIntFunction<String> readyEndpoints) {
         if (routes == null) {
             return false;
         }
-        ready.clear();
-        pools.members().keySet().forEach(name -> ready.put(name, readyMembers.applyAsInt(name)));
-        return routes.look(new PoolPreference.Readiness() {
-            @Override
-            public int ready(String pool) {
-                return ready.get(pool);
-            }
-
-            @Override
-            public double share(String pool) {
-                return pools.size(pool) == 0 ? 0 : (double) ready.get(pool) / pools.size(pool);
-            }
-        });
+        readyCountByPool.clear();
+        pools.endpointIdsByPool().keySet().forEach(pool -> readyCountByPool.put(pool, readyEndpoints.applyAsInt(pool)));
+        return routes.reevaluate(readiness);
     }
 
-    /** Routes that use another pool than their first, with the pools that they use. */
-    public Map<String, String> spilled() {
-        return routes == null ? Map.of() : routes.spilled();
+    /** Returns the pool in use by name of the route, for routes that use another pool than their preferred one. */
+    public Map<String, String> spilloverPools() {
+        return routes == null ? Map.of() : routes.spilloverPools();
     }
 }
--- a/node/src/main/java/tulipshed/routing/Routes.java
+++ b/node/src/main/java/tulipshed/routing/Routes.java
@@ -8,101 +8,66 @@
 import tulipshed.expression.Program;
 import tulipshed.expression.RuleTable;
 
-/** Ordered routes: which pool a transaction is held to; of those that hold, the first counts. */
+/** Ordered routes, which assign a pool to a request; the first whose condition holds applies. */
 public final class Routes {
     private final RequestSchema schema;
-    private final List<Route> routes;
-    private final RuleTable table;
+    private final List<Route> routes = new ArrayList<>();
+    private final RuleTable conditions;
     private final EvaluationFrame frame;
 
-    /** One route: its branches, and what decides between them where there are several. */
-    static final class Route {
-        private final String name;
-        private final Program.Value share;
-        private final long[] upTo;
-        private final List<PoolPreference> branches;
-
-        Route(String name, Program.Value share, long[] upTo, List<PoolPreference> branches) {
-            this.name = name;
-            this.share = share;
-            this.upTo = upTo;
-            this.branches = branches;
-        }
-
-        PoolPreference branch(EvaluationFrame f) {
-            int i = 0;
-            if (share != null) {
-                long at = share.whole(f);
-                while (at >= upTo[i]) {
-                    i++;
-                }
-            }
-            return branches.get(i);
-        }
-    }
-
     /**
-     * What a route leads to: pools in order of preference, or a split, whose expression gives one of as many shares as
-     * all weights together.
+     * Routes over the attributes of a schema.
+     *
+     * @param conditions the conditions of the routes, in the order of the routes
+     * @param program the program of the conditions and split points, which is complete
      */
-    public record Way(String name, Program.Value share, List<Integer> weights, List<List<PoolTarget>> branches) {}
-
-    /** The table holds the conditions of the routes, in their order; the program has been built. */
-    public Routes(RequestSchema schema, List<Way> ways, RuleTable table, Program program) {
+    public Routes(RequestSchema schema, List<RouteDefinition> definitions, RuleTable conditions, Program program) {
         this.schema = schema;
-        this.table = table;
+        this.conditions = conditions;
         frame = program.frame();
-        routes = new ArrayList<>();
-        for (Way w : ways) {
-            long[] upTo = new long[w.branches().size()];
-            long sum = 0;
-            for (int i = 0; i < upTo.length; i++) {
-                sum += w.weights().get(i);
-                upTo[i] = sum;
-            }
-            routes.add(new Route(
-                    w.name(),
-                    w.share(),
-                    upTo,
-                    w.branches().stream().map(PoolPreference::new).toList()));
+        for (RouteDefinition definition : definitions) {
+            routes.add(new Route(definition));
         }
     }
 
-    private Route find(RequestAttributes s) {
-        schema.fill(frame, s);
-        int found = table.first(frame);
-        return found < 0 ? null : routes.get(found);
+    /** Returns the pool that must serve the request now, null where any endpoint may. */
+    String poolFor(RequestAttributes request) {
+        Route route = firstMatch(request);
+        return route == null ? null : route.branchFor(frame).pool();
     }
 
-    /** The pool that it is held to now, or null where any member may serve it. */
-    String pool(RequestAttributes s) {
-        Route r = find(s);
-        return r == null ? null : r.branch(frame).pool();
+    /** Returns the name of the route that applies to the request, null where none does. */
+    String matchingRoute(RequestAttributes request) {
+        Route route = firstMatch(request);
+        return route == null ? null : route.name();
     }
 
-    /** The route that counts for it, or null. */
-    String route(RequestAttributes s) {
-        Route r = find(s);
-        return r == null ? null : r.name;
+    /** Leaves the attributes of the request in the frame. */
+    private Route firstMatch(RequestAttributes request) {
+        schema.fill(frame, request);
+        int index = conditions.first(frame);
+        return index < 0 ? null : routes.get(index);
     }
 
-    /** Looks at the pools again; whether any route uses another. */
-    boolean look(PoolPreference.Readiness readiness) {
+    /** Chooses the pool of every branch anew; whether any branch uses another pool from now on. */
+    boolean reevaluate(PoolReadiness readiness) {
         boolean changed = false;
-        for (Route r : routes) {
-            for (PoolPreference b : r.branches) {
-                changed |= b.look(readiness);
+        for (Route route : routes) {
+            for (PoolPreference branch : route.branches()) {
+                changed |= branch.reevaluate(readiness);
             }
         }
         return changed;
     }
 
-    /** Routes that use another pool than their first, with the pools that they use. */
-    Map<String, String> spilled() {
-        Map<String, String> names = new TreeMap<>();
-        for (Route r : routes) {
-            r.branches.stream().filter(PoolPreference::spilled).forEach(b -> names.put(r.name, b.pool()));
+    /** Returns the pool in use by name of the route, for routes that use another pool than their preferred one. */
+    Map<String, String> spilloverPools() {
+        Map<String, String> poolByRoute = new TreeMap<>();
+        for (Route route : routes) {
+            route.branches().stream()
+                    .filter(PoolPreference::isSpilled)
+                    .forEach(branch -> poolByRoute.put(route.name(), branch.pool()));
         }
-        return names;
+        return poolByRoute;
     }
 }
--- a/node/src/main/java/tulipshed/routing/package-info.java
+++ b/node/src/main/java/tulipshed/routing/package-info.java
@@ -1,2 +1,5 @@
-/** What the operators' rules make of a request: its class, tenant and group, and the pool of endpoints that it is held to. Does no I/O. */
+/**
+ * The operators' routing rules: they classify requests by class, tenant and group, and assign the pool of endpoints that must
+ * serve each. Does no I/O.
+ */
 package tulipshed.routing;
--- a/node/src/test/java/tulipshed/lineprotocol/AsyncApiDescriptionTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/AsyncApiDescriptionTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.yaml.snakeyaml.Yaml;
 import tulipshed.config.NodeConfig;
-import tulipshed.routing.Declarations;
+import tulipshed.routing.AttributeDeclarations;
 
 /** The AsyncAPI description matches the parsers: its examples are parsed, and its references can be resolved. */
 class AsyncApiDescriptionTest {
@@ -43,7 +43,7 @@
             String line = (String) example;
             assertTrue(line.matches((String) valueAt(payload, "pattern")), line);
             NodeConfig config = NodeConfig.load(Map.of("PROXY_CONFIG", "src/test/resources/node.json"));
-            OpenCommand command = new OpenCommandParser(config.nameIndex(), Declarations.NONE, 60_000)
+            OpenCommand command = new OpenCommandParser(config.nameIndex(), AttributeDeclarations.NONE, 60_000)
                     .parse(line.getBytes(StandardCharsets.US_ASCII));
             assertEquals(
                     line,
--- a/node/src/test/java/tulipshed/lineprotocol/OpenCommandParserTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/OpenCommandParserTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.config.NameIndex;
 import tulipshed.proxy.Request.Attributes;
-import tulipshed.routing.Declarations;
+import tulipshed.routing.AttributeDeclarations;
 import tulipshed.testing.InputFuzzer;
 
 /** Open commands are parsed, or rejected as malformed. */
@@ -32,7 +32,7 @@
         byte[] line = InputFuzzer.corrupt(encoded(OPEN_COMMAND), seed);
         try {
             // What is accepted must be forwarded byte for byte but for its timeout.
-            OpenCommand command = new OpenCommandParser(names(), Declarations.NONE, 60_000).parse(line);
+            OpenCommand command = new OpenCommandParser(names(), AttributeDeclarations.NONE, 60_000).parse(line);
             String forwarded =
                     new String(command.forwardedLine(command.attributes().timeoutMs()), StandardCharsets.ISO_8859_1);
             assertEquals(
@@ -45,7 +45,8 @@
 
     @Test
     void replacesOnlyTimeoutWhenForwarding() {
-        OpenCommand command = new OpenCommandParser(names(), Declarations.NONE, 60_000).parse(encoded(OPEN_COMMAND));
+        OpenCommand command =
+                new OpenCommandParser(names(), AttributeDeclarations.NONE, 60_000).parse(encoded(OPEN_COMMAND));
         assertEquals(new Attributes(0, 3, "7f3a", "5c0f", 2000, 0, false, true), command.attributes());
         assertEquals(
                 OPEN_COMMAND.replace("d=2000", "d=1234"),
@@ -62,7 +63,7 @@
         String line = "OPEN 1 k c=chat,t=acme,d=86400000,at=s-1\r\n";
         assertEquals(
                 86_400_000,
-                new OpenCommandParser(names(), Declarations.NONE, 60_000)
+                new OpenCommandParser(names(), AttributeDeclarations.NONE, 60_000)
                         .parse(encoded(line))
                         .attributes()
                         .timeoutMs());
@@ -86,7 +87,7 @@
                 "OPEN 1 k c=chat,t=nobody,d=5\r\n")) {
             assertThrows(
                     MalformedLineException.class,
-                    () -> new OpenCommandParser(names(), Declarations.NONE, 60_000).parse(encoded(malformed)),
+                    () -> new OpenCommandParser(names(), AttributeDeclarations.NONE, 60_000).parse(encoded(malformed)),
                     malformed);
         }
     }
--- a/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
+++ b/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
@@ -42,7 +42,7 @@
         assertEquals("s-2", example.quic().ids().get(0).servers().get("000002"));
         assertEquals(
                 List.of("old-halls", "new-halls", "near"),
-                List.copyOf(example.router().pools().keySet()));
+                List.copyOf(example.router().endpointIdsByPool().keySet()));
         OperatorsFile platform = OperatorsFile.load(Path.of("../deploy/tulipshed.sexp"), names);
         assertNull(platform.router());
         assertNull(platform.quic());
