--- a/node/src/main/java/tulipshed/transport/HotRestartState.java
+++ b/node/src/main/java/tulipshed/transport/HotRestartState.java
@@ -3,64 +3,34 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
-import org.jboss.logging.Logger;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.HotRestartPeer;
 
 /**
- * What the two processes of one node know of each other while one takes over from the other in a hot restart. Each has a
- * slot of a small file, writes its own slot only, and reads the other's. Confined to the event-loop thread once the node
- * runs.
+ * The state that the two processes of one node share while one takes over from the other in a hot restart. Each has a slot of
+ * a small file, writes its own slot only, and reads the other's. Confined to the event-loop thread once the node runs.
  *
  * <p>Where the file cannot be used the process serves as if it were alone: it logs that once, keeps in memory what it has to
- * publish, and tries again at a {@link #refresh} now and then. Once the file can be used it joins the other process.
+ * publish, and tries again at later calls of {@link #refresh}. Once the file can be used it joins the other process.
  */
 public final class HotRestartState implements HotRestartPeer {
-    private static final double FULL_QUOTA = 1;
-    private static final double HALF_QUOTA = 0.5;
-    private static final double NO_QUOTA = 0;
-
     /** Refreshes between two attempts to join: 2 s at the interval of a node. */
     private static final int REFRESHES_PER_JOIN = 8;
 
-    /** Failed checks in a row after which the other process counts as gone: 10 s at the interval of a node. */
-    private static final int MAX_FAILED_CHECKS = 40;
-
-    /** Refreshes without a failure after which a failure is logged again: a minute at the interval of a node. */
-    private static final int REFRESHES_UNTIL_QUIET = 240;
-
     /** Null where the process shares no file, and so never has a peer. */
     private final HotRestartStorage.Opener opener;
 
-    private final Logger log;
+    private final HotRestartFailureLog failures;
     private final OwnHotRestartSlot own;
     private final ClaimedIds claimedIds;
     private final PublishedConnections publishedConnections;
+    private final PeerProcess peer;
 
-    /** Both null while no slot of the file is taken. */
+    /** Null while no slot of the file is taken. */
     private HotRestartStorage storage;
 
-    private PeerHotRestartSlot peer;
-
-    /** Whether the other process was alive at the last {@link #refresh}. */
-    private boolean hasPeer;
-
-    /** What was last read of the other process and could be believed. */
-    private int peerOpenConnections;
-
-    private Map<Integer, EstablishedConnection> peerConnections = Map.of();
-
     private int refreshesUntilJoin = REFRESHES_PER_JOIN;
-    private int failedChecks;
-    private int refreshesUntilFailureIsLogged;
-
-    /** Whether a failure was logged and not yet its end. */
-    private boolean isFailureLogged;
-
-    /** Whether anything has failed in this {@link #refresh}. */
-    private boolean hasFailed;
-
-    private boolean closed;
+    private boolean isClosed;
 
     /** The state of a process that has no peer and publishes nothing. */
     public HotRestartState() {
@@ -86,36 +56,36 @@
     /** Joins the process that uses this storage, if there is one; null where there is none to use. */
     HotRestartState(HotRestartStorage.Opener opener, int ids, NodeLog log) {
         this.opener = opener;
-        this.log = log.logger("node");
+        failures = new HotRestartFailureLog(log.logger("node"));
         own = new OwnHotRestartSlot(ids);
         claimedIds = new ClaimedIds(own);
         publishedConnections = new PublishedConnections(own);
+        peer = new PeerProcess(failures);
         if (opener != null) {
             own.setProcessState(ProcessState.STARTING);
             join(true);
-            checkPeer();
+            peer.checkAlive();
         }
     }
 
     /** Checks whether the other process is alive, and writes or joins again where that has failed. */
     public void refresh() {
-        if (opener == null || closed) {
+        if (opener == null || isClosed) {
             return;
         }
-        refreshesUntilFailureIsLogged--;
+        failures.countRefresh();
         if (own.failure() != null) {
-            recordFailure(own.failure());
+            failures.record(own.failure());
         }
-        hasFailed = false;
+        failures.startAttempt();
         if (storage == null) {
             joinAgain();
         } else {
             writeAgain();
         }
-        checkPeer();
-        if (own.isWritten() && isFailureLogged && !hasFailed) {
-            isFailureLogged = false;
-            log.info("hot restart available again");
+        peer.checkAlive();
+        if (own.isWritten()) {
+            failures.recordSuccess();
         }
     }
 
@@ -123,10 +93,10 @@
     private void join(boolean mayWait) {
         try {
             storage = opener.open(mayWait);
-            peer = new PeerHotRestartSlot(storage, own.capacity());
+            peer.attach(storage, own.capacity());
             own.writeAll(storage);
         } catch (IOException e) {
-            recordFailure(e);
+            failures.record(e);
         }
     }
 
@@ -139,58 +109,30 @@
         try {
             join(false);
         } catch (IllegalStateException bothSlotsTaken) {
-            // This process serves already, as a third one: it goes on by itself.
+            // This process serves already, as a third one: it goes on without a slot.
             return;
         }
     }
 
-    /** Writes everything where a write has failed, or where somebody has changed what was written. */
+    /** Writes everything where a write has failed, or where the content of the slot was changed from outside. */
     private void writeAgain() {
         try {
             if (!own.isWritten() || !own.isIntact()) {
                 own.writeAll(storage);
             }
         } catch (IOException e) {
-            recordFailure(e);
-        }
-    }
-
-    private void recordFailure(IOException failure) {
-        hasFailed = true;
-        if (refreshesUntilFailureIsLogged <= 0) {
-            log.warn("hot restart unavailable, cannot use TMPDIR: " + failure);
-            isFailureLogged = true;
-        }
-        refreshesUntilFailureIsLogged = REFRESHES_UNTIL_QUIET;
-    }
-
-    private void checkPeer() {
-        if (storage == null) {
-            return;
-        }
-        try {
-            hasPeer = storage.isPeerAlive();
-            failedChecks = 0;
-        } catch (IOException e) {
-            // A peer that was there may still be there; for how long that is assumed is bounded.
-            failedChecks++;
-            hasPeer &= failedChecks < MAX_FAILED_CHECKS;
-            recordFailure(e);
-        }
-        if (!hasPeer) {
-            peerOpenConnections = 0;
-            peerConnections = Map.of();
+            failures.record(e);
         }
     }
 
     /** Whether another process of this node was alive at the last {@link #refresh}. */
     public boolean hasPeer() {
-        return hasPeer;
+        return peer.isAlive();
     }
 
     /** Whether the other process accepts clients and is not shutting down. */
     public boolean isPeerServing() {
-        return peerState() == ProcessState.SERVING;
+        return peer.state() == ProcessState.SERVING;
     }
 
     /** Publishes that this process accepts clients from now on. */
@@ -203,31 +145,9 @@
         own.setProcessState(ProcessState.LEAVING);
     }
 
-    /**
-     * The share of the node's quotas that this process may use, from 0 to 1: half where both processes accept clients, none
-     * where the other one does and this one is shutting down. Where the other one does not say what it does it may accept
-     * clients too.
-     */
+    /** The share of the node's quotas that this process may use, from 0 to 1, by the state of both processes. */
     public double quotaShare() {
-        return switch (peerState()) {
-            case SERVING -> own.processState() == ProcessState.LEAVING ? NO_QUOTA : HALF_QUOTA;
-            case UNKNOWN -> HALF_QUOTA;
-            case NONE, STARTING, LEAVING -> FULL_QUOTA;
-        };
-    }
-
-    /** How far the other process has come: not known where it cannot write its slot, or this one not read it. */
-    private ProcessState peerState() {
-        if (!hasPeer) {
-            return ProcessState.NONE;
-        }
-        try {
-            ProcessState state = peer.processState();
-            return state == ProcessState.NONE ? ProcessState.UNKNOWN : state;
-        } catch (IOException e) {
-            recordFailure(e);
-            return ProcessState.UNKNOWN;
-        }
+        return QuotaShare.of(own.processState(), peer.state());
     }
 
     /** Publishes the number of connections open in this process. */
@@ -238,35 +158,15 @@
     /**
      * Connections open in the other process; 0 where there is none.
      *
-     * @param max the most that a process can have open; where the other one says more it is not believed
+     * @param max the most that a process can have open; a number beyond that is ignored
      */
     int peerOpenConnections(int max) {
-        if (!hasPeer) {
-            return 0;
-        }
-        try {
-            int connections = peer.openConnections();
-            if (connections >= 0 && connections <= max) {
-                peerOpenConnections = connections;
-            }
-        } catch (IOException e) {
-            recordFailure(e);
-        }
-        return peerOpenConnections;
+        return peer.openConnections(max);
     }
 
     /** Claims the id of an open request; false where the other process has a request with this id open. */
     public boolean claimId(String id) {
-        return claimedIds.claim(id, this::isClaimedByPeer);
-    }
-
-    private boolean isClaimedByPeer(long hash) {
-        try {
-            return hasPeer && peer.containsIdHash(hash);
-        } catch (IOException e) {
-            recordFailure(e);
-            return false;
-        }
+        return claimedIds.claim(id, peer::hasClaimed);
     }
 
     /** Releases the id of a request that has ended. */
@@ -287,21 +187,14 @@
     /** A connection that is being written at this moment is left out; the next read has it. */
     @Override
     public Map<Integer, EstablishedConnection> peerConnections() {
-        try {
-            if (hasPeer) {
-                peerConnections = peer.connections();
-            }
-        } catch (IOException e) {
-            recordFailure(e);
-        }
-        return peerConnections;
+        return peer.connections();
     }
 
     /** Releases the slot; nothing is published after this. */
     public void close() throws IOException {
-        if (storage != null && !closed) {
-            closed = true;
-            hasPeer = false;
+        if (storage != null && !isClosed) {
+            isClosed = true;
+            peer.detach();
             own.setProcessState(ProcessState.NONE);
             own.detach();
             storage.close();
