--- a/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
+++ b/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
@@ -1,13 +1,13 @@
 package tulipshed.cli;
 
 import java.util.stream.DoubleStream;
-import tulipshed.limits.Limits;
+import tulipshed.limits.ShutdownLimits;
 
 /**
  * When the phases of a graceful shutdown begin and end, in milliseconds since SIGTERM.
  *
  * <p>SIGKILL may follow SIGTERM by the longest deadline of the settings, of which at most {@link
- * Limits.Shutdown#maxDeadlineMs} counts, and {@link Limits.Shutdown#killAfterDeadlineMs}. All of it is over so long before
+ * ShutdownLimits#maxDeadlineMs} counts, and {@link ShutdownLimits#killAfterDeadlineMs}. All of it is over so long before
  * that a process which is held up once still ends in time; the time is not counted from any later event, and settings that
  * are reloaded meanwhile do not change it. A request that arrives in the last moment in which the front layer sends any keeps
  * its full deadline.
@@ -36,7 +36,7 @@
     private static final int MIGRATION_LINGER_DIVISOR = 2;
 
     /** The schedule of a process that ends without another one of its node. */
-    static ShutdownSchedule of(Limits.Shutdown limits, double longestDeadlineMs) {
+    static ShutdownSchedule of(ShutdownLimits limits, double longestDeadlineMs) {
         double killMs = Math.min(limits.maxDeadlineMs(), longestDeadlineMs) + limits.killAfterDeadlineMs();
         double closeMs = killMs - limits.holdUpMs() - limits.exitMs();
         double acceptUntilMs = Math.min(limits.acceptMs(), closeMs - limits.minLingerMs());
--- a/node/src/main/java/tulipshed/discovery/DeliveryMode.java
+++ b/node/src/main/java/tulipshed/discovery/DeliveryMode.java
@@ -1,6 +1,6 @@
 package tulipshed.discovery;
 
-import tulipshed.limits.Limits;
+import tulipshed.limits.DiscoveryLimits;
 
 /** Who serves the endpoint list, which decides how long a call may wait there for changes. */
 enum DeliveryMode {
@@ -10,12 +10,12 @@
     PUSHED_TO_AGENT;
 
     /** How long the server may hold back its response until there are changes, in milliseconds. */
-    double longPollMs(Limits.Discovery limits) {
+    double longPollMs(DiscoveryLimits limits) {
         return this == PUSHED_TO_AGENT ? limits.agentWaitMs() : limits.watchWaitMs();
     }
 
     /** How long the first byte of the response may take beyond the wait that was requested, in milliseconds. */
-    double responseTimeoutMs(Limits.Discovery limits) {
+    double responseTimeoutMs(DiscoveryLimits limits) {
         return this == PUSHED_TO_AGENT ? limits.agentTimeoutMs() : limits.watchTimeoutMs();
     }
 }
--- a/node/src/main/java/tulipshed/lineprotocol/RedialBackoff.java
+++ b/node/src/main/java/tulipshed/lineprotocol/RedialBackoff.java
@@ -1,7 +1,7 @@
 package tulipshed.lineprotocol;
 
 import java.util.OptionalDouble;
-import tulipshed.limits.Limits;
+import tulipshed.limits.LineProtocolLimits;
 
 /**
  * The delays after which the connection of one attempt is dialed again, where this machine itself could not begin to
@@ -14,7 +14,7 @@
     private double nextDelayMs;
 
     /** The delays of one attempt, none used yet. */
-    RedialBackoff(Limits.LineProtocol limits) {
+    RedialBackoff(LineProtocolLimits limits) {
         maxRedials = limits.maxRedials();
         firstPauseMs = limits.firstRedialPauseMs();
     }
--- a/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
-import tulipshed.limits.Limits;
+import tulipshed.limits.LineProtocolLimits;
 import tulipshed.transport.TcpConnection;
 
 /**
@@ -27,7 +27,7 @@
         this.session = session;
         this.connection = connection;
         this.responder = responder;
-        Limits.LineProtocol limits = context.limits().lineProtocol();
+        LineProtocolLimits limits = context.limits().lineProtocol();
         this.decoder = new CrlfDecoder(limits.lineBytes());
         this.earlyData = new EarlyData(limits.lineBytes());
         this.maxPings = limits.pings();
--- a/node/src/main/java/tulipshed/peer/PeerSocket.java
+++ b/node/src/main/java/tulipshed/peer/PeerSocket.java
@@ -9,6 +9,7 @@
 import tulipshed.config.PeerConfig;
 import tulipshed.decision.api.BalancerActions;
 import tulipshed.limits.Limits;
+import tulipshed.limits.PeerLimits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.NodeMetrics;
 import tulipshed.proxy.PeerSender;
@@ -28,7 +29,7 @@
  */
 public final class PeerSocket implements PeerSender {
     private final Clock clock;
-    private final Limits.Peers limits;
+    private final PeerLimits limits;
     private final XnioEventLoop loop;
     private final ProxyCore core;
     private final ProtocolErrorLog errors;
--- a/node/src/main/java/tulipshed/proxy/ConnectionAdopter.java
+++ b/node/src/main/java/tulipshed/proxy/ConnectionAdopter.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashSet;
 import java.util.Set;
-import tulipshed.limits.Limits;
+import tulipshed.limits.RequestLimits;
 import tulipshed.time.Clock;
 
 /**
@@ -13,7 +13,7 @@
  */
 final class ConnectionAdopter {
     private final Clock clock;
-    private final Limits.Requests limits;
+    private final RequestLimits limits;
     private final ActiveSettings settings;
     private final EventBatch events;
     private final RequestTable table;
--- a/node/src/main/java/tulipshed/quic/ConnectionStateMachine.java
+++ b/node/src/main/java/tulipshed/quic/ConnectionStateMachine.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import tulipshed.connectionid.ConnectionId;
-import tulipshed.limits.Limits;
+import tulipshed.limits.QuicLimits;
 
 /**
  * What one connection of QUIC is in, and what is to be done with each datagram of its two ends. Without I/O: whoever owns it
@@ -59,7 +59,7 @@
     /** What an address that nothing has proved may be sent, for each byte from there (RFC 9000 section 8.1). */
     private static final int AMPLIFICATION = 3;
 
-    private final Limits.Quic limits;
+    private final QuicLimits limits;
     private List<byte[]> first = new ArrayList<>(2);
     private final ConnectionId clientId;
     private final ConnectionId firstKeyedBy;
@@ -76,7 +76,7 @@
     private boolean pastInitial;
     private boolean stoodBefore;
 
-    private ConnectionStateMachine(Limits.Quic limits, ConnectionId destination, ConnectionId clientId, double nowMs) {
+    private ConnectionStateMachine(QuicLimits limits, ConnectionId destination, ConnectionId clientId, double nowMs) {
         this.limits = limits;
         this.firstKeyedBy = destination;
         this.keyedBy = destination;
@@ -88,7 +88,7 @@
 
     /** Of a client whose first datagram this is, with what could be read of it; {@code proven} by a token. */
     static ConnectionStateMachine opens(
-            Limits.Quic limits,
+            QuicLimits limits,
             ConnectionId destination,
             ConnectionId clientId,
             byte[] datagram,
@@ -107,7 +107,7 @@
 
     /** Of a connection that stands at a member already; nothing else is known of it. */
     static ConnectionStateMachine carriesOn(
-            Limits.Quic limits, ConnectionId destination, byte[] datagram, double nowMs) {
+            QuicLimits limits, ConnectionId destination, byte[] datagram, double nowMs) {
         ConnectionStateMachine m = new ConnectionStateMachine(limits, destination, null, nowMs);
         // Its server chose the id, so it has been heard there; and it sees this path as a new one, which it proves
         // itself.
--- a/node/src/main/java/tulipshed/transport/Acceptor.java
+++ b/node/src/main/java/tulipshed/transport/Acceptor.java
@@ -7,26 +7,24 @@
 import java.util.function.Consumer;
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
+import tulipshed.limits.SocketLimits;
 import tulipshed.proxy.EventLoop;
 
 /**
- * One TCP listener. Connections are accepted in small batches with a select in between, as the kernel releases the
- * descriptor of a closed connection only at a select: else a burst would take both the descriptors of connections that were
- * closed already and those of connections that wait.
+ * One TCP listener. At most {@link SocketLimits#maxAcceptsPerEvent} connections are accepted between two selects, as the
+ * kernel releases the descriptor of a closed connection only at a select: without that bound a burst would need descriptors
+ * for closed connections and for waiting ones at the same time.
  *
- * <p>An accept that fails is repeated at once, as most reasons concern one moment or one connection. If it fails again
- * and again a descriptor of the reserve is given up for it, and descriptors count as exhausted until the reserve is whole
- * again, so that the connection is rejected, or served in place of an idle one. If that does not help either the listener
- * pauses for some milliseconds. Confined to the event-loop thread.
+ * <p>A failed accept is repeated at once, up to {@link SocketLimits#maxAcceptAttempts} times, as most causes are transient or
+ * concern one connection. Then a descriptor of the {@link DescriptorReserve} is released for it. Until the reserve is full
+ * again descriptors count as exhausted, so that the connection is rejected or replaces an idle one. If that fails too the
+ * listener pauses for {@link SocketLimits#acceptRetryDelayMs}. Confined to the event-loop thread.
  */
 public final class Acceptor implements Closeable {
-    private static final int ACCEPT_ATTEMPTS = 5;
-    private static final double RETRY_DELAY_MS = 5;
-
     private final EventLoop loop;
     private final DescriptorBudget descriptors;
     private final FailureLog failures;
-    private final int batchSize;
+    private final SocketLimits limits;
     private final int maxConnections;
     private final Consumer<StreamConnection> handler;
     private ListeningSocket socket;
@@ -35,18 +33,23 @@
     private boolean isRetryScheduled;
     private boolean isClosed;
 
-    /** A listener that hands at most {@code batchSize} connections to {@code handler} between two selects. */
+    /**
+     * A listener that is not started yet.
+     *
+     * @param maxConnections the connections open at a time; further ones wait in the kernel's backlog
+     * @param handler takes each accepted connection, on the event-loop thread
+     */
     Acceptor(
             EventLoop loop,
             DescriptorBudget descriptors,
             FailureLog failures,
-            int batchSize,
+            SocketLimits limits,
             int maxConnections,
             Consumer<StreamConnection> handler) {
         this.loop = loop;
         this.descriptors = descriptors;
         this.failures = failures;
-        this.batchSize = batchSize;
+        this.limits = limits;
         this.maxConnections = maxConnections;
         this.handler = handler;
     }
@@ -71,7 +74,7 @@
         StreamConnection next = isClosed || isPaused ? null : accept();
         for (int handled = 1; next != null; handled++) {
             handle(next);
-            next = handled < batchSize && canAccept() ? accept() : null;
+            next = handled < limits.maxAcceptsPerEvent() && canAccept() ? accept() : null;
         }
     }
 
@@ -81,7 +84,7 @@
 
     /** The next connection; null where none waits or none can be accepted now. */
     private StreamConnection accept() {
-        for (int attempt = 1; attempt <= ACCEPT_ATTEMPTS; attempt++) {
+        for (int attempt = 1; attempt <= limits.maxAcceptAttempts(); attempt++) {
             try {
                 return socket.accept();
             } catch (ClosedChannelException e) {
@@ -129,7 +132,7 @@
     private void scheduleRetry() {
         if (!isRetryScheduled) {
             isRetryScheduled = true;
-            loop.schedule(RETRY_DELAY_MS, this::retry);
+            loop.schedule(limits.acceptRetryDelayMs(), this::retry);
         }
     }
 
--- a/node/src/main/java/tulipshed/transport/DescriptorReserve.java
+++ b/node/src/main/java/tulipshed/transport/DescriptorReserve.java
@@ -9,52 +9,51 @@
 import org.xnio.IoUtils;
 
 /**
- * Descriptors that are held open for the moment when the process or the machine has none left: one of them is given up so
- * that a connection can be accepted, and answered, that would otherwise rest in the kernel. Confined to the event-loop
- * thread.
+ * File descriptors that are held open in case the process or the machine runs out of them. One is released so that a waiting
+ * connection can be accepted and answered. Confined to the event-loop thread.
  */
 final class DescriptorReserve implements Closeable {
     private final Opener opener;
     private final int size;
     private final ArrayDeque<Closeable> held = new ArrayDeque<>();
 
-    /** Opens something that holds one descriptor. */
+    /** Opens a resource that holds one descriptor. */
     interface Opener {
-        /** Opens it. */
+        /** Opens the resource. */
         Closeable open() throws IOException;
     }
 
-    /** An empty reserve that {@link #refill} fills with descriptors of the null device. */
+    /** An empty reserve of this many descriptors, which {@link #refill} opens on the null device. */
     DescriptorReserve(int size) {
         this(size, () -> FileChannel.open(Path.of("/dev/null"), StandardOpenOption.READ));
     }
 
-    /** An empty reserve that {@link #refill} fills. */
+    /** An empty reserve of this many descriptors, which {@link #refill} opens with {@code opener}. */
     DescriptorReserve(int size, Opener opener) {
         this.size = size;
         this.opener = opener;
     }
 
-    /** Gives up one descriptor; false where none is left. */
+    /** Closes one descriptor; false where the reserve is empty. */
     boolean release() {
-        Closeable given = held.poll();
-        IoUtils.safeClose(given);
-        return given != null;
+        Closeable released = held.poll();
+        IoUtils.safeClose(released);
+        return released != null;
     }
 
-    /** Opens what was given up; false where that is not possible now. */
+    /** Opens the descriptors that are missing; false where one cannot be opened now. */
     boolean refill() {
         while (held.size() < size) {
             try {
                 held.add(opener.open());
-            } catch (IOException stillNone) {
+            } catch (IOException noDescriptorAvailable) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Gives up all. */
+    /** Closes all descriptors. */
     @Override
     public void close() {
         held.forEach(IoUtils::safeClose);
--- a/node/src/main/java/tulipshed/transport/ProtocolErrorLog.java
+++ b/node/src/main/java/tulipshed/transport/ProtocolErrorLog.java
@@ -5,36 +5,32 @@
 import tulipshed.logging.NodeLog;
 
 /**
- * Logs protocol errors of remote parties at a limited rate: how many there were, and never what was sent. Confined to the
- * event-loop thread.
+ * Logs protocol errors of remote parties at a limited rate: how many there were, and never what was sent. The owner calls
+ * {@link #flush} at its sweeps. Confined to the event-loop thread.
  */
 public final class ProtocolErrorLog {
-    private final String eventName;
     private final Limits limits;
     private final Logger log;
-    private int count;
-    private String lastReason = "";
+    private final EventSummary summary;
     private double loggedAtMs = Double.NEGATIVE_INFINITY;
 
     /** Counts events named {@code eventName}, and logs them under {@code subject}. */
     public ProtocolErrorLog(String subject, String eventName, Limits limits, NodeLog log) {
-        this.eventName = eventName;
+        summary = new EventSummary(eventName);
         this.limits = limits;
         this.log = log.logger(subject);
     }
 
     /** Counts one event; {@code reason} is a text of this program, never one that was received. */
     public void record(String reason) {
-        count++;
-        lastReason = reason;
+        summary.add(reason);
     }
 
     /** Logs one line for all events since the line before, unless that line is too recent. */
     public void flush(double nowMs) {
-        if (count > 0 && nowMs - loggedAtMs >= limits.lineProtocol().protocolErrorLogMs()) {
-            log.warn(eventName + ": " + count + ", last: " + lastReason);
+        if (!summary.isEmpty() && nowMs - loggedAtMs >= limits.lineProtocol().protocolErrorLogMs()) {
+            log.warn(summary.takeLine());
             loggedAtMs = nowMs;
-            count = 0;
         }
     }
 }
--- a/node/src/main/java/tulipshed/transport/XnioEventLoop.java
+++ b/node/src/main/java/tulipshed/transport/XnioEventLoop.java
@@ -54,7 +54,7 @@
         this.limits = limits;
         this.hotRestartState = hotRestartState;
         descriptors = new DescriptorBudget(
-                limits, hotRestartState, new DescriptorReserve(limits.sockets().maxAcceptsPerEvent()));
+                limits, hotRestartState, new DescriptorReserve(limits.sockets().emergencyDescriptors()));
         acceptFailures = new FailureLog(
                 this, limits.lineProtocol().protocolErrorLogMs(), log.logger("transport")::warn, "accepting failed");
         // XNIO and its threads log a line each at the start, whose formatting alone takes a tenth of the start.
@@ -113,8 +113,7 @@
      */
     public Acceptor listen(InetSocketAddress address, int maxConnections, Consumer<StreamConnection> handler)
             throws IOException {
-        Acceptor acceptor = new Acceptor(
-                this, descriptors, acceptFailures, limits.sockets().maxAcceptsPerEvent(), maxConnections, handler);
+        Acceptor acceptor = new Acceptor(this, descriptors, acceptFailures, limits.sockets(), maxConnections, handler);
         descriptors.refillReserve();
         acceptor.start(new XnioListeningSocket(worker, address, limits.sockets().backlog(), acceptor::onAcceptable));
         return acceptor;
--- a/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
+++ b/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
@@ -32,6 +32,7 @@
 import tulipshed.config.MalformedInputException;
 import tulipshed.config.NodeConfig;
 import tulipshed.limits.Limits;
+import tulipshed.limits.LineProtocolLimits;
 import tulipshed.logging.NodeLog;
 import tulipshed.operators.OperatorsFile;
 import tulipshed.testing.NodeConfigFile;
@@ -210,7 +211,7 @@
         longestDeadlineS = 1;
         Limits defaults = Limits.forDescriptors(1024);
         startNode(
-                defaults.with(new Limits.LineProtocol(
+                defaults.with(new LineProtocolLimits(
                         defaults.lineProtocol().lineBytes(),
                         60_000,
                         defaults.lineProtocol().pings(),
--- a/node/src/test/java/tulipshed/cli/ShutdownSequenceTest.java
+++ b/node/src/test/java/tulipshed/cli/ShutdownSequenceTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.limits.Limits;
+import tulipshed.limits.ShutdownLimits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.EventLoop;
 import tulipshed.time.ManualClock;
@@ -28,7 +29,7 @@
     /** What the core leaves to the client's deadline. */
     private static final double RESPONSE_MARGIN_MS = 40;
 
-    private final Limits.Shutdown limits = Limits.forDescriptors(1024).shutdown();
+    private final ShutdownLimits limits = Limits.forDescriptors(1024).shutdown();
     private final ManualClock clock = new ManualClock(0);
     private final VirtualLoop loop = new VirtualLoop();
     private final FakeNode node = new FakeNode();
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
@@ -21,6 +21,7 @@
 import tulipshed.decision.Balancer;
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.decision.api.EndpointListKind;
+import tulipshed.limits.DiscoveryLimits;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.ProxyCore;
@@ -34,7 +35,7 @@
  */
 abstract class EndpointWatchFixture {
     /** The limits of a node with that many descriptors; tests change single timeouts of them. */
-    static final Limits.Discovery DEFAULTS = Limits.forDescriptors(1024).discovery();
+    static final DiscoveryLimits DEFAULTS = Limits.forDescriptors(1024).discovery();
 
     private static final String ENTRY = "{\"id\":\"s-5\",\"addr\":\"127.0.0.1:9\",\"state\":\"SERVING\"}";
 
@@ -142,7 +143,7 @@
             double connectTimeoutMs, double watchWaitMs, double watchTimeoutMs, double responseTimeoutMs)
             throws Exception {
         return replaceWatch(Limits.forDescriptors(1024)
-                .with(new Limits.Discovery(
+                .with(new DiscoveryLimits(
                         DEFAULTS.headBytes(),
                         DEFAULTS.bodyBytes(),
                         connectTimeoutMs,
--- a/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
@@ -16,6 +16,7 @@
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.Outcome;
 import tulipshed.limits.Limits;
+import tulipshed.limits.SocketLimits;
 
 /** A client that leaves just as its request is about to be attempted, retried or forwarded. */
 class ClientDisconnectRaceTest extends RaceConditionFixture {
@@ -64,8 +65,8 @@
 
     private static Limits withReadBytes(int readBytes) {
         Limits defaults = Limits.forDescriptors(1024);
-        Limits.Sockets sockets = defaults.sockets();
-        return defaults.with(new Limits.Sockets(
+        SocketLimits sockets = defaults.sockets();
+        return defaults.with(new SocketLimits(
                 sockets.relayBytes(),
                 readBytes,
                 sockets.descriptors(),
@@ -75,7 +76,10 @@
                 sockets.maxAcceptsPerEvent(),
                 sockets.lingerTimeoutMs(),
                 sockets.sweepIntervalMs(),
-                sockets.overloadRetryAfterMs()));
+                sockets.overloadRetryAfterMs(),
+                sockets.emergencyDescriptors(),
+                sockets.maxAcceptAttempts(),
+                sockets.acceptRetryDelayMs()));
     }
 
     /** The decision module is notified of both at once; the attempt that it still decides on must end for it too. */
--- a/node/src/test/java/tulipshed/lineprotocol/ConnectionCloseRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ConnectionCloseRaceTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.limits.Limits;
+import tulipshed.limits.SocketLimits;
 
 /** Closing a client connection just as more input of it arrives. */
 class ConnectionCloseRaceTest extends RaceConditionFixture {
@@ -106,9 +107,9 @@
     void clientPastLingerTimeoutSeesEndOfStreamDespiteUnreadBytes() throws Exception {
         stop();
         Limits defaults = Limits.forDescriptors(1024);
-        Limits.Sockets sockets = defaults.sockets();
+        SocketLimits sockets = defaults.sockets();
         long lingerMs = 300;
-        start(defaults.with(new Limits.Sockets(
+        start(defaults.with(new SocketLimits(
                 sockets.relayBytes(),
                 sockets.readBytes(),
                 sockets.descriptors(),
@@ -118,7 +119,10 @@
                 sockets.maxAcceptsPerEvent(),
                 lingerMs,
                 sockets.sweepIntervalMs(),
-                sockets.overloadRetryAfterMs())));
+                sockets.overloadRetryAfterMs(),
+                sockets.emergencyDescriptors(),
+                sockets.maxAcceptAttempts(),
+                sockets.acceptRetryDelayMs())));
         try (LineSocket client = connectClient()) {
             client.send("frob\r\n");
             assertEquals("ERR", client.readLine());
--- a/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.decision.api.Outcome;
 import tulipshed.limits.Limits;
+import tulipshed.limits.LineProtocolLimits;
 import tulipshed.transport.ConnectFailures;
 
 /** Connections that this machine cannot even begin to make, which says nothing of the endpoint. */
@@ -63,7 +64,7 @@
 
     @Test
     void boundsDialsInNumberAndTime() {
-        Limits.LineProtocol limits = Limits.forDescriptors(1024).lineProtocol();
+        LineProtocolLimits limits = Limits.forDescriptors(1024).lineProtocol();
         RedialBackoff backoff = new RedialBackoff(limits);
         for (double delayMs : List.of(0.0, 2.0, 4.0, 8.0, 16.0)) {
             assertEquals(OptionalDouble.of(delayMs), backoff.nextDelayMs(1_000));
--- a/node/src/test/java/tulipshed/quic/ConnectionStateMachineTest.java
+++ b/node/src/test/java/tulipshed/quic/ConnectionStateMachineTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.connectionid.ConnectionId;
 import tulipshed.limits.Limits;
+import tulipshed.limits.QuicLimits;
 import tulipshed.quic.ConnectionStateMachine.Stage;
 import tulipshed.quic.ConnectionStateMachine.Step;
 
@@ -20,7 +21,7 @@
     private static final ConnectionId FIRST = new ConnectionId(new byte[] {1, 2, 3, 4, 5, 6, 7, 8});
     private static final ConnectionId CLIENT = new ConnectionId(new byte[] {9, 9});
     private static final ConnectionId SERVER = new ConnectionId(new byte[] {0x47, 1, 1, 1, 1, 1, 1, 1});
-    private final Limits.Quic limits = Limits.forDescriptors(1024).quic();
+    private final QuicLimits limits = Limits.forDescriptors(1024).quic();
     private double nowMs = 1000;
 
     private static byte[] initial(byte[] frames) {
--- a/node/src/test/java/tulipshed/quic/FrontSetup.java
+++ b/node/src/test/java/tulipshed/quic/FrontSetup.java
@@ -17,6 +17,7 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.limits.Limits;
+import tulipshed.limits.QuicLimits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.EndpointListEntry;
 import tulipshed.proxy.ProxyCore;
@@ -73,8 +74,8 @@
 
     private Limits limits() {
         Limits l = Limits.forDescriptors(descriptors);
-        Limits.Quic q = l.quic();
-        return l.with(new Limits.Quic(
+        QuicLimits q = l.quic();
+        return l.with(new QuicLimits(
                 q.datagramBytes(),
                 mostSessions,
                 q.maxIdsPerConnection(),
--- a/node/src/test/java/tulipshed/quic/QuicLabProcess.java
+++ b/node/src/test/java/tulipshed/quic/QuicLabProcess.java
@@ -22,6 +22,7 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.limits.Limits;
+import tulipshed.limits.QuicLimits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.EndpointListEntry;
 import tulipshed.proxy.ProxyCore;
@@ -88,8 +89,8 @@
 
     private static void node(List<InetSocketAddress> members) throws Exception {
         Limits l = Limits.forDescriptors(20_000);
-        Limits.Quic q = l.quic();
-        Limits limits = l.with(new Limits.Quic(
+        QuicLimits q = l.quic();
+        Limits limits = l.with(new QuicLimits(
                 q.datagramBytes(),
                 20_000,
                 q.maxIdsPerConnection(),
--- a/node/src/test/java/tulipshed/transport/AcceptorTest.java
+++ b/node/src/test/java/tulipshed/transport/AcceptorTest.java
@@ -21,7 +21,8 @@
 
 /** A listener whose accepts fail as a test has it, on a loop whose timers the test runs. */
 class AcceptorTest {
-    private static final int BATCH_SIZE = 8;
+    private static final Limits LIMITS = Limits.forDescriptors(1024);
+    private static final int BATCH_SIZE = LIMITS.sockets().maxAcceptsPerEvent();
     private static final int MAX_CONNECTIONS = 20;
     private static final double LOG_INTERVAL_MS = 10_000;
 
@@ -32,7 +33,7 @@
     private Consumer<StreamConnection> handler = handled::add;
     private boolean hasDescriptors = true;
     private final DescriptorBudget descriptors =
-            new DescriptorBudget(Limits.forDescriptors(1024), new HotRestartState(), new DescriptorReserve(2, () -> {
+            new DescriptorBudget(LIMITS, new HotRestartState(), new DescriptorReserve(2, () -> {
                 if (!hasDescriptors) {
                     throw new IOException("Too many open files");
                 }
@@ -42,7 +43,7 @@
             loop,
             descriptors,
             new FailureLog(loop, LOG_INTERVAL_MS, lines::add, "accepting failed"),
-            BATCH_SIZE,
+            LIMITS.sockets(),
             MAX_CONNECTIONS,
             connection -> handler.accept(connection));
 
