--- a/node/src/main/java/tulipshed/expression/BasicNodes.java
+++ b/node/src/main/java/tulipshed/expression/BasicNodes.java
@@ -18,26 +18,26 @@
         }
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            f.spent++;
+        boolean booleanValue(EvaluationFrame frame) {
+            frame.spent++;
             return truth;
         }
 
         @Override
-        long whole(EvaluationFrame f) {
-            f.spent++;
+        long integerValue(EvaluationFrame frame) {
+            frame.spent++;
             return whole;
         }
 
         @Override
-        double fraction(EvaluationFrame f) {
-            f.spent++;
+        double decimalValue(EvaluationFrame frame) {
+            frame.spent++;
             return fraction;
         }
 
         @Override
-        CharSequence text(EvaluationFrame f) {
-            f.spent++;
+        CharSequence stringValue(EvaluationFrame frame) {
+            frame.spent++;
             return text;
         }
     }
@@ -50,37 +50,37 @@
         }
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            f.spent++;
-            return f.whole[slot] != 0;
+        boolean booleanValue(EvaluationFrame frame) {
+            frame.spent++;
+            return frame.integers[slot] != 0;
         }
 
         @Override
-        long whole(EvaluationFrame f) {
-            f.spent++;
-            return f.whole[slot];
+        long integerValue(EvaluationFrame frame) {
+            frame.spent++;
+            return frame.integers[slot];
         }
 
         @Override
-        double fraction(EvaluationFrame f) {
-            f.spent++;
-            return f.fraction[slot];
+        double decimalValue(EvaluationFrame frame) {
+            frame.spent++;
+            return frame.decimals[slot];
         }
 
         @Override
-        CharSequence text(EvaluationFrame f) {
-            f.spent++;
-            return f.text[slot];
+        CharSequence stringValue(EvaluationFrame frame) {
+            frame.spent++;
+            return frame.strings[slot];
         }
 
         @Override
-        long high(EvaluationFrame f) {
-            return f.high[slot];
+        long addressHighBits(EvaluationFrame frame) {
+            return frame.addressHighBits[slot];
         }
 
         @Override
-        boolean present(EvaluationFrame f) {
-            return f.present[slot];
+        boolean isPresent(EvaluationFrame frame) {
+            return frame.present[slot];
         }
     }
 
@@ -92,35 +92,35 @@
         }
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            f.spent++;
-            return f.present[slot];
+        boolean booleanValue(EvaluationFrame frame) {
+            frame.spent++;
+            return frame.present[slot];
         }
     }
 
     /** Gives what one of its parts gives. */
     private abstract static class Choice extends EvaluationNode {
         /** The part that counts for this transaction. */
-        abstract EvaluationNode chosen(EvaluationFrame f);
+        abstract EvaluationNode chosen(EvaluationFrame frame);
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            return chosen(f).truth(f);
+        boolean booleanValue(EvaluationFrame frame) {
+            return chosen(frame).booleanValue(frame);
         }
 
         @Override
-        long whole(EvaluationFrame f) {
-            return chosen(f).whole(f);
+        long integerValue(EvaluationFrame frame) {
+            return chosen(frame).integerValue(frame);
         }
 
         @Override
-        double fraction(EvaluationFrame f) {
-            return chosen(f).fraction(f);
+        double decimalValue(EvaluationFrame frame) {
+            return chosen(frame).decimalValue(frame);
         }
 
         @Override
-        CharSequence text(EvaluationFrame f) {
-            return chosen(f).text(f);
+        CharSequence stringValue(EvaluationFrame frame) {
+            return chosen(frame).stringValue(frame);
         }
     }
 
@@ -134,9 +134,9 @@
         }
 
         @Override
-        EvaluationNode chosen(EvaluationFrame f) {
-            f.spent++;
-            return value.present(f) ? value : otherwise;
+        EvaluationNode chosen(EvaluationFrame frame) {
+            frame.spent++;
+            return value.isPresent(frame) ? value : otherwise;
         }
     }
 
@@ -152,9 +152,9 @@
         }
 
         @Override
-        EvaluationNode chosen(EvaluationFrame f) {
-            f.spent++;
-            return test.truth(f) ? then : otherwise;
+        EvaluationNode chosen(EvaluationFrame frame) {
+            frame.spent++;
+            return test.booleanValue(frame) ? then : otherwise;
         }
     }
 
@@ -166,9 +166,9 @@
         }
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            f.spent++;
-            return !a.truth(f);
+        boolean booleanValue(EvaluationFrame frame) {
+            frame.spent++;
+            return !a.booleanValue(frame);
         }
     }
 
@@ -183,10 +183,10 @@
         }
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            f.spent++;
+        boolean booleanValue(EvaluationFrame frame) {
+            frame.spent++;
             for (EvaluationNode n : parts) {
-                if (n.truth(f) == ends) {
+                if (n.booleanValue(frame) == ends) {
                     return ends;
                 }
             }
@@ -204,45 +204,45 @@
             this.at = at;
         }
 
-        private boolean known(EvaluationFrame f) {
-            f.spent++;
-            return f.rememberedAt[at] == f.generation;
+        private boolean known(EvaluationFrame frame) {
+            frame.spent++;
+            return frame.cachedGenerations[at] == frame.generation;
         }
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            if (!known(f)) {
-                f.rememberedWhole[at] = what.truth(f) ? 1 : 0;
-                f.rememberedAt[at] = f.generation;
+        boolean booleanValue(EvaluationFrame frame) {
+            if (!known(frame)) {
+                frame.cachedIntegers[at] = what.booleanValue(frame) ? 1 : 0;
+                frame.cachedGenerations[at] = frame.generation;
             }
-            return f.rememberedWhole[at] != 0;
+            return frame.cachedIntegers[at] != 0;
         }
 
         @Override
-        long whole(EvaluationFrame f) {
-            if (!known(f)) {
-                f.rememberedWhole[at] = what.whole(f);
-                f.rememberedAt[at] = f.generation;
+        long integerValue(EvaluationFrame frame) {
+            if (!known(frame)) {
+                frame.cachedIntegers[at] = what.integerValue(frame);
+                frame.cachedGenerations[at] = frame.generation;
             }
-            return f.rememberedWhole[at];
+            return frame.cachedIntegers[at];
         }
 
         @Override
-        double fraction(EvaluationFrame f) {
-            if (!known(f)) {
-                f.rememberedFraction[at] = what.fraction(f);
-                f.rememberedAt[at] = f.generation;
+        double decimalValue(EvaluationFrame frame) {
+            if (!known(frame)) {
+                frame.cachedDecimals[at] = what.decimalValue(frame);
+                frame.cachedGenerations[at] = frame.generation;
             }
-            return f.rememberedFraction[at];
+            return frame.cachedDecimals[at];
         }
 
         @Override
-        CharSequence text(EvaluationFrame f) {
-            if (!known(f)) {
-                f.rememberedText[at] = what.text(f);
-                f.rememberedAt[at] = f.generation;
+        CharSequence stringValue(EvaluationFrame frame) {
+            if (!known(frame)) {
+                frame.cachedStrings[at] = what.stringValue(frame);
+                frame.cachedGenerations[at] = frame.generation;
             }
-            return f.rememberedText[at];
+            return frame.cachedStrings[at];
         }
     }
 }
--- a/node/src/main/java/tulipshed/expression/EvaluationFrame.java
+++ b/node/src/main/java/tulipshed/expression/EvaluationFrame.java
@@ -1,6 +1,7 @@
 package tulipshed.expression;
 
 import com.google.re2j.Matcher;
+import java.util.Arrays;
 
 /**
  * The attributes of one transaction or member, and room for what is worked out of them. Made once by
@@ -8,15 +9,15 @@
  * this room and hold only until the next {@link #begin}.
  */
 public final class EvaluationFrame {
-    final long[] whole;
-    final double[] fraction;
-    final CharSequence[] text;
-    final long[] high;
+    final long[] integers;
+    final double[] decimals;
+    final CharSequence[] strings;
+    final long[] addressHighBits;
     final boolean[] present;
-    final long[] rememberedAt;
-    final long[] rememberedWhole;
-    final double[] rememberedFraction;
-    final CharSequence[] rememberedText;
+    final long[] cachedGenerations;
+    final long[] cachedIntegers;
+    final double[] cachedDecimals;
+    final CharSequence[] cachedStrings;
     final ReusableStringBuffer[] buffers;
     final Matcher[] matchers;
     final int[][] lists;
@@ -24,16 +25,16 @@
     long generation;
     long spent;
 
-    EvaluationFrame(int attributes, int remembered, ReusableStringBuffer[] buffers, Matcher[] matchers, int lists) {
-        whole = new long[attributes];
-        fraction = new double[attributes];
-        text = new CharSequence[attributes];
-        high = new long[attributes];
+    EvaluationFrame(int attributes, int cacheSlots, ReusableStringBuffer[] buffers, Matcher[] matchers, int lists) {
+        integers = new long[attributes];
+        decimals = new double[attributes];
+        strings = new CharSequence[attributes];
+        addressHighBits = new long[attributes];
         present = new boolean[attributes];
-        rememberedAt = new long[remembered];
-        rememberedWhole = new long[remembered];
-        rememberedFraction = new double[remembered];
-        rememberedText = new CharSequence[remembered];
+        cachedGenerations = new long[cacheSlots];
+        cachedIntegers = new long[cacheSlots];
+        cachedDecimals = new double[cacheSlots];
+        cachedStrings = new CharSequence[cacheSlots];
         this.buffers = buffers;
         this.matchers = matchers;
         this.lists = new int[lists][];
@@ -44,39 +45,39 @@
     public void begin() {
         generation++;
         spent = 0;
-        java.util.Arrays.fill(present, false);
+        Arrays.fill(present, false);
     }
 
     /** Sets a string; longer than the attribute allows is the caller's fault and refused. */
-    public void set(Attribute a, CharSequence value) {
-        if (value.length() > a.longest()) {
-            throw new IllegalArgumentException(a.name() + " is longer than " + a.longest());
+    public void set(Attribute attribute, CharSequence value) {
+        if (value.length() > attribute.longest()) {
+            throw new IllegalArgumentException(attribute.name() + " is longer than " + attribute.longest());
         }
-        text[a.slot()] = value;
-        present[a.slot()] = true;
+        strings[attribute.slot()] = value;
+        present[attribute.slot()] = true;
     }
 
     /** Sets an integer. */
-    public void set(Attribute a, long value) {
-        whole[a.slot()] = value;
-        present[a.slot()] = true;
+    public void set(Attribute attribute, long value) {
+        integers[attribute.slot()] = value;
+        present[attribute.slot()] = true;
     }
 
     /** Sets a decimal. */
-    public void set(Attribute a, double value) {
-        fraction[a.slot()] = value;
-        present[a.slot()] = true;
+    public void set(Attribute attribute, double value) {
+        decimals[attribute.slot()] = value;
+        present[attribute.slot()] = true;
     }
 
     /** Sets a boolean. */
-    public void set(Attribute a, boolean value) {
-        set(a, value ? 1L : 0L);
+    public void set(Attribute attribute, boolean value) {
+        set(attribute, value ? 1L : 0L);
     }
 
     /** Sets an address: the 128 bits of IPv6, an IPv4 address mapped as RFC 4291 section 2.5.5.2 has it. */
-    public void set(Attribute a, long highBits, long lowBits) {
-        high[a.slot()] = highBits;
-        set(a, lowBits);
+    public void set(Attribute attribute, long highBits, long lowBits) {
+        addressHighBits[attribute.slot()] = highBits;
+        set(attribute, lowBits);
     }
 
     /** What was spent since {@link #begin}, in the unit of {@link CostModel}. */
--- a/node/src/main/java/tulipshed/expression/EvaluationNode.java
+++ b/node/src/main/java/tulipshed/expression/EvaluationNode.java
@@ -5,29 +5,29 @@
  * Plain classes rather than generated code: they lie in the class archive and cost a start nothing.
  */
 abstract class EvaluationNode {
-    boolean truth(EvaluationFrame f) {
+    boolean booleanValue(EvaluationFrame frame) {
         throw new IllegalStateException("not a boolean");
     }
 
-    long whole(EvaluationFrame f) {
+    long integerValue(EvaluationFrame frame) {
         throw new IllegalStateException("not an integer");
     }
 
-    double fraction(EvaluationFrame f) {
+    double decimalValue(EvaluationFrame frame) {
         throw new IllegalStateException("not a decimal");
     }
 
-    CharSequence text(EvaluationFrame f) {
+    CharSequence stringValue(EvaluationFrame frame) {
         throw new IllegalStateException("not a string");
     }
 
-    /** The upper bits of an address; {@link #whole} gives the lower ones. */
-    long high(EvaluationFrame f) {
+    /** The upper bits of an address; {@link #integerValue} gives the lower ones. */
+    long addressHighBits(EvaluationFrame frame) {
         throw new IllegalStateException("not an address");
     }
 
     /** Whether there is a value; only attributes may lack one. */
-    boolean present(EvaluationFrame f) {
+    boolean isPresent(EvaluationFrame frame) {
         return true;
     }
 }
--- a/node/src/main/java/tulipshed/expression/ExpressionInterner.java
+++ b/node/src/main/java/tulipshed/expression/ExpressionInterner.java
@@ -65,10 +65,10 @@
         EvaluationFrame constant = builder.build().frame();
         constant.begin();
         return switch (e.type) {
-            case BOOLEAN -> node.truth(constant);
-            case INTEGER -> node.whole(constant);
-            case DECIMAL -> node.fraction(constant);
-            default -> node.text(constant).toString();
+            case BOOLEAN -> node.booleanValue(constant);
+            case INTEGER -> node.integerValue(constant);
+            case DECIMAL -> node.decimalValue(constant);
+            default -> node.stringValue(constant).toString();
         };
     }
 
--- a/node/src/main/java/tulipshed/expression/NumberNodes.java
+++ b/node/src/main/java/tulipshed/expression/NumberNodes.java
@@ -17,17 +17,19 @@
 
         @SuppressWarnings("ShortCircuitBoolean") // both halves are evaluated, so that each counts its cost
         @Override
-        boolean truth(EvaluationFrame f) {
-            f.spent++;
+        boolean booleanValue(EvaluationFrame frame) {
+            frame.spent++;
             return switch (type) {
-                case BOOLEAN -> a.truth(f) == b.truth(f);
-                case INTEGER -> a.whole(f) == b.whole(f);
-                case DECIMAL -> a.fraction(f) == b.fraction(f);
-                case ADDRESS -> a.high(f) == b.high(f) & a.whole(f) == b.whole(f);
+                case BOOLEAN -> a.booleanValue(frame) == b.booleanValue(frame);
+                case INTEGER -> a.integerValue(frame) == b.integerValue(frame);
+                case DECIMAL -> a.decimalValue(frame) == b.decimalValue(frame);
+                case ADDRESS ->
+                    a.addressHighBits(frame) == b.addressHighBits(frame)
+                            & a.integerValue(frame) == b.integerValue(frame);
                 default -> {
-                    CharSequence left = a.text(f);
-                    CharSequence right = b.text(f);
-                    f.spent += CostModel.units(Math.min(left.length(), right.length()));
+                    CharSequence left = a.stringValue(frame);
+                    CharSequence right = b.stringValue(frame);
+                    frame.spent += CostModel.units(Math.min(left.length(), right.length()));
                     yield CharSequences.equal(left, right);
                 }
             };
@@ -48,15 +50,15 @@
         }
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            f.spent++;
+        boolean booleanValue(EvaluationFrame frame) {
+            frame.spent++;
             if (fractions) {
-                double left = a.fraction(f);
-                double right = b.fraction(f);
+                double left = a.decimalValue(frame);
+                double right = b.decimalValue(frame);
                 return orEqual ? left <= right : left < right;
             }
-            long left = a.whole(f);
-            long right = b.whole(f);
+            long left = a.integerValue(frame);
+            long right = b.integerValue(frame);
             return orEqual ? left <= right : left < right;
         }
     }
@@ -74,10 +76,10 @@
         }
 
         @Override
-        long whole(EvaluationFrame f) {
-            f.spent++;
-            long left = a.whole(f);
-            long right = b.whole(f);
+        long integerValue(EvaluationFrame frame) {
+            frame.spent++;
+            long left = a.integerValue(frame);
+            long right = b.integerValue(frame);
             return switch (op) {
                 case ADD -> Arithmetic.add(left, right);
                 case SUBTRACT -> Arithmetic.subtract(left, right);
@@ -88,10 +90,10 @@
         }
 
         @Override
-        double fraction(EvaluationFrame f) {
-            f.spent++;
-            double left = a.fraction(f);
-            double right = b.fraction(f);
+        double decimalValue(EvaluationFrame frame) {
+            frame.spent++;
+            double left = a.decimalValue(frame);
+            double right = b.decimalValue(frame);
             return switch (op) {
                 case ADD -> left + right;
                 case SUBTRACT -> left - right;
@@ -117,20 +119,22 @@
         }
 
         @Override
-        long whole(EvaluationFrame f) {
-            f.spent++;
-            long divisor = b.whole(f);
+        long integerValue(EvaluationFrame frame) {
+            frame.spent++;
+            long divisor = b.integerValue(frame);
             if (divisor == 0) {
-                return otherwise.whole(f);
+                return otherwise.integerValue(frame);
             }
-            return modulo ? Arithmetic.modulo(a.whole(f), divisor) : Arithmetic.divide(a.whole(f), divisor);
+            return modulo
+                    ? Arithmetic.modulo(a.integerValue(frame), divisor)
+                    : Arithmetic.divide(a.integerValue(frame), divisor);
         }
 
         @Override
-        double fraction(EvaluationFrame f) {
-            f.spent++;
-            double divisor = b.fraction(f);
-            return divisor == 0 ? otherwise.fraction(f) : a.fraction(f) / divisor;
+        double decimalValue(EvaluationFrame frame) {
+            frame.spent++;
+            double divisor = b.decimalValue(frame);
+            return divisor == 0 ? otherwise.decimalValue(frame) : a.decimalValue(frame) / divisor;
         }
     }
 
@@ -142,15 +146,15 @@
         }
 
         @Override
-        long whole(EvaluationFrame f) {
-            f.spent++;
-            return (long) a.fraction(f);
+        long integerValue(EvaluationFrame frame) {
+            frame.spent++;
+            return (long) a.decimalValue(frame);
         }
 
         @Override
-        double fraction(EvaluationFrame f) {
-            f.spent++;
-            return a.whole(f);
+        double decimalValue(EvaluationFrame frame) {
+            frame.spent++;
+            return a.integerValue(frame);
         }
     }
 
@@ -164,17 +168,17 @@
         }
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            f.spent++;
+        boolean booleanValue(EvaluationFrame frame) {
+            frame.spent++;
             return switch (set.type) {
                 case STRING -> {
-                    CharSequence s = a.text(f);
-                    f.spent += 2 * CostModel.units(s.length());
+                    CharSequence s = a.stringValue(frame);
+                    frame.spent += 2 * CostModel.units(s.length());
                     yield set.has(s);
                 }
-                case DECIMAL -> set.has(LiteralSet.bits(a.fraction(f)));
-                case BOOLEAN -> set.has(a.truth(f) ? 1 : 0);
-                default -> set.has(a.whole(f));
+                case DECIMAL -> set.has(LiteralSet.bits(a.decimalValue(frame)));
+                case BOOLEAN -> set.has(a.booleanValue(frame) ? 1 : 0);
+                default -> set.has(a.integerValue(frame));
             };
         }
     }
@@ -189,9 +193,9 @@
         }
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            f.spent += 1 + networks.list().size();
-            return networks.contain(a.high(f), a.whole(f));
+        boolean booleanValue(EvaluationFrame frame) {
+            frame.spent += 1 + networks.list().size();
+            return networks.contain(a.addressHighBits(frame), a.integerValue(frame));
         }
     }
 }
--- a/node/src/main/java/tulipshed/expression/Program.java
+++ b/node/src/main/java/tulipshed/expression/Program.java
@@ -152,32 +152,32 @@
         }
 
         /** Its value as a boolean. */
-        public boolean truth(EvaluationFrame f) {
-            return node.truth(f);
+        public boolean booleanValue(EvaluationFrame frame) {
+            return node.booleanValue(frame);
         }
 
         /** Its value as an integer. */
-        public long whole(EvaluationFrame f) {
-            return node.whole(f);
+        public long integerValue(EvaluationFrame frame) {
+            return node.integerValue(frame);
         }
 
         /** Its value as a decimal. */
-        public double fraction(EvaluationFrame f) {
-            return node.fraction(f);
+        public double decimalValue(EvaluationFrame frame) {
+            return node.decimalValue(frame);
         }
 
         /** Its value as a string, which holds until the frame begins anew. */
-        public CharSequence text(EvaluationFrame f) {
-            return node.text(f);
+        public CharSequence stringValue(EvaluationFrame frame) {
+            return node.stringValue(frame);
         }
 
         /** Its value as an object: Boolean, Long, Double or String. */
-        public Object boxed(EvaluationFrame f) {
+        public Object boxed(EvaluationFrame frame) {
             return switch (expr.type) {
-                case BOOLEAN -> node.truth(f);
-                case INTEGER -> node.whole(f);
-                case DECIMAL -> node.fraction(f);
-                case STRING -> node.text(f).toString();
+                case BOOLEAN -> node.booleanValue(frame);
+                case INTEGER -> node.integerValue(frame);
+                case DECIMAL -> node.decimalValue(frame);
+                case STRING -> node.stringValue(frame).toString();
                 default -> throw new IllegalStateException("an address has no value of its own");
             };
         }
--- a/node/src/main/java/tulipshed/expression/RuleTable.java
+++ b/node/src/main/java/tulipshed/expression/RuleTable.java
@@ -90,25 +90,27 @@
             }
         }
 
-        int[] find(EvaluationFrame f) {
-            f.spent++;
+        int[] find(EvaluationFrame frame) {
+            frame.spent++;
             int at;
             if (prefixes) {
-                at = longestPrefix(f, node.text(f));
+                at = longestPrefix(frame, node.stringValue(frame));
             } else if (key.type == Type.STRING) {
-                CharSequence s = node.text(f);
-                f.spent += 2 * CostModel.units(s.length());
+                CharSequence s = node.stringValue(frame);
+                frame.spent += 2 * CostModel.units(s.length());
                 at = texts.get(s);
             } else {
                 at = wholes.get(
                         key.type == Type.INTEGER
-                                ? node.whole(f)
-                                : key.type == Type.DECIMAL ? LiteralSet.bits(node.fraction(f)) : node.truth(f) ? 1 : 0);
+                                ? node.integerValue(frame)
+                                : key.type == Type.DECIMAL
+                                        ? LiteralSet.bits(node.decimalValue(frame))
+                                        : node.booleanValue(frame) ? 1 : 0);
             }
             return at < 0 ? NONE : lists[at];
         }
 
-        private int longestPrefix(EvaluationFrame f, CharSequence s) {
+        private int longestPrefix(EvaluationFrame frame, CharSequence s) {
             int found = -1;
             int hash = 0;
             int hashed = 0;
@@ -119,7 +121,7 @@
                 for (; hashed < length; hashed++) {
                     hash = 31 * hash + s.charAt(hashed);
                 }
-                f.spent += 1 + 2 * CostModel.units(length);
+                frame.spent += 1 + 2 * CostModel.units(length);
                 int at = texts.get(s, length, hash);
                 found = at >= 0 ? at : found;
             }
@@ -238,30 +240,30 @@
     }
 
     /** The number of the first rule that holds, counted from 0, or -1. */
-    public int first(EvaluationFrame f) {
+    public int first(EvaluationFrame frame) {
         int count = indexes.size();
-        f.lists[firstList] = unindexed;
-        f.cursors[firstList] = 0;
+        frame.lists[firstList] = unindexed;
+        frame.cursors[firstList] = 0;
         for (int i = 0; i < count; i++) {
-            f.lists[firstList + 1 + i] = indexes.get(i).find(f);
-            f.cursors[firstList + 1 + i] = 0;
+            frame.lists[firstList + 1 + i] = indexes.get(i).find(frame);
+            frame.cursors[firstList + 1 + i] = 0;
         }
         while (true) {
             int rule = Integer.MAX_VALUE;
             int from = -1;
             for (int i = firstList; i <= firstList + count; i++) {
-                int cursor = f.cursors[i];
-                if (cursor < f.lists[i].length && f.lists[i][cursor] < rule) {
-                    rule = f.lists[i][cursor];
+                int cursor = frame.cursors[i];
+                if (cursor < frame.lists[i].length && frame.lists[i][cursor] < rule) {
+                    rule = frame.lists[i][cursor];
                     from = i;
                 }
             }
             if (from < 0) {
                 return -1;
             }
-            f.cursors[from]++;
-            f.spent++;
-            if (nodes[rule] == null || nodes[rule].truth(f)) {
+            frame.cursors[from]++;
+            frame.spent++;
+            if (nodes[rule] == null || nodes[rule].booleanValue(frame)) {
                 return rule;
             }
         }
--- a/node/src/main/java/tulipshed/expression/StringNodes.java
+++ b/node/src/main/java/tulipshed/expression/StringNodes.java
@@ -24,17 +24,17 @@
         }
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            f.spent++;
-            CharSequence whole = a.text(f);
-            CharSequence part = b.text(f);
+        boolean booleanValue(EvaluationFrame frame) {
+            frame.spent++;
+            CharSequence whole = a.stringValue(frame);
+            CharSequence part = b.stringValue(frame);
             int last = whole.length() - part.length();
             if (op != Operator.CONTAINS) {
-                f.spent += CostModel.units(Math.min(whole.length(), part.length()));
+                frame.spent += CostModel.units(Math.min(whole.length(), part.length()));
                 return CharSequences.at(whole, part, op == Operator.PREFIX ? 0 : last);
             }
             if (last >= 0) {
-                f.spent += CostModel.units((long) whole.length() * part.length());
+                frame.spent += CostModel.units((long) whole.length() * part.length());
             }
             for (int i = 0; i <= last; i++) {
                 if (CharSequences.at(whole, part, i)) {
@@ -53,9 +53,9 @@
         }
 
         @Override
-        long whole(EvaluationFrame f) {
-            f.spent++;
-            return a.text(f).length();
+        long integerValue(EvaluationFrame frame) {
+            frame.spent++;
+            return a.stringValue(frame).length();
         }
     }
 
@@ -69,13 +69,13 @@
         }
 
         @Override
-        CharSequence text(EvaluationFrame f) {
-            ReusableStringBuffer out = f.buffers[buffer].clear();
+        CharSequence stringValue(EvaluationFrame frame) {
+            ReusableStringBuffer out = frame.buffers[buffer].clear();
             for (EvaluationNode n : parts) {
-                CharSequence s = n.text(f);
+                CharSequence s = n.stringValue(frame);
                 out.append(s, 0, s.length());
             }
-            f.spent += 1 + CostModel.units(out.length());
+            frame.spent += 1 + CostModel.units(out.length());
             return out;
         }
     }
@@ -94,12 +94,12 @@
         }
 
         @Override
-        CharSequence text(EvaluationFrame f) {
-            CharSequence s = a.text(f);
-            int start = (int) Math.max(0, Math.min(s.length(), from.whole(f)));
-            int end = (int) Math.max(start, Math.min(s.length(), to.whole(f)));
-            f.spent += 1 + CostModel.units(end - start);
-            ReusableStringBuffer out = f.buffers[buffer].clear();
+        CharSequence stringValue(EvaluationFrame frame) {
+            CharSequence s = a.stringValue(frame);
+            int start = (int) Math.max(0, Math.min(s.length(), from.integerValue(frame)));
+            int end = (int) Math.max(start, Math.min(s.length(), to.integerValue(frame)));
+            frame.spent += 1 + CostModel.units(end - start);
+            ReusableStringBuffer out = frame.buffers[buffer].clear();
             out.append(s, start, end);
             return out;
         }
@@ -115,10 +115,10 @@
         }
 
         @Override
-        CharSequence text(EvaluationFrame f) {
-            CharSequence s = a.text(f);
-            f.spent += 1 + CostModel.units(s.length());
-            ReusableStringBuffer out = f.buffers[buffer].clear();
+        CharSequence stringValue(EvaluationFrame frame) {
+            CharSequence s = a.stringValue(frame);
+            frame.spent += 1 + CostModel.units(s.length());
+            ReusableStringBuffer out = frame.buffers[buffer].clear();
             for (int i = 0; i < s.length(); i++) {
                 char c = s.charAt(i);
                 out.append(c >= 'A' && c <= 'Z' ? (char) (c + ('a' - 'A')) : c);
@@ -137,10 +137,10 @@
         }
 
         @Override
-        CharSequence text(EvaluationFrame f) {
-            ReusableStringBuffer out = f.buffers[buffer].clear();
-            out.append(a.whole(f));
-            f.spent += 1 + CostModel.units(out.length());
+        CharSequence stringValue(EvaluationFrame frame) {
+            ReusableStringBuffer out = frame.buffers[buffer].clear();
+            out.append(a.integerValue(frame));
+            frame.spent += 1 + CostModel.units(out.length());
             return out;
         }
     }
@@ -157,10 +157,10 @@
         }
 
         @Override
-        boolean truth(EvaluationFrame f) {
-            CharSequence s = a.text(f);
-            f.spent += 1 + CostModel.units((long) (s.length() + 1) * matching.size());
-            Matcher m = f.matchers[matcher];
+        boolean booleanValue(EvaluationFrame frame) {
+            CharSequence s = a.stringValue(frame);
+            frame.spent += 1 + CostModel.units((long) (s.length() + 1) * matching.size());
+            Matcher m = frame.matchers[matcher];
             return m.reset(s).find();
         }
     }
@@ -175,9 +175,9 @@
         }
 
         @Override
-        long whole(EvaluationFrame f) {
-            CharSequence s = a.text(f);
-            f.spent += 1 + CostModel.units(s.length());
+        long integerValue(EvaluationFrame frame) {
+            CharSequence s = a.stringValue(frame);
+            frame.spent += 1 + CostModel.units(s.length());
             return HASHER.hashCharsToLong(s);
         }
     }
@@ -195,9 +195,9 @@
         }
 
         @Override
-        long whole(EvaluationFrame f) {
-            long h = hash.whole(f);
-            f.spent += CostModel.BUCKET;
+        long integerValue(EvaluationFrame frame) {
+            long h = hash.integerValue(frame);
+            frame.spent += CostModel.BUCKET;
             return SHARES.getBucket(h, shares);
         }
     }
--- a/node/src/main/java/tulipshed/routing/ClassificationRules.java
+++ b/node/src/main/java/tulipshed/routing/ClassificationRules.java
@@ -31,7 +31,7 @@
             return new RequestClassification(s.className(), s.tenant(), s.group());
         }
         Rule r = rules.get(found);
-        CharSequence group = r.group() == null ? s.group() : r.group().text(frame);
+        CharSequence group = r.group() == null ? s.group() : r.group().stringValue(frame);
         return new RequestClassification(
                 r.className() == null ? s.className() : r.className(),
                 r.tenant() == null ? s.tenant() : r.tenant(),
--- a/node/src/main/java/tulipshed/routing/PoolMembership.java
+++ b/node/src/main/java/tulipshed/routing/PoolMembership.java
@@ -39,7 +39,7 @@
         for (EndpointInfo e : listed) {
             if (schema.fill(frame, e, nowMs)) {
                 conditions.forEach((name, condition) -> {
-                    if (condition.truth(frame)) {
+                    if (condition.booleanValue(frame)) {
                         now.get(name).add(e.id());
                     }
                 });
--- a/node/src/main/java/tulipshed/routing/Routes.java
+++ b/node/src/main/java/tulipshed/routing/Routes.java
@@ -32,7 +32,7 @@
         PoolPreference branch(EvaluationFrame f) {
             int i = 0;
             if (share != null) {
-                long at = share.whole(f);
+                long at = share.integerValue(f);
                 while (at >= upTo[i]) {
                     i++;
                 }
--- a/node/src/test/java/tulipshed/expression/ExpressionTest.java
+++ b/node/src/test/java/tulipshed/expression/ExpressionTest.java
@@ -205,7 +205,7 @@
             EvaluationFrame f = fill(p, "gate", "key-" + i, null, null, "10.0.0.1");
             long before = 0;
             for (int n = 1; n <= 40; n++) {
-                long now = shares.get(n - 1).whole(f);
+                long now = shares.get(n - 1).integerValue(f);
                 assertTrue(
                         now == before || now == n - 1, "moved to " + now + ", which is not the new share " + (n - 1));
                 before = now;
