--- a/node/src/main/java/tulipshed/routing/PoolMembership.java
+++ b/node/src/main/java/tulipshed/routing/PoolMembership.java
@@ -49,7 +49,7 @@
         for (EndpointInfo endpoint : listed) {
             if (schema.fill(frame, endpoint, nowMs)) {
                 conditionByPool.forEach((pool, condition) -> {
-                    if (condition.truth(frame)) {
+                    if (condition.booleanValue(frame)) {
                         updated.get(pool).add(endpoint.id());
                     }
                 });
--- a/node/src/main/java/tulipshed/routing/Route.java
+++ b/node/src/main/java/tulipshed/routing/Route.java
@@ -40,7 +40,7 @@
     PoolPreference branchFor(EvaluationFrame frame) {
         int index = 0;
         if (splitPoint != null) {
-            long point = splitPoint.whole(frame);
+            long point = splitPoint.integerValue(frame);
             while (point >= branchEnds[index]) {
                 index++;
             }
