--- a/emulator/src/main/java/tulipshed/emulator/policy/CorePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/CorePolicy.java
@@ -18,6 +18,7 @@
 import tulipshed.proxy.EventLoop;
 import tulipshed.proxy.ProxyCore;
 import tulipshed.proxy.Request;
+import tulipshed.proxy.RequestParameters;
 import tulipshed.proxy.UpstreamConnector;
 import tulipshed.time.WallTime;
 
@@ -65,7 +66,7 @@
                 this,
                 ERRORS,
                 Balancer::new);
-        core.endpointListSource(host::watch);
+        core.setEndpointListSource(host::watch);
     }
 
     /** One client's transaction, as its front would hold it. */
@@ -80,7 +81,7 @@
             transaction = new Request(
                     this,
                     CorePolicy.this,
-                    new Request.Attributes(
+                    new RequestParameters(
                             w.requestClass,
                             w.tenant,
                             "k" + t.id,
@@ -142,7 +143,7 @@
 
     @Override
     public void quotaShare(double share) {
-        core.quotaShare(share);
+        core.setQuotaShare(share);
     }
 
     @Override
--- a/node/src/main/java/tulipshed/cli/ConfigurationReload.java
+++ b/node/src/main/java/tulipshed/cli/ConfigurationReload.java
@@ -85,7 +85,7 @@
             return;
         }
         router = changed;
-        components.core().useRouter(router);
+        components.core().setRouter(router);
         components.frontend().setDeclarations(router == null ? null : router.declarations());
     }
 
--- a/node/src/main/java/tulipshed/cli/GracefulShutdown.java
+++ b/node/src/main/java/tulipshed/cli/GracefulShutdown.java
@@ -55,7 +55,7 @@
         hotRestart.refresh();
         boolean handedOver = hotRestart.isPeerServing();
         hotRestart.markLeaving();
-        core.quotaShare(hotRestart.quotaShare());
+        core.setQuotaShare(hotRestart.quotaShare());
         if (!handedOver) {
             components.frontend().startLeaving();
         }
--- a/node/src/main/java/tulipshed/cli/HotRestartMonitor.java
+++ b/node/src/main/java/tulipshed/cli/HotRestartMonitor.java
@@ -21,7 +21,7 @@
     void check() {
         components.loop().schedule(intervalMs, this::check);
         hotRestart.refresh();
-        components.core().quotaShare(hotRestart.quotaShare());
+        components.core().setQuotaShare(hotRestart.quotaShare());
         components.core().syncHotRestartPeer();
         if (!hotRestart.hasPeer() && !components.clientListener().isDraining()) {
             components.peers().retryBind();
--- a/node/src/main/java/tulipshed/cli/NodeAssembly.java
+++ b/node/src/main/java/tulipshed/cli/NodeAssembly.java
@@ -48,9 +48,9 @@
         EndpointWatch watch = createWatch(core);
         Router router = options.operators().router();
         if (router != null) {
-            core.useRouter(router);
+            core.setRouter(router);
         }
-        core.hotRestartPeer(options.hotRestart());
+        core.setHotRestartPeer(options.hotRestart());
         LineProtocolFrontend frontend = createFrontend(core, router);
         PeerMessaging peers = new PeerMessaging(options, loop, core);
         peers.configure(config);
@@ -75,7 +75,7 @@
         if (!config.cachedEndpoints().isEmpty()) {
             watch.startFromCachedList(EndpointListUpdate.read(config.cachedEndpoints()));
         }
-        core.endpointListSource(watch);
+        core.setEndpointListSource(watch);
         return watch;
     }
 
--- a/node/src/main/java/tulipshed/decision/RetryPolicy.java
+++ b/node/src/main/java/tulipshed/decision/RetryPolicy.java
@@ -1,7 +1,6 @@
 package tulipshed.decision;
 
 import java.util.SplittableRandom;
-import tulipshed.decision.api.DeduplicationScope;
 import tulipshed.decision.api.Idempotency;
 import tulipshed.decision.api.Outcome;
 import tulipshed.decision.api.SiteLimits;
@@ -46,10 +45,7 @@
 
     /** Whether the client may repeat the request: a rejection promises that this is harmless. */
     static boolean permitsRejection(RequestState request) {
-        return !request.mayHaveRun
-                || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || (request.requestClass.idempotency() == Idempotency.WITH_KEY
-                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL);
+        return !request.mayHaveRun || request.requestClass.isRepeatHarmless();
     }
 
     /** Time-out of the next attempt, which leaves time for another one; 0 for none. */
--- a/node/src/main/java/tulipshed/decision/api/RequestClass.java
+++ b/node/src/main/java/tulipshed/decision/api/RequestClass.java
@@ -1,13 +1,16 @@
 package tulipshed.decision.api;
 
 /**
- * One class of requests; times are in microseconds.
+ * One class of requests, as the settings define it.
  *
- * @param latencyObjectiveUs objective for establishing a connection
- * @param deadlineUs deadline for establishing a connection
- * @param priorityWeight relative worth of a served request
- * @param deduplicationWindowUs how long idempotency keys are kept
- * @param messageLatencyObjectiveUs objective for messages on established connections, 0 for none
+ * @param name its name in the settings
+ * @param latencyObjectiveUs objective for establishing a connection, in microseconds
+ * @param deadlineUs deadline for establishing a connection, in microseconds
+ * @param priorityWeight priority weight of a served request, relative to other classes
+ * @param idempotency whether a request may be repeated
+ * @param deduplicationScope which endpoints discard a repeat with the same idempotency key
+ * @param deduplicationWindowUs how long endpoints keep an idempotency key, in microseconds
+ * @param messageLatencyObjectiveUs objective for messages on established connections, in microseconds; 0 for none
  */
 public record RequestClass(
         String name,
@@ -17,4 +20,11 @@
         Idempotency idempotency,
         DeduplicationScope deduplicationScope,
         long deduplicationWindowUs,
-        long messageLatencyObjectiveUs) {}
+        long messageLatencyObjectiveUs) {
+
+    /** Whether a client may repeat a request, at whatever endpoint, that may have executed: its effect happens once. */
+    public boolean isRepeatHarmless() {
+        return idempotency == Idempotency.IDEMPOTENT
+                || (idempotency == Idempotency.WITH_KEY && deduplicationScope == DeduplicationScope.ALL);
+    }
+}
--- a/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
+++ b/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
@@ -62,7 +62,7 @@
         unservedConnections = new UnservedConnections(limits);
         healthCheckConnections = new HealthCheckConnections(context);
         reconfigure(names, loadReportsLatency);
-        core.healthChecker(healthCheckConnections);
+        core.setHealthChecker(healthCheckConnections);
         scheduleSweep();
     }
 
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommand.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommand.java
@@ -1,7 +1,7 @@
 package tulipshed.lineprotocol;
 
 import java.nio.charset.StandardCharsets;
-import tulipshed.proxy.Request.Attributes;
+import tulipshed.proxy.RequestParameters;
 import tulipshed.routing.AdditionalAttributes;
 
 /**
@@ -21,7 +21,7 @@
         String id,
         int timeoutStart,
         int timeoutEnd,
-        Attributes attributes,
+        RequestParameters attributes,
         String adoptedFrom,
         AdditionalAttributes declaredAttributes) {
 
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommandBuilder.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommandBuilder.java
@@ -1,7 +1,7 @@
 package tulipshed.lineprotocol;
 
 import java.util.regex.Pattern;
-import tulipshed.proxy.Request.Attributes;
+import tulipshed.proxy.RequestParameters;
 import tulipshed.routing.AdditionalAttributes;
 import tulipshed.routing.AttributeDeclarations;
 import tulipshed.routing.AttributeValue;
@@ -90,8 +90,8 @@
     OpenCommand build() {
         requireComplete();
         requireWithinLimits();
-        Attributes attributes =
-                new Attributes(classIndex, tenantIndex, key, group, timeoutMs, loadHintUsPerS, isRetry, isReconnecting);
+        RequestParameters attributes = new RequestParameters(
+                classIndex, tenantIndex, key, group, timeoutMs, loadHintUsPerS, isRetry, isReconnecting);
         return new OpenCommand(line, id, timeoutStart, timeoutEnd, attributes, adoptedFrom, declaredAttributes.build());
     }
 
--- a/node/src/main/java/tulipshed/peer/PeerSocket.java
+++ b/node/src/main/java/tulipshed/peer/PeerSocket.java
@@ -56,7 +56,7 @@
         errors = new ProtocolErrorLog("peer", "peer datagrams dropped", limits, log);
         // One byte more than is accepted, which reveals a datagram that is too long.
         readBuffer = ByteBuffer.allocateDirect(this.limits.maxBodyBytes() + 1);
-        core.peerSender(this);
+        core.setPeerSender(this);
         publishCounters(core.metrics());
     }
 
--- a/node/src/main/java/tulipshed/proxy/EstablishedConnections.java
+++ b/node/src/main/java/tulipshed/proxy/EstablishedConnections.java
@@ -22,10 +22,15 @@
     void add(Request request, Endpoint endpoint) {
         requests.add(request);
         if (hotRestartPeer != null) {
-            request.setHotRestartSlot(hotRestartPeer.connectionEstablished(request.connectionAt(endpoint.id())));
+            request.setHotRestartSlot(hotRestartPeer.connectionEstablished(publishedForm(request, endpoint)));
         }
     }
 
+    private static HotRestartPeer.EstablishedConnection publishedForm(Request request, Endpoint endpoint) {
+        RequestParameters parameters = request.parameters();
+        return new HotRestartPeer.EstablishedConnection(endpoint.id(), parameters.group(), parameters.loadHintUsPerS());
+    }
+
     /** Removes a connection that ended. */
     void remove(Request request) {
         requests.remove(request);
--- a/node/src/main/java/tulipshed/proxy/Request.java
+++ b/node/src/main/java/tulipshed/proxy/Request.java
@@ -1,7 +1,5 @@
 package tulipshed.proxy;
 
-import tulipshed.decision.api.DeduplicationScope;
-import tulipshed.decision.api.Idempotency;
 import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.RequestClass;
 import tulipshed.routing.RequestOrigin;
@@ -23,43 +21,19 @@
     private final double deadlineMs;
     private final boolean adopted;
     private RequestOrigin origin;
-    private Attributes attributes;
+    private RequestParameters parameters;
     private String pool;
     /** 0 until {@link #assignId}. */
     private long id;
 
-    private RequestClass requestClass;
+    private final ExecutionRecord execution = new ExecutionRecord();
     private State state = State.PENDING;
     private Attempt attempt;
     private int attemptCount;
-    /** When the first attempt started that may have executed; NaN where none may have. */
-    private double executedMs = Double.NaN;
 
     private int hotRestartSlot = NO_HOT_RESTART_SLOT;
     private TimerQueue.Timer deadlineTimer;
 
-    /**
-     * What the client asks for, in the terms of the settings.
-     *
-     * @param requestClass index of the class in the settings
-     * @param tenant index of the tenant in the settings, -1 where there is none
-     * @param key the idempotency key
-     * @param group the affinity group, null where there is none
-     * @param timeoutMs how long the client waits for a final response
-     * @param loadHintUsPerS expected load in microseconds of work per second, 0 where the client gave none
-     * @param retry whether the client has sent this request before
-     * @param reconnecting whether the client comes back after its connection was migrated
-     */
-    public record Attributes(
-            int requestClass,
-            int tenant,
-            String key,
-            String group,
-            double timeoutMs,
-            double loadHintUsPerS,
-            boolean retry,
-            boolean reconnecting) {}
-
     /**
      * A request of unknown origin that arrives at {@code nowMs}.
      *
@@ -68,25 +42,25 @@
     public Request(
             ClientConnection client,
             UpstreamConnector connector,
-            Attributes attributes,
+            RequestParameters parameters,
             double nowMs,
             boolean adopted) {
-        this(client, connector, attributes, RequestOrigin.UNKNOWN, nowMs, adopted);
+        this(client, connector, parameters, RequestOrigin.UNKNOWN, nowMs, adopted);
     }
 
     /** A request of known origin; otherwise as the other constructor. */
     public Request(
             ClientConnection client,
             UpstreamConnector connector,
-            Attributes attributes,
+            RequestParameters parameters,
             RequestOrigin origin,
             double nowMs,
             boolean adopted) {
         this.origin = origin;
         this.client = client;
         this.connector = connector;
-        this.attributes = attributes;
-        this.deadlineMs = nowMs + attributes.timeoutMs();
+        this.parameters = parameters;
+        this.deadlineMs = nowMs + parameters.timeoutMs();
         this.adopted = adopted;
     }
 
@@ -111,13 +85,13 @@
     }
 
     /** What the client asks for, as classified. */
-    Attributes attributes() {
-        return attributes;
+    RequestParameters parameters() {
+        return parameters;
     }
 
-    /** Replaces the attributes by what the routing rules made of them; the deadline does not change. */
-    void setAttributes(Attributes classified) {
-        attributes = classified;
+    /** Replaces the parameters by what the routing rules made of them; the deadline does not change. */
+    void setParameters(RequestParameters classified) {
+        parameters = classified;
     }
 
     /** The pool that must serve the request, null for any endpoint. */
@@ -132,46 +106,32 @@
 
     /** Index of the class in the settings under which the request arrived. */
     int classIndex() {
-        return attributes.requestClass();
+        return parameters.requestClass();
     }
 
     /** Fixes the class; a later change of the settings leaves an open request its own. */
     void setRequestClass(RequestClass fixed) {
-        requestClass = fixed;
+        execution.setRequestClass(fixed);
     }
 
     /** The name of the class that was fixed at the arrival. */
     String className() {
-        return requestClass.name();
+        return execution.requestClass().name();
     }
 
     /** Records that an attempt which started then may have executed; only the first one counts. */
     void recordExecution(double startedMs) {
-        if (Double.isNaN(executedMs)) {
-            executedMs = startedMs;
-        }
-    }
-
-    private boolean mayHaveExecuted() {
-        return !Double.isNaN(executedMs);
+        execution.recordExecution(startedMs);
     }
 
     /** Whether an attempt may be forwarded now, given that earlier ones may have executed. */
     boolean mayForward(double nowMs) {
-        return !mayHaveExecuted()
-                || switch (requestClass.idempotency()) {
-                    case IDEMPOTENT -> true;
-                    case WITH_KEY -> nowMs < executedMs + Clock.toMillis(requestClass.deduplicationWindowUs());
-                    case NOT_IDEMPOTENT -> false;
-                };
+        return execution.permitsForwarding(nowMs);
     }
 
     /** Whether a rejection, which promises that a retry is harmless, is a correct response, also while an attempt is open. */
     boolean mayBeRejected() {
-        return requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || (requestClass.idempotency() == Idempotency.WITH_KEY
-                        && requestClass.deduplicationScope() == DeduplicationScope.ALL)
-                || (!mayHaveExecuted() && (attempt == null || !attempt.isConnected()));
+        return execution.permitsRejection(attempt != null && attempt.isConnected());
     }
 
     /** Sets the slot in which the other process of a hot restart finds this connection; below 0 for none. */
@@ -189,25 +149,20 @@
         return hotRestartSlot;
     }
 
-    /** This connection, established at that endpoint, as the other process of a hot restart is notified of it. */
-    HotRestartPeer.EstablishedConnection connectionAt(String endpointId) {
-        return new HotRestartPeer.EstablishedConnection(endpointId, attributes.group(), attributes.loadHintUsPerS());
-    }
-
     /** The request as the decision module is notified of it at {@code nowMs}. */
     NewRequest toNewRequest(double nowMs, int settingsClassIndex) {
         double remainingMs = Math.max(0, deadlineMs - nowMs);
         return new NewRequest(
                 id,
                 settingsClassIndex,
-                attributes.tenant(),
-                attributes.key(),
-                attributes.group(),
+                parameters.tenant(),
+                parameters.key(),
+                parameters.group(),
                 Clock.toMicros(remainingMs),
-                attributes.loadHintUsPerS(),
-                attributes.retry(),
+                parameters.loadHintUsPerS(),
+                parameters.retry(),
                 false,
-                attributes.reconnecting(),
+                parameters.reconnecting(),
                 pool);
     }
 
--- a/node/src/main/java/tulipshed/proxy/RequestRouting.java
+++ b/node/src/main/java/tulipshed/proxy/RequestRouting.java
@@ -9,7 +9,6 @@
 import tulipshed.decision.api.BalancerSettings;
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.logging.NodeLog;
-import tulipshed.proxy.Request.Attributes;
 import tulipshed.routing.RequestAttributes;
 import tulipshed.routing.RequestClassification;
 import tulipshed.routing.Router;
@@ -63,20 +62,20 @@
         if (router == null) {
             return;
         }
-        Attributes attributes = request.attributes();
+        RequestParameters parameters = request.parameters();
         RequestClassification classified = router.classify(attributesOf(request));
         // A name that the settings no longer have changes nothing.
-        request.setAttributes(new Attributes(
-                classIndices.getOrDefault(classified.className(), attributes.requestClass()),
+        request.setParameters(new RequestParameters(
+                classIndices.getOrDefault(classified.className(), parameters.requestClass()),
                 classified.tenant() == null
-                        ? attributes.tenant()
-                        : tenantIndices.getOrDefault(classified.tenant(), attributes.tenant()),
-                attributes.key(),
+                        ? parameters.tenant()
+                        : tenantIndices.getOrDefault(classified.tenant(), parameters.tenant()),
+                parameters.key(),
                 classified.group(),
-                attributes.timeoutMs(),
-                attributes.loadHintUsPerS(),
-                attributes.retry(),
-                attributes.reconnecting()));
+                parameters.timeoutMs(),
+                parameters.loadHintUsPerS(),
+                parameters.retry(),
+                parameters.reconnecting()));
     }
 
     /** The pool that must serve the request as routes are now, null for any endpoint. */
@@ -85,16 +84,16 @@
     }
 
     private RequestAttributes attributesOf(Request request) {
-        Attributes attributes = request.attributes();
+        RequestParameters parameters = request.parameters();
         return new RequestAttributes(
-                classNameOf(attributes.requestClass()),
-                tenantNameOf(attributes.tenant()),
-                attributes.key(),
-                attributes.group(),
-                attributes.timeoutMs(),
-                attributes.loadHintUsPerS(),
-                attributes.retry(),
-                attributes.reconnecting(),
+                classNameOf(parameters.requestClass()),
+                tenantNameOf(parameters.tenant()),
+                parameters.key(),
+                parameters.group(),
+                parameters.timeoutMs(),
+                parameters.loadHintUsPerS(),
+                parameters.retry(),
+                parameters.reconnecting(),
                 request.origin());
     }
 
--- a/node/src/main/java/tulipshed/proxy/RouteMonitor.java
+++ b/node/src/main/java/tulipshed/proxy/RouteMonitor.java
@@ -21,7 +21,7 @@
     }
 
     /** Replaces the routing rules; null for none. */
-    void useRouter(Router router) {
+    void setRouter(Router router) {
         routing.setRouter(router, endpoints.listedInfos(), context.clock().nowMs());
         context.events().add((balancer, nowMs, nowUs) -> {
             routing.publishPools(balancer, nowUs);
--- a/node/src/main/java/tulipshed/quic/QuicFrontend.java
+++ b/node/src/main/java/tulipshed/quic/QuicFrontend.java
@@ -15,7 +15,7 @@
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.ProxyCore;
-import tulipshed.proxy.Request.Attributes;
+import tulipshed.proxy.RequestParameters;
 import tulipshed.quic.QuicMetrics.Figure;
 import tulipshed.routing.AdditionalAttributes;
 import tulipshed.routing.AttributeValue;
@@ -150,12 +150,12 @@
     }
 
     /** What a new connection asks for, or null where the settings do not name that any more. */
-    Attributes arrival(String key) {
+    RequestParameters arrival(String key) {
         Integer requestClass = names.classIndex(config.requestClass());
         Integer tenant = config.tenant() == null ? Integer.valueOf(-1) : names.tenantIndex(config.tenant());
         return requestClass == null || tenant == null
                 ? null
-                : new Attributes(requestClass, tenant, key, null, config.deadlineMs(), 0, false, false);
+                : new RequestParameters(requestClass, tenant, key, null, config.deadlineMs(), 0, false, false);
     }
 
     /** Where a transaction came from, and what its client said in the clear; null where it is not known. */
--- a/node/src/test/java/tulipshed/discovery/DiscoveryConnectFailureTest.java
+++ b/node/src/test/java/tulipshed/discovery/DiscoveryConnectFailureTest.java
@@ -24,7 +24,7 @@
         assertEquals("FAILED 0", nextNotification());
         schedulesCalls = true;
         loop.execute(() -> {
-            core.endpointListSource(watch);
+            core.setEndpointListSource(watch);
             watch.setDiscoveryAddress(UNREACHABLE);
         });
         assertEquals("FAILED 0", nextNotification());
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchOutageTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchOutageTest.java
@@ -96,7 +96,7 @@
         try (CrowdedDiscovery one = new CrowdedDiscovery(calls);
                 CrowdedDiscovery other = new CrowdedDiscovery(calls)) {
             schedulesCalls = true;
-            loop.execute(() -> core.endpointListSource(watch));
+            loop.execute(() -> core.setEndpointListSource(watch));
             reloadDuringOutage(one, other, calls);
             assertTrue(callsWithin(2_000, calls) <= 2 * RELOADS, "while the prompts for the reloads come");
             int callsInOutage = callsWithin(4_000, calls);
--- a/node/src/test/java/tulipshed/lineprotocol/OpenCommandParserTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/OpenCommandParserTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import tulipshed.config.NameIndex;
-import tulipshed.proxy.Request.Attributes;
+import tulipshed.proxy.RequestParameters;
 import tulipshed.routing.AttributeDeclarations;
 import tulipshed.testing.InputFuzzer;
 
@@ -47,7 +47,7 @@
     void replacesOnlyTimeoutWhenForwarding() {
         OpenCommand command =
                 new OpenCommandParser(names(), AttributeDeclarations.NONE, 60_000).parse(encoded(OPEN_COMMAND));
-        assertEquals(new Attributes(0, 3, "7f3a", "5c0f", 2000, 0, false, true), command.attributes());
+        assertEquals(new RequestParameters(0, 3, "7f3a", "5c0f", 2000, 0, false, true), command.attributes());
         assertEquals(
                 OPEN_COMMAND.replace("d=2000", "d=1234"),
                 new String(command.forwardedLine(1234.9), StandardCharsets.ISO_8859_1));
--- a/node/src/test/java/tulipshed/proxy/EstablishedConnectionsTest.java
+++ b/node/src/test/java/tulipshed/proxy/EstablishedConnectionsTest.java
@@ -15,7 +15,7 @@
     @Test
     void publishesConnectionsToHotRestartPeer() {
         RecordingHotRestartPeer peer = new RecordingHotRestartPeer();
-        fixture.core.hotRestartPeer(peer);
+        fixture.core.setHotRestartPeer(peer);
         Attempt attempt = fixture.startAttempt(2000);
         fixture.core.attemptEstablished(attempt);
         fixture.core.attemptEnded(attempt, Outcome.OK);
--- a/node/src/test/java/tulipshed/proxy/HealthCheckDispatcherTest.java
+++ b/node/src/test/java/tulipshed/proxy/HealthCheckDispatcherTest.java
@@ -20,7 +20,7 @@
     @Test
     void checksOnlyServingEndpoints() {
         ProxyCoreFixture fixture = new ProxyCoreFixture("\"Probes\": false", "\"Probes\": true");
-        fixture.core.healthChecker(endpoint -> fixture.recorded.add("check " + endpoint.id()));
+        fixture.core.setHealthChecker(endpoint -> fixture.recorded.add("check " + endpoint.id()));
         fixture.updateEndpoint("s-2", EndpointStatus.DRAINING);
         fixture.takeRecorded();
         fixture.decisions.startHealthCheck("s-1");
--- a/node/src/test/java/tulipshed/proxy/ProxyCoreFixture.java
+++ b/node/src/test/java/tulipshed/proxy/ProxyCoreFixture.java
@@ -155,11 +155,7 @@
     /** A request of this fixture's client that the core does not know yet. */
     Request newRequest(double timeoutMs, boolean adopted) {
         return new Request(
-                this,
-                this,
-                new Request.Attributes(0, 0, "k", null, timeoutMs, 0, false, false),
-                clock.nowMs(),
-                adopted);
+                this, this, new RequestParameters(0, 0, "k", null, timeoutMs, 0, false, false), clock.nowMs(), adopted);
     }
 
     /** A request arrives, and an attempt at s-1 is opened for it; nothing of that stays recorded. */
--- a/node/src/test/java/tulipshed/proxy/ReplicatedConnectionsTest.java
+++ b/node/src/test/java/tulipshed/proxy/ReplicatedConnectionsTest.java
@@ -14,7 +14,7 @@
     @Test
     void replicatesConnectionsOfHotRestartPeer() {
         RecordingHotRestartPeer peer = new RecordingHotRestartPeer();
-        fixture.core.hotRestartPeer(peer);
+        fixture.core.setHotRestartPeer(peer);
         peer.connections.put(3, new EstablishedConnection("s-1", "desk", 0));
         peer.connections.put(4, new EstablishedConnection("nobody", "desk", 0));
         fixture.core.syncHotRestartPeer();
--- a/node/src/test/java/tulipshed/proxy/RequestRoutingTest.java
+++ b/node/src/test/java/tulipshed/proxy/RequestRoutingTest.java
@@ -36,7 +36,7 @@
     @Test
     void classifiesArrivalAndAssignsItsPool() {
         setEligible(1, 1);
-        fixture.core.useRouter(router(POOLS + "(classify (rule r (when (= key \"k\")) (class \"slot-booking\")))"
+        fixture.core.setRouter(router(POOLS + "(classify (rule r (when (= key \"k\")) (class \"slot-booking\")))"
                 + "(route r (when (= class \"slot-booking\")) (to b))"));
         assertEquals(List.of("pools {a=[s-1], b=[]}"), fixture.takeRecorded());
         fixture.requestArrives(2000);
@@ -47,7 +47,7 @@
     void reroutesPendingRequestsWhenTheirPoolBecomesIneligible() {
         fixture.updateEndpoint("s-3", EndpointStatus.SERVING);
         setEligible(1, 1);
-        fixture.core.useRouter(router(POOLS + "(route r (to a b))"));
+        fixture.core.setRouter(router(POOLS + "(route r (to a b))"));
         fixture.requestArrives(2000);
         fixture.takeRecorded();
         fixture.eligibleByPool.put("a", 0);
@@ -73,12 +73,12 @@
     @Test
     void keepsEstablishedConnectionWhenRouterIsRemoved() {
         setEligible(1, 1);
-        fixture.core.useRouter(router(POOLS + "(route r (to a))"));
+        fixture.core.setRouter(router(POOLS + "(route r (to a))"));
         Attempt attempt = fixture.startAttempt(2000);
         assertTrue(fixture.core.attemptEstablished(attempt));
         fixture.requestArrives(1500);
         fixture.takeRecorded();
-        fixture.core.useRouter(null);
+        fixture.core.setRouter(null);
         assertEquals(List.of("pools {}", "route 2 null"), fixture.takeRecorded());
         assertTrue(attempt.request().isEstablished());
         fixture.advance(300);
@@ -88,7 +88,7 @@
     /** BalancerSettings may drop a class that a rule assigns, before the rules are reloaded. */
     @Test
     void ignoresClassThatSettingsNoLongerName() {
-        fixture.core.useRouter(router("(classify (rule r (when true) (class \"slot-booking\")))"));
+        fixture.core.setRouter(router("(classify (rule r (when true) (class \"slot-booking\")))"));
         BalancerSettings settings = ProxyCoreFixture.nodeSettings();
         fixture.core.reconfigure(
                 ProxyCoreFixture.withClasses(settings, settings.classes().subList(0, 2)));
--- a/node/src/test/java/tulipshed/quic/KwikTest.java
+++ b/node/src/test/java/tulipshed/quic/KwikTest.java
@@ -172,7 +172,7 @@
                     loop,
                     NodeLog.silent(),
                     Balancer::new);
-            core.useRouter(OperatorsFile.read(
+            core.setRouter(OperatorsFile.read(
                             "f",
                             ("(pool one (where true)) (route r (when (= (default server-name \"\") \"localhost\"))"
                                             + "(to one)) (classify (rule r (when (= (default alpn \"\") \"slots\")) (class \"gate-status\")))")
--- a/node/src/test/java/tulipshed/quic/QuicFrontendTest.java
+++ b/node/src/test/java/tulipshed/quic/QuicFrontendTest.java
@@ -101,7 +101,7 @@
                         .getBytes(java.nio.charset.StandardCharsets.UTF_8),
                 names);
         onLoop(() -> {
-            core.useRouter(rules.router());
+            core.setRouter(rules.router());
             return null;
         });
         for (int i = 0; i < 4; i++) {
@@ -257,7 +257,7 @@
                         .getBytes(java.nio.charset.StandardCharsets.UTF_8),
                 names);
         onLoop(() -> {
-            core.useRouter(rules.router());
+            core.setRouter(rules.router());
             return null;
         });
         for (int i = 0; i < 6; i++) {
