--- a/node/src/main/java/tulipshed/cli/DemoCommand.java
+++ b/node/src/main/java/tulipshed/cli/DemoCommand.java
@@ -6,7 +6,7 @@
 
 /** {@code demo}: runs a node with stubs for all that it needs, on loopback, and a short session through it. */
 public final class DemoCommand implements Command {
-    @Option(name = "--keep", usage = "go on serving after the session, until the program is told to stop")
+    @Option(name = "--keep", usage = "go on serving after the session, until the process is stopped")
     private boolean keep;
 
     @Override
--- a/node/src/main/java/tulipshed/cli/DemoEnvironment.java
+++ b/node/src/main/java/tulipshed/cli/DemoEnvironment.java
@@ -54,8 +54,8 @@
             endpoints.add(new StubEndpoint("s-" + (i + 1)));
             publish(i, "SERVING");
         }
-        System.out.println(
-                "A discovery on " + discovery.address() + " names three members: s-1 and s-2 (std-2c), s-3 (std-4c).");
+        System.out.println("A discovery on " + discovery.address()
+                + " lists three endpoints: s-1 and s-2 (std-2c), s-3 (std-4c).");
     }
 
     private void startNode() throws IOException {
--- a/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
+++ b/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
@@ -29,7 +29,7 @@
             metaVar = "NAME=VALUE",
             usage =
                     "an attribute's value, as often as there are attributes; a name "
-                            + "that is not an attribute of a transaction or a member becomes one, of the type that its value looks like")
+                            + "that is not an attribute of a request or an endpoint becomes one, of the type that its value looks like")
     private List<String> assignments = new ArrayList<>();
 
     @Override
--- a/node/src/main/java/tulipshed/cli/ExpressionTestCommand.java
+++ b/node/src/main/java/tulipshed/cli/ExpressionTestCommand.java
@@ -20,7 +20,7 @@
             index = 1,
             required = true,
             metaVar = "CASES",
-            usage = "transactions, and the class, group, rule, route and " + "pool that each must get")
+            usage = "requests, and the class, group, rule, route and " + "pool that each must get")
     private File cases;
 
     @Option(name = "--config", metaVar = "CONFIG", usage = "the node's configuration; otherwise PROXY_CONFIG names it")
--- a/node/src/main/java/tulipshed/cli/GracefulShutdown.java
+++ b/node/src/main/java/tulipshed/cli/GracefulShutdown.java
@@ -12,7 +12,7 @@
  * Takes a node out of service in phases that overlap:
  *
  * <ol>
- *   <li>accept: new connections are still accepted, as the front layer needs a moment to notice;
+ *   <li>accept: new connections are still accepted, as the load balancer in front of the node needs a moment to notice;
  *   <li>migrate: established clients are asked to reconnect elsewhere, spread over the time there is;
  *   <li>end: clients that have opened no request are rejected, then every pending request gets its response, and the
  *       remaining connections are closed.
--- a/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
+++ b/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
@@ -26,15 +26,15 @@
     /** Null until the frontend is open. */
     private QuicFrontend frontend;
 
-    private boolean nodeStarted;
+    private boolean isNodeStarted;
 
-    /** Why it could not be opened the last time; empty before. */
-    private String openFailure = "";
+    /** The last logged reason why the frontend could not be opened; empty before. */
+    private String loggedFailure = "";
 
     /**
      * Creates a closed frontend.
      *
-     * @param configAtStart what the frontend opens with, or null when it is off until the next restart
+     * @param configAtStart the configuration that the frontend opens with; null if it is off until the next restart
      */
     OptionalQuicFrontend(NodeOptions options, QuicConfig configAtStart, XnioEventLoop loop, ProxyCore core) {
         this.options = options;
@@ -60,26 +60,26 @@
                     options.clock(), options.limits(), configAtStart, names, loop, core, options.log());
             log.info("QUIC frontend listens on " + frontend.address());
         } catch (IOException e) {
-            openFailed("QUIC frontend " + e.getMessage());
+            handleOpenFailure("QUIC frontend " + e.getMessage());
         }
     }
 
-    private void openFailed(String reason) {
-        if (!nodeStarted) {
+    private void handleOpenFailure(String reason) {
+        if (!isNodeStarted) {
             throw new MalformedInputException(reason);
         }
-        if (!reason.equals(openFailure)) {
-            openFailure = reason;
+        if (!reason.equals(loggedFailure)) {
+            loggedFailure = reason;
             log.warn(reason);
         }
     }
 
-    /** The node serves: from now on a frontend that cannot be opened is no reason to end it. */
+    /** The node serves: from now on a failure to open the frontend is logged and does not end the process. */
     void nodeStarted() {
-        nodeStarted = true;
+        isNodeStarted = true;
     }
 
-    /** Applies changed names and, to an open frontend, the operators' file; a file without QUIC keeps what there is. */
+    /** Applies changed names and, to an open frontend, its section of the operators' file, if the file has one. */
     void reconfigure(NameIndex changedNames, OperatorsFile operators) {
         names = changedNames;
         if (frontend == null) {
@@ -91,14 +91,14 @@
         }
     }
 
-    /** Takes no new connections from now on. */
+    /** Accepts no new connections from now on. */
     void startDraining() {
         if (frontend != null) {
             frontend.leaving();
         }
     }
 
-    /** Closes the frontend where it is open. */
+    /** Closes the frontend if it is open. */
     void close() {
         if (frontend != null) {
             frontend.close();
--- a/node/src/main/java/tulipshed/cli/ServeCommand.java
+++ b/node/src/main/java/tulipshed/cli/ServeCommand.java
@@ -24,12 +24,12 @@
     @Option(
             name = "--operators",
             metaVar = "FILE",
-            usage = "the operators' file: rules, pools, routes, the second front")
+            usage = "the operators' file: rules, pools, routes, the QUIC frontend")
     private File operators;
 
     @Override
     public String description() {
-        return "one real node, from the file that PROXY_CONFIG names, until it is told to stop";
+        return "one real node, from the file that PROXY_CONFIG names, until the process is stopped";
     }
 
     @Override
--- a/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
+++ b/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
@@ -9,7 +9,7 @@
  * <p>SIGKILL may follow SIGTERM by the longest deadline of the settings, of which at most {@link
  * ShutdownLimits#maxDeadlineMs} counts, and {@link ShutdownLimits#killAfterDeadlineMs}. All of it is over so long before
  * that a process which is held up once still ends in time; the time is not counted from any later event, and settings that
- * are reloaded meanwhile do not change it. A request that arrives in the last moment in which the front layer sends any keeps
+ * are reloaded meanwhile do not change it. A request that arrives in the last moment in which the load balancer in front of the node sends any keeps
  * its full deadline.
  *
  * @param acceptUntilMs until when new connections are accepted
--- a/node/src/main/java/tulipshed/transport/HotRestartFile.java
+++ b/node/src/main/java/tulipshed/transport/HotRestartFile.java
@@ -10,13 +10,12 @@
 
 /**
  * The file that the two processes of a node share, and the locks on its slots. The lock of slot {@code n} covers byte
- * {@code n} of the file. A process holds the lock of its slot as long as it lives, however it ends: that lock, and nothing
- * in the file, shows that the process is alive.
+ * {@code n} of the file. The kernel releases the lock of a process that ends, however it ends, so that the lock alone shows
+ * whether the process is alive.
  *
  * <p>The file is read and written at positions and not mapped. An access to a mapped page that the full directory cannot
  * back, or that was cut off, ends the whole process with SIGBUS; here the same is an {@link IOException}, and the node
- * serves on without it. The price is a system call for each change that is published; what it takes is in
- * {@code docs/system-calls.md}. Processes of versions that map the file see the same bytes, as the kernel keeps one copy.
+ * goes on without the file. Each published change takes a system call ({@code docs/system-calls.md}). Processes of versions that map the file see the same bytes, as both use the page cache.
  */
 final class HotRestartFile implements HotRestartStorage {
     private static final int LOCK_ATTEMPTS = 20;
--- a/node/src/main/java/tulipshed/transport/UdpSocket.java
+++ b/node/src/main/java/tulipshed/transport/UdpSocket.java
@@ -10,7 +10,7 @@
 
 /** One UDP socket. A datagram that cannot be sent at once is dropped. Confined to the event-loop thread. */
 public final class UdpSocket {
-    /** How long a socket is not read of which a whole batch of reads has failed. */
+    /** How long a socket is not read after all reads of a batch have failed. */
     private static final double FAILURE_PAUSE_MS = 5;
 
     private final EventLoop loop;
@@ -20,7 +20,7 @@
     private final Receiver receiver;
     private final Runnable onClosed;
     private final SocketAddressBuffer addresses = new SocketAddressBuffer();
-    private boolean closed;
+    private boolean isClosed;
 
     /** Takes the datagrams that a socket receives. */
     public interface Receiver {
@@ -49,7 +49,7 @@
     /** Reads a batch; the rest waits for the loop's next iteration, so that a flooded socket does not starve the others. */
     public void receiveBatch() {
         int failures = 0;
-        for (int i = 0; i < batchSize && !closed; i++) {
+        for (int i = 0; i < batchSize && !isClosed; i++) {
             scratch.clear();
             try {
                 // XNIO returns 0 both where nothing is there and for an empty datagram, which is of no use here.
@@ -74,7 +74,7 @@
     private void pauseReads() {
         channel.suspendReads();
         loop.schedule(FAILURE_PAUSE_MS, () -> {
-            if (!closed) {
+            if (!isClosed) {
                 channel.resumeReads();
             }
         });
@@ -87,7 +87,7 @@
      */
     public boolean send(InetSocketAddress to, byte[] datagram) {
         try {
-            return !closed && channel.sendTo(to, ByteBuffer.wrap(datagram));
+            return !isClosed && channel.sendTo(to, ByteBuffer.wrap(datagram));
         } catch (IOException e) {
             return false;
         }
@@ -100,8 +100,8 @@
 
     /** Closes the socket; does nothing where it is closed. */
     public void close() {
-        if (!closed) {
-            closed = true;
+        if (!isClosed) {
+            isClosed = true;
             onClosed.run();
             IoUtils.safeClose(channel);
         }
--- a/node/src/main/java/tulipshed/transport/XnioInternals.java
+++ b/node/src/main/java/tulipshed/transport/XnioInternals.java
@@ -18,13 +18,13 @@
 import org.xnio.channels.MulticastMessageChannel;
 
 /**
- * The members of XNIO that are not public and that {@link XnioListeningSocket} and {@link XnioEventLoop} need. XNIO itself
- * accepts on a thread of its own and, where that fails, pauses for 250 ms and more, with no option for either; it keeps the
- * descriptor of a UDP socket that it could not bind. Its public interface has no way to take over a socket that was opened
- * or accepted otherwise.
+ * Reflective access to constructors and methods of XNIO that are not public, for {@link XnioListeningSocket} and {@link
+ * XnioEventLoop}. They wrap channels that this program has opened or accepted itself, which XNIO's public interface does not
+ * offer: XNIO accepts on a thread of its own, pauses for at least 250 ms after a failed accept, and leaks the descriptor of a
+ * UDP socket that it cannot bind.
  *
- * <p>They are those of the version that the build pins; with a version that lacks them this class does not load, and no
- * listener opens.
+ * <p>The names are those of the XNIO version that the build pins. With a version that lacks them this class fails to
+ * initialize, and no listener opens.
  */
 final class XnioInternals {
     private static final String PACKAGE = "org.xnio.nio.";
@@ -38,10 +38,10 @@
     /** Creates a connection of a channel that is registered. */
     private static final Constructor<?> NEW_CONNECTION;
 
-    /** Creates a channel of datagrams. */
+    /** Creates a datagram channel. */
     private static final Constructor<?> NEW_UDP_CHANNEL;
 
-    /** Says that readiness is notified on the I/O threads, not on the accept thread. */
+    /** Readiness is notified on the I/O threads, not on the accept thread. */
     private static final boolean ON_IO_THREADS = false;
 
     static {
@@ -78,8 +78,8 @@
     /** A connection over a channel that is connected and non-blocking. */
     static StreamConnection newConnection(XnioIoThread thread, SocketChannel channel) throws IOException {
         Object key = call(() -> REGISTER_CHANNEL.invoke(thread, channel));
-        Object nobodyToNotify = null;
-        return (StreamConnection) call(() -> NEW_CONNECTION.newInstance(thread, key, nobodyToNotify));
+        Object noCloseListener = null;
+        return (StreamConnection) call(() -> NEW_CONNECTION.newInstance(thread, key, noCloseListener));
     }
 
     /** A channel over a socket that is bound and non-blocking. */
