--- a/node/src/main/java/tulipshed/cli/AttributeValues.java
+++ b/node/src/main/java/tulipshed/cli/AttributeValues.java
@@ -63,7 +63,7 @@
             String name = attribute.name();
             if (textByName.containsKey(name)) {
                 set(frame, attribute, textByName.get(name));
-            } else if (!attribute.optional() && expression.asks(name)) {
+            } else if (!attribute.optional() && expression.references(name)) {
                 throw new MalformedInputException(
                         "the expression asks for " + name + ": give it, --with " + name + "=...");
             }
--- a/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
+++ b/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
@@ -62,7 +62,7 @@
         if (!problems.none()) {
             return Optional.empty();
         }
-        Expression checked = new TypeChecker(schema, problems).any(forms.get(0));
+        Expression checked = new TypeChecker(schema, problems).infer(forms.get(0));
         if (checked != null && checked.type() == Type.ADDRESS) {
             problems.add(checked.place(), "an address can only be compared or looked for in networks");
         }
@@ -76,7 +76,7 @@
         frame.begin();
         values.setIn(frame, checked);
         System.out.println("type: " + checked.type());
-        System.out.println("value: " + value.boxed(frame));
+        System.out.println("value: " + value.boxedValue(frame));
         System.out.println("cost: " + frame.spent() + ", at most " + new CostModel().bound(checked));
     }
 }
--- a/node/src/main/java/tulipshed/expression/Attribute.java
+++ b/node/src/main/java/tulipshed/expression/Attribute.java
@@ -1,12 +1,12 @@
 package tulipshed.expression;
 
 /**
- * Something that expressions may ask of a transaction or a member.
+ * An attribute of a request or an endpoint that expressions may read.
  *
- * @param name what expressions call it
- * @param type what it is
- * @param optional whether one may lack it; an expression must then say what holds instead
- * @param longest of a string: characters at most, which whoever fills a {@link EvaluationFrame} must keep to
- * @param slot its place in a {@link EvaluationFrame}
+ * @param name its name in expressions
+ * @param type the type of its value
+ * @param optional whether it may be missing; an expression must then give a default
+ * @param longest the length at most, in characters, of a string, to which whoever fills an {@link EvaluationFrame} keeps
+ * @param slot its index in an {@link EvaluationFrame}
  */
 public record Attribute(String name, Type type, boolean optional, int longest, int slot) {}
--- a/node/src/main/java/tulipshed/expression/CharSequences.java
+++ b/node/src/main/java/tulipshed/expression/CharSequences.java
@@ -1,40 +1,39 @@
 package tulipshed.expression;
 
-/** Comparing and hashing of texts without making new ones. */
+/** Comparison and hashing of character sequences without allocation. */
 final class CharSequences {
     private CharSequences() {}
 
-    static boolean equal(CharSequence a, CharSequence b) {
-        if (a instanceof String left && b instanceof String right) {
+    static boolean equal(CharSequence first, CharSequence second) {
+        if (first instanceof String left && second instanceof String right) {
             return left.equals(right);
         }
-        return a.length() == b.length() && at(a, b, 0);
+        return first.length() == second.length() && regionMatches(first, 0, second);
     }
 
-    /** Whether {@code part} stands in {@code whole} at that place. */
-    static boolean at(CharSequence whole, CharSequence part, int from) {
-        if (from < 0 || from + part.length() > whole.length()) {
+    /** Whether {@code part} occurs in {@code text} at the offset; not where it would reach beyond either end. */
+    static boolean regionMatches(CharSequence text, int offset, CharSequence part) {
+        if (offset < 0 || offset + part.length() > text.length()) {
             return false;
         }
         for (int i = 0; i < part.length(); i++) {
-            if (whole.charAt(from + i) != part.charAt(i)) {
+            if (text.charAt(offset + i) != part.charAt(i)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** As {@link String#hashCode} has it. */
-    static int hash(CharSequence s) {
-        return s instanceof String ? s.hashCode() : hash(s, s.length());
+    /** Returns the hash that {@link String#hashCode} gives for the same characters. */
+    static int hash(CharSequence text) {
+        return text instanceof String ? text.hashCode() : hash(text, text.length());
     }
 
-    /** Of the first characters. */
-    static int hash(CharSequence s, int length) {
-        int h = 0;
+    private static int hash(CharSequence text, int length) {
+        int hash = 0;
         for (int i = 0; i < length; i++) {
-            h = 31 * h + s.charAt(i);
+            hash = 31 * hash + text.charAt(i);
         }
-        return h;
+        return hash;
     }
 }
--- a/node/src/main/java/tulipshed/expression/Expression.java
+++ b/node/src/main/java/tulipshed/expression/Expression.java
@@ -7,135 +7,123 @@
 import tulipshed.sexpr.SourcePosition;
 
 /**
- * A checked expression. Equal ones are one object ({@link ExpressionInterner} sees to that), so one that stands in many rules can be
- * worked out once for a transaction.
+ * A checked expression: a node of a directed acyclic graph in which equal expressions are one object
+ * ({@link ExpressionInterner}), so that a common subexpression is evaluated once.
  */
 public final class Expression {
-    private static final int LONGEST_SHOWN =
-            300; // characters after which the rest is left out: parts may be shared a lot
-
     final int id;
-    final Operator op;
+    final Operator operator;
     final Type type;
+
+    /** Whether the value may be missing. */
     final boolean optional;
-    final Object literal;
-    final List<Expression> args;
-    /** Of a string: characters at most. */
-    final int longest;
 
+    /** What the operator needs besides its arguments: a literal's value, an attribute, a set, a pattern; or null. */
+    final Object constant;
+
+    final List<Expression> arguments;
+
+    /** The length at most of a string, in characters. */
+    final int maxLength;
+
+    /** The number of levels. */
     final int depth;
+
     final SourcePosition place;
-    /** How many expressions and rules it stands in. */
-    int uses;
-
-    Expression(
-            int id,
-            Operator op,
-            Type type,
-            boolean optional,
-            Object literal,
-            List<Expression> args,
-            int longest,
-            SourcePosition place) {
+
+    /** How many expressions, rules and programs refer to it. */
+    int referenceCount;
+
+    /** What equal expressions have in common. */
+    record Structure(Operator operator, Type type, Object constant, List<Expression> arguments) {}
+
+    Expression(int id, Structure structure, int maxLength, SourcePosition place) {
         this.id = id;
-        this.op = op;
-        this.type = type;
-        this.optional = optional;
-        this.literal = literal;
-        this.args = args;
-        this.longest = longest;
+        this.operator = structure.operator();
+        this.type = structure.type();
+        this.constant = structure.constant();
+        this.arguments = structure.arguments();
+        this.maxLength = maxLength;
         this.place = place;
+        optional = operator == Operator.ATTRIBUTE && ((Attribute) constant).optional();
         int deepest = 0;
-        for (Expression a : args) {
-            deepest = Math.max(deepest, a.depth);
+        for (Expression argument : arguments) {
+            deepest = Math.max(deepest, argument.depth);
         }
-        this.depth = deepest + 1;
+        depth = deepest + 1;
     }
 
-    /** What it gives. */
+    /** Returns the type of the value. */
     public Type type() {
         return type;
     }
 
-    /** Whether it may be missing. */
+    /** Whether the value may be missing. */
     public boolean optional() {
         return optional;
     }
 
-    /** Of a string: characters at most. */
-    public int longest() {
-        return longest;
+    /** Returns the length at most of a string, in characters. */
+    public int maxLength() {
+        return maxLength;
     }
 
-    /** Where it was first written. */
+    /** Returns the source position of its first occurrence. */
     public SourcePosition place() {
         return place;
     }
 
-    /** Whether it asks for the attribute of that name. */
-    public boolean asks(String attribute) {
+    /** Whether it reads the attribute of that name. */
+    public boolean references(String attribute) {
         Set<Expression> seen = new HashSet<>();
         ArrayDeque<Expression> open = new ArrayDeque<>(List.of(this));
         while (!open.isEmpty()) {
-            Expression e = open.pop();
-            if ((e.op == Operator.ATTRIBUTE || e.op == Operator.PRESENT)
-                    && ((Attribute) e.literal).name().equals(attribute)) {
+            Expression expression = open.pop();
+            if (expression.isAttributeAccess()
+                    && ((Attribute) expression.constant).name().equals(attribute)) {
                 return true;
             }
-            e.args.stream().filter(seen::add).forEach(open::push);
+            expression.arguments.stream().filter(seen::add).forEach(open::push);
         }
         return false;
     }
 
+    Expression argument(int index) {
+        return arguments.get(index);
+    }
+
     boolean isLiteral() {
-        return op == Operator.LITERAL;
+        return operator == Operator.LITERAL;
     }
 
-    boolean is(Object value) {
-        return op == Operator.LITERAL && literal.equals(value);
+    boolean isLiteral(Object value) {
+        return isLiteral() && constant.equals(value);
     }
 
-    boolean unknown() {
+    boolean isUnknown() {
         return type == Type.UNKNOWN;
     }
 
-    /** Whether it is worked out at most once for a transaction and then remembered. */
-    boolean remembered() {
-        return uses > 1 && op != Operator.LITERAL && op != Operator.ATTRIBUTE && op != Operator.PRESENT;
+    static boolean anyUnknown(Expression... expressions) {
+        for (Expression expression : expressions) {
+            if (expression.isUnknown()) {
+                return true;
+            }
+        }
+        return false;
     }
 
-    @Override
-    public String toString() {
-        StringBuilder out = new StringBuilder();
-        write(out, 8);
-        return out.toString();
+    /** Whether it is evaluated at most once in a frame and read from a cache slot afterwards. */
+    boolean isCached() {
+        return referenceCount > 1 && !isLiteral() && !isAttributeAccess();
     }
 
-    private void write(StringBuilder out, int depthLeft) {
-        if (op == Operator.LITERAL) {
-            out.append(type == Type.STRING ? "\"" + literal + "\"" : String.valueOf(literal));
-        } else if (op == Operator.ATTRIBUTE) {
-            out.append(((Attribute) literal).name());
-        } else if (depthLeft == 0 || out.length() > LONGEST_SHOWN) {
-            out.append("...");
-        } else {
-            out.append('(').append(op.written);
-            if (op == Operator.PRESENT) {
-                out.append(' ').append(((Attribute) literal).name());
-            }
-            for (Expression a : args) {
-                if (out.length() > LONGEST_SHOWN) {
-                    out.append(" ...");
-                    break;
-                }
-                out.append(' ');
-                a.write(out, depthLeft - 1);
-            }
-            if (literal != null && op != Operator.PRESENT) {
-                String text = String.valueOf(literal);
-                out.append(' ').append(text.length() > 60 ? text.substring(0, 57) + "..." : text);
-            }
-            out.append(')');
-        }
+    private boolean isAttributeAccess() {
+        return operator == Operator.ATTRIBUTE || operator == Operator.PRESENT;
+    }
+
+    @Override
+    public String toString() {
+        return ExpressionFormatter.format(this);
     }
 }
--- a/node/src/main/java/tulipshed/expression/ExpressionInterner.java
+++ b/node/src/main/java/tulipshed/expression/ExpressionInterner.java
@@ -6,135 +6,136 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import tulipshed.expression.Expression.Structure;
 import tulipshed.sexpr.SourcePosition;
 
-/** Makes checked expressions: equal ones once, and those that need no transaction worked out at once. */
+/** Makes checked expressions: simplified, with constants folded, and equal ones only once (hash consing). */
 public final class ExpressionInterner {
-    private final Map<Key, Expression> made = new HashMap<>();
-
-    private record Key(Operator op, Type type, Object literal, List<Expression> args) {}
+    private final Map<Structure, Expression> interned = new HashMap<>();
 
     ExpressionInterner() {}
 
-    /** What stands for an expression in which something is wrong. */
+    /** Returns how many different expressions there are. */
+    int size() {
+        return interned.size();
+    }
+
+    /** Returns the placeholder of an expression in which an error has been reported. */
     Expression unknown(SourcePosition place) {
-        return new Expression(-1, Operator.LITERAL, Type.UNKNOWN, false, "", List.of(), 0, place);
+        return new Expression(-1, new Structure(Operator.LITERAL, Type.UNKNOWN, "", List.of()), 0, place);
     }
 
+    /** Returns a literal: a Boolean, Long, Double or String. */
     Expression literal(Object value, SourcePosition place) {
-        Type type = value instanceof Boolean
-                ? Type.BOOLEAN
-                : value instanceof Long ? Type.INTEGER : value instanceof Double ? Type.DECIMAL : Type.STRING;
-        Object kept = value instanceof Double d ? (Object) (d + 0.0) : value; // there is one 0.0
-        return intern(
-                Operator.LITERAL, type, false, kept, List.of(), value instanceof String s ? s.length() : 0, place);
+        if (value instanceof String string) {
+            return intern(literalOf(Type.STRING, string), string.length(), place);
+        }
+        if (value instanceof Double decimal) {
+            // Adding 0.0 turns -0.0 into 0.0, which it is equal to.
+            return intern(literalOf(Type.DECIMAL, decimal + 0.0), 0, place);
+        }
+        return intern(literalOf(value instanceof Boolean ? Type.BOOLEAN : Type.INTEGER, value), 0, place);
     }
 
-    Expression attribute(Attribute a, SourcePosition place) {
-        return intern(Operator.ATTRIBUTE, a.type(), a.optional(), a, List.of(), a.longest(), place);
+    Expression attribute(Attribute attribute, SourcePosition place) {
+        Structure structure = new Structure(Operator.ATTRIBUTE, attribute.type(), attribute, List.of());
+        return intern(structure, attribute.longest(), place);
     }
 
-    Expression present(Attribute a, SourcePosition place) {
-        return intern(Operator.PRESENT, Type.BOOLEAN, false, a, List.of(), 0, place);
+    /** Returns the expression that tells whether an attribute has a value. */
+    Expression present(Attribute attribute, SourcePosition place) {
+        return intern(new Structure(Operator.PRESENT, Type.BOOLEAN, attribute, List.of()), 0, place);
     }
 
-    Expression make(Operator op, Type type, SourcePosition place, Expression... args) {
-        return make(op, type, null, 0, place, args);
+    /** Returns an operation that is defined by its arguments alone and gives no string. */
+    Expression make(Operator operator, Type type, SourcePosition place, Expression... arguments) {
+        return make(operator, type, null, 0, place, arguments);
     }
 
-    /** One with something beside its parts: a set, a pattern, a count; and how long a string it may give. */
-    Expression make(Operator op, Type type, Object literal, int longest, SourcePosition place, Expression... args) {
-        List<Expression> parts = Arrays.asList(args);
-        Expression simpler = simpler(op, parts, place);
-        if (simpler != null) {
-            return simpler;
+    /**
+     * Returns an operation, simplified.
+     *
+     * @param constant what the operator needs besides its arguments, or null
+     * @param maxLength the length at most of the string that it gives, in characters; 0 for other types
+     */
+    Expression make(
+            Operator operator,
+            Type type,
+            Object constant,
+            int maxLength,
+            SourcePosition place,
+            Expression... arguments) {
+        List<Expression> operands = Arrays.asList(arguments);
+        Expression simplified = simplify(operator, operands, place);
+        if (simplified != null) {
+            return simplified;
         }
-        boolean constants =
-                op != Operator.DEFAULT && !parts.isEmpty() && parts.stream().allMatch(Expression::isLiteral);
-        if (constants) {
-            Expression whole = new Expression(-1, op, type, false, literal, parts, longest, place);
-            return literal(value(whole), place);
+        if (operator != Operator.DEFAULT
+                && !operands.isEmpty()
+                && operands.stream().allMatch(Expression::isLiteral)) {
+            return literal(ConstantFolder.evaluate(operator, type, constant, operands, maxLength), place);
         }
-        return intern(op, type, false, literal, parts, longest, place);
+        return intern(new Structure(operator, type, constant, List.copyOf(operands)), maxLength, place);
     }
 
-    /** What an expression without attributes gives. */
-    private Object value(Expression e) {
-        Program.Builder builder = new Program.Builder(new Schema());
-        EvaluationNode node = builder.node(e);
-        EvaluationFrame constant = builder.build().frame();
-        constant.begin();
-        return switch (e.type) {
-            case BOOLEAN -> node.booleanValue(constant);
-            case INTEGER -> node.integerValue(constant);
-            case DECIMAL -> node.decimalValue(constant);
-            default -> node.stringValue(constant).toString();
-        };
+    private static Structure literalOf(Type type, Object value) {
+        return new Structure(Operator.LITERAL, type, value, List.of());
     }
 
-    private Expression simpler(Operator op, List<Expression> args, SourcePosition place) {
-        switch (op) {
-            case AND, OR -> {
-                return join(op, args, place);
-            }
-            case IF -> {
-                Expression test = args.get(0);
-                return test.is(true) || args.get(1) == args.get(2) ? args.get(1) : test.is(false) ? args.get(2) : null;
-            }
-            case NOT -> {
-                Expression a = args.get(0);
-                return a.op == Operator.NOT ? a.args.get(0) : null;
-            }
-            default -> {
-                return null;
-            }
+    /** Returns an equal expression that is simpler, or null. */
+    private Expression simplify(Operator operator, List<Expression> operands, SourcePosition place) {
+        if (operator == Operator.AND || operator == Operator.OR) {
+            return simplifyJunction(operator, operands, place);
         }
+        if (operator == Operator.IF) {
+            return simplifyIf(operands.get(0), operands.get(1), operands.get(2));
+        }
+        if (operator == Operator.NOT) {
+            Expression operand = operands.get(0);
+            return operand.operator == Operator.NOT ? operand.argument(0) : null;
+        }
+        return null;
+    }
+
+    private static Expression simplifyIf(Expression condition, Expression thenValue, Expression elseValue) {
+        if (condition.isLiteral(true) || thenValue == elseValue) {
+            return thenValue;
+        }
+        return condition.isLiteral(false) ? elseValue : null;
     }
 
-    /** All of, or one of: nested ones in one, repeated ones once, literals left out. */
-    private Expression join(Operator op, List<Expression> args, SourcePosition place) {
-        boolean ends = op == Operator.OR;
+    /** Flattens nested junctions, drops duplicates and neutral literals, and stops at a literal that decides. */
+    private Expression simplifyJunction(Operator operator, List<Expression> operands, SourcePosition place) {
+        boolean decidingValue = operator == Operator.OR;
         Set<Expression> distinct = new LinkedHashSet<>();
-        for (Expression a : args) {
-            for (Expression part : a.op == op ? a.args : List.of(a)) {
-                if (part.is(ends)) {
-                    return literal(ends, place);
+        for (Expression operand : operands) {
+            for (Expression part : operand.operator == operator ? operand.arguments : List.of(operand)) {
+                if (part.isLiteral(decidingValue)) {
+                    return literal(decidingValue, place);
                 }
-                if (!part.is(!ends)) {
+                if (!part.isLiteral(!decidingValue)) {
                     distinct.add(part);
                 }
             }
         }
         List<Expression> parts = List.copyOf(distinct);
-        return parts.isEmpty()
-                ? literal(!ends, place)
-                : parts.size() == 1
-                        ? parts.get(0)
-                        : intern(op, Type.BOOLEAN, false, null, List.copyOf(parts), 0, place);
+        return switch (parts.size()) {
+            case 0 -> literal(!decidingValue, place);
+            case 1 -> parts.get(0);
+            default -> intern(new Structure(operator, Type.BOOLEAN, null, parts), 0, place);
+        };
     }
 
-    private Expression intern(
-            Operator op,
-            Type type,
-            boolean optional,
-            Object literal,
-            List<Expression> args,
-            int longest,
-            SourcePosition place) {
-        Key key = new Key(op, type, literal, List.copyOf(args));
-        Expression known = made.get(key);
-        if (known == null) {
-            known = new Expression(made.size(), op, type, optional, literal, key.args(), longest, place);
-            made.put(key, known);
-            for (Expression a : args) {
-                a.uses++;
-            }
+    private Expression intern(Structure structure, int maxLength, SourcePosition place) {
+        Expression known = interned.get(structure);
+        if (known != null) {
+            return known;
         }
-        return known;
-    }
-
-    /** How many different expressions there are. */
-    int size() {
-        return made.size();
+        Expression added = new Expression(interned.size(), structure, maxLength, place);
+        interned.put(structure, added);
+        for (Expression argument : structure.arguments()) {
+            argument.referenceCount++;
+        }
+        return added;
     }
 }
--- a/node/src/main/java/tulipshed/expression/LiteralSet.java
+++ b/node/src/main/java/tulipshed/expression/LiteralSet.java
@@ -2,60 +2,70 @@
 
 import java.util.List;
 
-/** Literals of one type among which a value may be; looked up, not gone through. */
+/** A set of distinct literals of one type, with membership by hash lookup. */
 final class LiteralSet {
     final Type type;
+
+    /** Strings, Longs, Doubles or Booleans, by the type. */
     final List<Object> values;
-    private StringToIntMap texts;
-    private LongToIntMap wholes;
 
-    /** Of values that are all different: strings, Longs, Doubles or Booleans. */
+    private StringToIntMap strings;
+    private LongToIntMap numbers;
+
     LiteralSet(Type type, List<Object> values) {
         this.type = type;
         this.values = List.copyOf(values);
     }
 
-    private void fill() {
-        StringToIntMap t = new StringToIntMap();
-        LongToIntMap w = new LongToIntMap();
-        for (Object v : values) {
-            if (v instanceof String s) {
-                t.put(s, 0);
-            } else {
-                w.put(bits(v), 0);
-            }
+    /** Encodes a literal that is no string, so that literals of one type are equal exactly if their encodings are. */
+    static long encode(Object literal) {
+        if (literal instanceof Long integer) {
+            return integer;
+        }
+        if (literal instanceof Double decimal) {
+            return encode(decimal.doubleValue());
         }
-        texts = t;
-        wholes = w;
+        return Boolean.TRUE.equals(literal) ? 1 : 0;
     }
 
-    /** A number for each value that is another for values that are not equal. */
-    static long bits(Object v) {
-        return v instanceof Long l ? l : v instanceof Double d ? bits(d.doubleValue()) : Boolean.TRUE.equals(v) ? 1 : 0;
+    static long encode(double decimal) {
+        // Adding 0.0 turns -0.0 into 0.0, which it is equal to.
+        return Double.doubleToLongBits(decimal + 0.0);
     }
 
-    static long bits(double d) {
-        // 0.0 and -0.0 are equal.
-        return Double.doubleToLongBits(d + 0.0);
+    boolean contains(CharSequence string) {
+        if (strings == null) {
+            fill();
+        }
+        return strings.get(string) >= 0;
     }
 
-    boolean has(CharSequence s) {
-        if (texts == null) {
+    /** Whether a literal with this encoding is in the set. */
+    boolean contains(long encoded) {
+        if (numbers == null) {
             fill();
         }
-        return texts.get(s) >= 0;
+        return numbers.get(encoded) >= 0;
     }
 
-    boolean has(long v) {
-        if (wholes == null) {
-            fill();
+    /** Fills the tables at the first lookup: sets that a rule table indexes are never looked up. */
+    private void fill() {
+        StringToIntMap newStrings = new StringToIntMap();
+        LongToIntMap newNumbers = new LongToIntMap();
+        for (Object value : values) {
+            if (value instanceof String string) {
+                newStrings.put(string, 0);
+            } else {
+                newNumbers.put(encode(value), 0);
+            }
         }
-        return wholes.get(v) >= 0;
+        strings = newStrings;
+        numbers = newNumbers;
     }
 
     @Override
-    public boolean equals(Object o) {
-        return o instanceof LiteralSet s && s.type == type && s.values.equals(values);
+    public boolean equals(Object other) {
+        return other instanceof LiteralSet set && set.type == type && set.values.equals(values);
     }
 
     @Override
--- a/node/src/main/java/tulipshed/expression/ReusableStringBuffer.java
+++ b/node/src/main/java/tulipshed/expression/ReusableStringBuffer.java
@@ -1,12 +1,14 @@
 package tulipshed.expression;
 
-/** A text that is made anew in the same room for each transaction. */
+/** A character buffer of fixed capacity that is written anew for each evaluation, without allocation. */
 final class ReusableStringBuffer implements CharSequence {
+    private static final String MIN_INTEGER = String.valueOf(Long.MIN_VALUE);
+
     private final char[] chars;
     private int length;
 
-    ReusableStringBuffer(int longest) {
-        chars = new char[longest];
+    ReusableStringBuffer(int capacity) {
+        chars = new char[capacity];
     }
 
     ReusableStringBuffer clear() {
@@ -14,37 +16,37 @@
         return this;
     }
 
-    void append(char c) {
-        chars[length++] = c;
+    void append(char character) {
+        chars[length++] = character;
     }
 
-    void append(CharSequence s, int from, int to) {
-        if (s instanceof String string) {
+    void append(CharSequence text, int from, int to) {
+        if (text instanceof String string) {
             string.getChars(from, to, chars, length);
             length += to - from;
         } else {
             for (int i = from; i < to; i++) {
-                chars[length++] = s.charAt(i);
+                chars[length++] = text.charAt(i);
             }
         }
     }
 
-    /** Writes a whole number in figures. */
+    /** Appends an integer in decimal digits. */
     void append(long value) {
         if (value == Long.MIN_VALUE) {
-            append(String.valueOf(value), 0, 20);
+            append(MIN_INTEGER, 0, MIN_INTEGER.length());
             return;
         }
         if (value < 0) {
             append('-');
         }
-        long left = Math.abs(value);
+        long magnitude = Math.abs(value);
         long unit = 1;
-        while (left / unit >= 10) {
+        while (magnitude / unit >= 10) {
             unit *= 10;
         }
         for (; unit > 0; unit /= 10) {
-            append((char) ('0' + left / unit % 10));
+            append((char) ('0' + magnitude / unit % 10));
         }
     }
 
--- a/node/src/main/java/tulipshed/expression/Schema.java
+++ b/node/src/main/java/tulipshed/expression/Schema.java
@@ -7,30 +7,30 @@
 import java.util.List;
 import java.util.Map;
 
-/** The attributes that an expression may use, by name. Filled before the first expression is read. */
+/** The attributes that expressions may read, by name. Filled before the first expression is checked. */
 public final class Schema {
     private final Map<String, Attribute> byName = new LinkedHashMap<>();
 
-    /** Adds one; for strings {@code longest} bounds the characters, for others it means nothing. */
+    /** Adds an attribute; {@code longest} bounds the characters of a string and means nothing for other types. */
     public Attribute add(String name, Type type, boolean optional, int longest) {
-        Attribute a = new Attribute(name, type, optional, longest, byName.size());
-        if (byName.putIfAbsent(name, a) != null) {
+        Attribute attribute = new Attribute(name, type, optional, longest, byName.size());
+        if (byName.putIfAbsent(name, attribute) != null) {
             throw new IllegalArgumentException(name + " stands twice");
         }
-        return a;
+        return attribute;
     }
 
-    /** The attribute of that name, or null. */
+    /** Returns the attribute of that name, or null. */
     public Attribute get(String name) {
         return byName.get(name);
     }
 
-    /** All names, in the order added. */
+    /** Returns all names, in the order added. */
     public Collection<String> names() {
         return Collections.unmodifiableSet(byName.keySet());
     }
 
-    /** All attributes, in the order added. */
+    /** Returns all attributes, in the order added. */
     public List<Attribute> all() {
         return new ArrayList<>(byName.values());
     }
--- a/node/src/main/java/tulipshed/expression/StringFunctions.java
+++ b/node/src/main/java/tulipshed/expression/StringFunctions.java
@@ -1,113 +1,94 @@
 package tulipshed.expression;
 
 import java.util.List;
-import tulipshed.sexpr.Form;
 
-/** Checks the use of the functions over strings: their parts, what is made of them, patterns and shares. */
+/** String functions. */
 final class StringFunctions {
-    private static final int LONGEST_PATTERN = 512; // characters
-    private static final int LARGEST_PATTERN = 2_000; // instructions
-    private static final int MOST_SHARES = 1_000_000;
+    private static final Operator SUFFIX = new Operator(
+            "suffix",
+            Operator.CostFunction::shorterString,
+            (expression, operands, layout) -> new StringNodes.StartsOrEndsWith(false, operands[0], operands[1]));
+    private static final Operator CONTAINS = new Operator(
+            "contains",
+            StringFunctions::containsCost,
+            (expression, operands, layout) -> new StringNodes.Contains(operands[0], operands[1]));
+    private static final Operator SUBSTRING = new Operator(
+            "substring",
+            Operator.CostFunction::result,
+            (expression, operands, layout) -> new StringNodes.Substring(
+                    operands[0], operands[1], operands[2], layout.addBuffer(expression.maxLength)));
+    private static final Operator CONCAT = new Operator(
+            "concat",
+            Operator.CostFunction::result,
+            (expression, operands, layout) -> new StringNodes.Concat(operands, layout.addBuffer(expression.maxLength)));
+    private static final Operator LOWER = new Operator(
+            "lower",
+            Operator.CostFunction::result,
+            (expression, operands, layout) ->
+                    new StringNodes.LowerCase(operands[0], layout.addBuffer(expression.maxLength)));
+    private static final Operator LENGTH = new Operator(
+            "length",
+            Operator.CostFunction.NONE,
+            (expression, operands, layout) -> new StringNodes.Length(operands[0]));
 
-    private final Functions functions;
-    private final TypeChecker checker;
-    private final ExpressionInterner terms;
+    static final List<BuiltinFunction> ENTRIES = List.of(
+            BuiltinFunction.binary("(prefix STRING STRING)", Type.STRING, Type.BOOLEAN, Operator.PREFIX),
+            BuiltinFunction.binary("(suffix STRING STRING)", Type.STRING, Type.BOOLEAN, SUFFIX),
+            BuiltinFunction.binary("(contains STRING STRING)", Type.STRING, Type.BOOLEAN, CONTAINS),
+            BuiltinFunction.of("(substring STRING FROM TO)", StringFunctions::substring),
+            BuiltinFunction.of("(concat STRING STRING ...)", StringFunctions::concat),
+            BuiltinFunction.of("(lower STRING)", StringFunctions::lower),
+            BuiltinFunction.unary("(length STRING)", Type.STRING, Type.INTEGER, LENGTH));
 
-    StringFunctions(Functions functions, TypeChecker checker, ExpressionInterner terms) {
-        this.functions = functions;
-        this.checker = checker;
-        this.terms = terms;
-    }
+    private StringFunctions() {}
 
-    Expression part(Form.Sequence s, Operator op, List<Form> args) {
-        if (args.size() != 2) {
-            return functions.shape(s);
-        }
-        Expression a = functions.typed(args.get(0), Type.STRING);
-        Expression b = functions.typed(args.get(1), Type.STRING);
-        return Functions.unknown(a, b) ? terms.unknown(s.place()) : terms.make(op, Type.BOOLEAN, s.place(), a, b);
+    private static long containsCost(Expression contains) {
+        return CostModel.units((long) contains.argument(0).maxLength * contains.argument(1).maxLength);
     }
 
-    Expression substring(Form.Sequence s, List<Form> args) {
-        if (args.size() != 3) {
-            return functions.shape(s);
+    private static Expression substring(FunctionCall call) {
+        if (call.size() != 3) {
+            return call.syntaxError();
         }
-        Expression a = functions.typed(args.get(0), Type.STRING);
-        Expression from = functions.typed(args.get(1), Type.INTEGER);
-        Expression to = functions.typed(args.get(2), Type.INTEGER);
-        if (Functions.unknown(a, from, to)) {
-            return terms.unknown(s.place());
+        Expression string = call.typed(0, Type.STRING);
+        Expression from = call.typed(1, Type.INTEGER);
+        Expression to = call.typed(2, Type.INTEGER);
+        if (Expression.anyUnknown(string, from, to)) {
+            return call.unknown();
         }
-        long first = from.isLiteral() ? Math.max(0, Math.min(a.longest, (Long) from.literal)) : 0;
-        long last = to.isLiteral() ? Math.max(first, Math.min(a.longest, (Long) to.literal)) : a.longest;
-        return terms.make(Operator.SUBSTRING, Type.STRING, null, (int) (last - first), s.place(), a, from, to);
+        long start = from.isLiteral() ? clamp((Long) from.constant, 0, string.maxLength) : 0;
+        long end = to.isLiteral() ? clamp((Long) to.constant, start, string.maxLength) : string.maxLength;
+        return call.makeString(SUBSTRING, (int) (end - start), string, from, to);
     }
 
-    Expression concat(Form.Sequence s, List<Form> args) {
-        if (args.size() < 2) {
-            return functions.shape(s);
-        }
-        Expression[] parts =
-                args.stream().map(f -> functions.typed(f, Type.STRING)).toArray(Expression[]::new);
-        if (Functions.unknown(parts)) {
-            return terms.unknown(s.place());
-        }
-        long longest = 0;
-        for (Expression p : parts) {
-            longest += p.longest;
-        }
-        return longest > CostModel.LONGEST_TEXT
-                ? checker.wrong(
-                        s.place(),
-                        "this may grow to " + longest + " characters; at most " + CostModel.LONGEST_TEXT
-                                + " are allowed: shorten a part with substring, or declare shorter attributes")
-                : terms.make(Operator.CONCAT, Type.STRING, null, (int) longest, s.place(), parts);
+    private static long clamp(long value, long min, long max) {
+        return Math.max(min, Math.min(max, value));
     }
 
-    Expression matches(Form.Sequence s, List<Form> args) {
-        if (args.size() != 2) {
-            return functions.shape(s);
+    private static Expression concat(FunctionCall call) {
+        if (call.size() < 2) {
+            return call.syntaxError();
         }
-        Expression a = functions.typed(args.get(0), Type.STRING);
-        if (!(args.get(1) instanceof Form.Text text)) {
-            return checker.wrong(
-                    args.get(1).place(),
-                    "expected a regular expression as it is, found "
-                            + args.get(1).describe());
+        Expression[] strings = call.allTyped(Type.STRING);
+        if (Expression.anyUnknown(strings)) {
+            return call.unknown();
         }
-        if (text.value().length() > LONGEST_PATTERN) {
-            return checker.wrong(text.place(), "a regular expression of more than " + LONGEST_PATTERN + " characters");
+        long maxLength = 0;
+        for (Expression string : strings) {
+            maxLength += string.maxLength;
         }
-        if (text.value().contains("\\Q") || PatternSize.of(text.value()) > 4 * LARGEST_PATTERN) {
-            return checker.wrong(
-                    text.place(),
-                    "this regular expression is too large once its repeats are written out, or " + "holds \\Q");
+        if (maxLength > CostModel.MAX_STRING_LENGTH) {
+            return call.error("this may grow to " + maxLength + " characters; at most " + CostModel.MAX_STRING_LENGTH
+                    + " are allowed: shorten a part with substring, or declare shorter attributes");
         }
-        Matching m = checker.matching(text);
-        if (m == null || a.unknown()) {
-            return terms.unknown(s.place());
-        }
-        if (m.size() > LARGEST_PATTERN) {
-            return checker.wrong(
-                    text.place(),
-                    "this regular expression has " + m.size() + " instructions; at most " + LARGEST_PATTERN
-                            + " are allowed");
-        }
-        return terms.make(Operator.MATCHES, Type.BOOLEAN, m, 0, s.place(), a);
+        return call.makeString(CONCAT, (int) maxLength, strings);
     }
 
-    Expression bucket(Form.Sequence s, List<Form> args) {
-        if (args.size() != 2) {
-            return functions.shape(s);
-        }
-        Expression a = functions.typed(args.get(0), Type.STRING);
-        Expression shares = functions.typed(args.get(1), Type.INTEGER);
-        if (Functions.unknown(a, shares)) {
-            return terms.unknown(s.place());
-        }
-        if (!shares.isLiteral() || (Long) shares.literal < 1 || (Long) shares.literal > MOST_SHARES) {
-            return checker.wrong(args.get(1).place(), "expected a number of shares from 1 to " + MOST_SHARES);
+    private static Expression lower(FunctionCall call) {
+        if (call.size() != 1) {
+            return call.syntaxError();
         }
-        return terms.make(Operator.BUCKET, Type.INTEGER, (int) (long) (Long) shares.literal, 0, s.place(), a);
+        Expression string = call.typed(0, Type.STRING);
+        return string.isUnknown() ? string : call.makeString(LOWER, string.maxLength, string);
     }
 }
--- a/node/src/main/java/tulipshed/expression/Type.java
+++ b/node/src/main/java/tulipshed/expression/Type.java
@@ -1,31 +1,38 @@
 package tulipshed.expression;
 
-/** What an expression can be. Whether it may be missing is told beside its type. */
+import java.util.Locale;
+
+/** The type of an expression's value. Whether the value may be missing is not part of it. */
 public enum Type {
     BOOLEAN,
     INTEGER,
     DECIMAL,
     STRING,
     ADDRESS,
-    /** Of an expression in which something wrong has been found already. */
+    /** The type of an expression in which an error has been reported. */
     UNKNOWN;
 
-    @Override
-    public String toString() {
-        return name().toLowerCase(java.util.Locale.ROOT);
-    }
-
-    /** The type of that name, or null. */
+    /** Returns the type of that name in the language, or null. */
     public static Type named(String name) {
-        for (Type t : values()) {
-            if (t != UNKNOWN && t.toString().equals(name)) {
-                return t;
+        for (Type type : values()) {
+            if (type != UNKNOWN && type.toString().equals(name)) {
+                return type;
             }
         }
         return null;
     }
 
-    boolean number() {
+    boolean isNumeric() {
         return this == INTEGER || this == DECIMAL;
     }
+
+    /** Returns the name with its indefinite article, for diagnostics. */
+    String withArticle() {
+        return (this == INTEGER || this == ADDRESS ? "an " : "a ") + this;
+    }
+
+    @Override
+    public String toString() {
+        return name().toLowerCase(Locale.ROOT);
+    }
 }
--- a/node/src/main/java/tulipshed/expression/TypeChecker.java
+++ b/node/src/main/java/tulipshed/expression/TypeChecker.java
@@ -1,11 +1,7 @@
 package tulipshed.expression;
 
-import com.google.re2j.Pattern;
-import com.google.re2j.PatternSyntaxException;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -17,328 +13,282 @@
 import tulipshed.sexpr.SourcePosition;
 
 /**
- * Turns forms into checked expressions. Everything that is wrong is noted with its place, and checking goes on with the
- * rest, so that a file's faults are told together.
+ * Infers the types of forms and makes checked expressions of them. Every error is reported with its position, and
+ * checking goes on, so that all errors of a file are reported together.
  */
 public final class TypeChecker {
-    private static final int DEEPEST = 250; // calls of check within each other: what a stack of 512 KB bears many times
-    private static final int MOST_TERMS = 120_000; // different expressions; a file that makes more is refused
-    private static final int MOST_CALLS = 2_000_000; // of defines with parameters, all in all
+    /** Limits the recursion, so that it fits a stack of 512 KB many times. */
+    private static final int MAX_DEPTH = 250;
 
-    private final Schema schema;
-    private Diagnostics problems;
-    private final ExpressionInterner terms;
-    private final Map<String, Define> defines = new LinkedHashMap<>();
-    private final Map<Call, Expression> calls = new HashMap<>();
-    private final Set<String> opened = new LinkedHashSet<>();
-    private final ArrayDeque<Map<String, Expression>> scopes = new ArrayDeque<>();
-    private final Functions functions;
-    private int depth;
-    private int work;
+    /** Limits the memory of one file. */
+    private static final int MAX_EXPRESSIONS = 120_000;
 
-    /** A name for an expression, or for one with parameters. */
-    private record Define(String name, List<String> parameters, Form body, SourcePosition place) {}
+    /** Limits the time that the definitions of one file take. */
+    private static final int MAX_EXPANSIONS = 2_000_000;
 
-    private record Call(String name, List<Expression> args) {}
+    private static final String TRUE = "true";
+    private static final String FALSE = "false";
 
-    /** A checker of expressions over a schema; {@code terms} is shared by those that are compiled together. */
-    public TypeChecker(Schema schema, Diagnostics problems) {
+    private final Schema schema;
+    private final ExpressionInterner interner = new ExpressionInterner();
+    private final Map<String, Definition> definitions = new LinkedHashMap<>();
+    private final LexicalScopes scopes = new LexicalScopes();
+    private final DefinitionExpander expander = new DefinitionExpander(this);
+    private Diagnostics diagnostics;
+    private int depth;
+
+    /** Creates a checker of expressions over the attributes of a schema. */
+    public TypeChecker(Schema schema, Diagnostics diagnostics) {
         this.schema = schema;
-        this.problems = problems;
-        this.terms = new ExpressionInterner();
-        this.functions = new Functions(this, terms);
+        this.diagnostics = diagnostics;
     }
 
-    /** Shared by all expressions that this made. */
-    public ExpressionInterner terms() {
-        return terms;
+    /** Returns the interner of all expressions that this checker makes. */
+    public ExpressionInterner interner() {
+        return interner;
     }
 
-    /** Takes {@code (define NAME EXPR)} or {@code (define (NAME PARAMETER ...) EXPR)}; defines may stand in any order. */
+    /**
+     * Adds a definition, {@code (define NAME EXPRESSION)} or {@code (define (NAME PARAMETER ...) EXPRESSION)}.
+     * Definitions may use each other in any order.
+     */
     public void define(Form.Sequence form) {
-        if (form.items().size() != 3) {
-            problems.add(form.place(), "expected (define NAME EXPRESSION) or (define (NAME PARAMETER ...) EXPRESSION)");
+        Definition definition = Definition.read(form, diagnostics);
+        if (definition == null) {
             return;
         }
-        Form what = form.items().get(1);
-        List<String> names = new ArrayList<>();
-        for (Form f : what instanceof Form.Sequence s && !s.square() ? s.items() : List.of(what)) {
-            if (!(f instanceof Form.Word w) || names.contains(w.name())) {
-                problems.add(f.place(), "expected a name of its own, found " + f.describe());
-                return;
-            }
-            names.add(w.name());
-        }
-        if (names.isEmpty()) {
-            problems.add(what.place(), "expected a name, found ()");
-            return;
-        }
-        String name = names.get(0);
-        boolean parameters = what instanceof Form.Sequence;
-        Define d = new Define(
-                name,
-                parameters ? names.subList(1, names.size()) : null,
-                form.items().get(2),
-                what.place());
-        if (Builtins.form(name) != null || schema.get(name) != null || isTruth(name) || name.equals("else")) {
-            problems.add(what.place(), name + " has a meaning already");
-        } else if (defines.putIfAbsent(name, d) != null) {
-            problems.add(
-                    what.place(),
-                    name + " is defined already at " + defines.get(name).place());
+        String name = definition.name();
+        if (isReserved(name)) {
+            diagnostics.add(definition.place(), name + " has a meaning already");
+        } else if (definitions.putIfAbsent(name, definition) != null) {
+            diagnostics.add(
+                    definition.place(),
+                    name + " is defined already at " + definitions.get(name).place());
         }
     }
 
-    /** What is wrong with one define, used or not; one with parameters is checked where it is used. */
-    public Diagnostics faultsOf(String name) {
-        Diagnostics outer = problems;
-        Diagnostics own = new Diagnostics("");
-        Define d = defines.get(name);
-        problems = own;
+    /** Returns the names that are defined. */
+    public Collection<String> definitionNames() {
+        return List.copyOf(definitions.keySet());
+    }
+
+    /** Returns the errors of a definition, used or not; one with parameters is checked where it is used. */
+    public Diagnostics checkDefinition(String name) {
+        Diagnostics outer = diagnostics;
+        Diagnostics ofDefinition = new Diagnostics("");
+        Definition definition = definitions.get(name);
+        diagnostics = ofDefinition;
         try {
-            if (d != null && d.parameters() == null) {
-                call(d, List.of(), d.place());
+            if (definition != null && !definition.isFunction()) {
+                expander.expand(definition, List.of(), definition.place());
             }
         } finally {
-            problems = outer;
+            diagnostics = outer;
         }
-        return own;
-    }
-
-    /** The names defined. */
-    public Collection<String> defined() {
-        return List.copyOf(defines.keySet());
+        return ofDefinition;
     }
 
-    /** An expression that must be of that type and never missing; null where something is wrong. */
-    public Expression expect(Form form, Type type) {
-        int before = problems.count();
-        Expression e = convert(present(check(form)), type);
-        if (!e.unknown() && e.type != type) {
-            problems.add(form.place(), "expected " + article(type) + ", found " + article(e.type) + ": " + e);
+    /** Returns an expression that must be of that type and never missing; null, with errors reported, otherwise. */
+    public Expression check(Form form, Type type) {
+        int errorsBefore = diagnostics.count();
+        Expression expression = convert(inferRequired(form), type);
+        if (!expression.isUnknown() && expression.type != type) {
+            diagnostics.add(
+                    form.place(),
+                    "expected " + type.withArticle() + ", found " + expression.type.withArticle() + ": " + expression);
         }
-        return problems.count() > before || e.unknown() ? null : e;
+        return diagnostics.count() > errorsBefore || expression.isUnknown() ? null : expression;
     }
 
-    /** An expression of whatever type; null where something is wrong. */
-    public Expression any(Form form) {
-        int before = problems.count();
-        Expression e = present(check(form));
-        return problems.count() > before || e.unknown() ? null : e;
+    /** Returns an expression of any type that is never missing; null, with errors reported, otherwise. */
+    public Expression infer(Form form) {
+        int errorsBefore = diagnostics.count();
+        Expression expression = inferRequired(form);
+        return diagnostics.count() > errorsBefore || expression.isUnknown() ? null : expression;
     }
 
-    // ---- What Functions asks ----
-
-    Expression check(Form form) {
-        if (depth >= DEEPEST) {
-            return wrong(form.place(), "expressions, with the defines they use, more than " + DEEPEST + " deep");
+    /** Infers an expression whose value may be missing. */
+    Expression inferOptional(Form form) {
+        if (depth >= MAX_DEPTH) {
+            return tooDeep(form);
         }
         depth++;
         try {
-            Expression e = checked(form);
-            if (e.depth > DEEPEST) {
-                return wrong(form.place(), "expressions, with the defines they use, more than " + DEEPEST + " deep");
+            Expression expression = inferForm(form);
+            if (expression.depth > MAX_DEPTH) {
+                return tooDeep(form);
             }
-            if (terms.size() > MOST_TERMS || work > MOST_CALLS) {
-                return wrong(form.place(), "too many different expressions");
+            if (interner.size() > MAX_EXPRESSIONS || expander.count() > MAX_EXPANSIONS) {
+                return error(form.place(), "too many different expressions");
             }
-            return e;
+            return expression;
         } finally {
             depth--;
         }
     }
 
-    /** Checks one that may not be missing. */
-    Expression value(Form form) {
-        return present(check(form));
-    }
-
-    Expression wrong(SourcePosition place, String why) {
-        problems.add(place, why);
-        return terms.unknown(place);
-    }
-
-    static String article(Type type) {
-        return (type == Type.INTEGER || type == Type.ADDRESS ? "an " : "a ") + type;
+    /** Infers an expression whose value must not be missing. */
+    Expression inferRequired(Form form) {
+        Expression expression = inferOptional(form);
+        if (!expression.optional || expression.isUnknown()) {
+            return expression;
+        }
+        String example = switch (expression.type) {
+            case STRING -> "\"\"";
+            case BOOLEAN -> FALSE;
+            default -> "0";
+        };
+        return error(
+                expression.place,
+                expression + " may be missing: say what holds then, (default " + expression + " " + example + ")");
     }
 
-    /** A whole literal stands for a decimal where one is asked for. */
-    Expression convert(Expression e, Type wanted) {
-        return wanted == Type.DECIMAL && e.type == Type.INTEGER && e.isLiteral()
-                ? terms.literal((double) (Long) e.literal, e.place)
-                : e;
+    /** Infers a form that sees further names. */
+    Expression inferWithBindings(Map<String, Expression> bindings, Form body) {
+        scopes.enter(bindings);
+        try {
+            return inferOptional(body);
+        } finally {
+            scopes.exit();
+        }
     }
 
-    Expression within(Map<String, Expression> names, Form body) {
-        scopes.push(names);
+    /** Infers the body of a definition, which sees its parameters and nothing of where it is used. */
+    Expression inferDefinitionBody(Map<String, Expression> parameters, Form body) {
+        scopes.enterDefinition(parameters);
         try {
-            return check(body);
+            return inferOptional(body);
         } finally {
-            scopes.pop();
+            scopes.exit();
         }
     }
 
-    Attribute attribute(Form form) {
-        return form instanceof Form.Word w && lookUp(w.name()) == null ? schema.get(w.name()) : null;
+    /** Converts an integer literal to a decimal where one is wanted; there are no other implicit conversions. */
+    Expression convert(Expression expression, Type wanted) {
+        return wanted == Type.DECIMAL && expression.type == Type.INTEGER && expression.isLiteral()
+                ? interner.literal((double) (Long) expression.constant, expression.place)
+                : expression;
     }
 
-    private Expression present(Expression e) {
-        if (e.optional && !e.unknown()) {
-            return wrong(
-                    e.place,
-                    e + " may be missing: say what holds then, (default " + e + " "
-                            + (e.type == Type.STRING ? "\"\"" : e.type == Type.BOOLEAN ? "false" : "0") + ")");
-        }
-        return e;
+    /** Reports an error and returns the placeholder of the erroneous expression. */
+    Expression error(SourcePosition place, String message) {
+        diagnostics.add(place, message);
+        return interner.unknown(place);
     }
 
-    // ---- Forms ----
+    private Expression tooDeep(Form form) {
+        return error(form.place(), "expressions, with the defines they use, more than " + MAX_DEPTH + " deep");
+    }
 
-    private Expression checked(Form form) {
-        if (form instanceof Form.Whole w) {
-            return terms.literal(w.value(), w.place());
-        } else if (form instanceof Form.Fraction f) {
-            return terms.literal(f.value(), f.place());
-        } else if (form instanceof Form.Text t) {
-            return t.value().length() > CostModel.LONGEST_TEXT
-                    ? wrong(
-                            t.place(),
-                            "a text of " + t.value().length() + " characters; at most " + CostModel.LONGEST_TEXT)
-                    : terms.literal(t.value(), t.place());
-        } else if (form instanceof Form.Word w) {
-            return word(w);
-        }
-        Form.Sequence s = (Form.Sequence) form;
-        if (s.square()) {
-            return wrong(s.place(), "a list stands only as the second part of in or in-network");
+    private Expression inferForm(Form form) {
+        if (form instanceof Form.Whole integer) {
+            return interner.literal(integer.value(), integer.place());
+        } else if (form instanceof Form.Fraction decimal) {
+            return interner.literal(decimal.value(), decimal.place());
+        } else if (form instanceof Form.Text string) {
+            return inferString(string);
+        } else if (form instanceof Form.Word word) {
+            return inferName(word);
         }
-        if (s.head() == null) {
-            return wrong(
-                    s.place(),
-                    "expected a function, found "
-                            + (s.items().isEmpty() ? "()" : s.items().get(0).describe()));
-        }
-        Define d = defines.get(s.head());
-        if (d != null && d.parameters() != null) {
-            return called(d, s);
-        }
-        if (Builtins.form(s.head()) == null) {
-            return wrong(
-                    s.place(),
-                    d != null || schema.get(s.head()) != null || lookUp(s.head()) != null
-                            ? s.head() + " is a value, not a function; write it without brackets"
-                            : "unknown function " + s.head() + hint(s.head(), Builtins.names()));
+        return inferSequence((Form.Sequence) form);
+    }
+
+    private Expression inferString(Form.Text string) {
+        int length = string.value().length();
+        if (length > CostModel.MAX_STRING_LENGTH) {
+            return error(string.place(), "a text of " + length + " characters; at most " + CostModel.MAX_STRING_LENGTH);
         }
-        return functions.check(s);
+        return interner.literal(string.value(), string.place());
     }
 
-    private Expression word(Form.Word w) {
-        if (isTruth(w.name())) {
-            return terms.literal(w.name().equals("true"), w.place());
+    private Expression inferName(Form.Word word) {
+        String name = word.name();
+        if (isBooleanLiteral(name)) {
+            return interner.literal(name.equals(TRUE), word.place());
         }
-        Expression local = lookUp(w.name());
+        Expression local = scopes.lookUp(name);
         if (local != null) {
             return local;
         }
-        Attribute a = schema.get(w.name());
-        if (a != null) {
-            return terms.attribute(a, w.place());
+        Attribute attribute = schema.get(name);
+        if (attribute != null) {
+            return interner.attribute(attribute, word.place());
         }
-        Define d = defines.get(w.name());
-        if (d != null && d.parameters() == null) {
-            return call(d, List.of(), w.place());
+        Definition definition = definitions.get(name);
+        if (definition != null && !definition.isFunction()) {
+            return expander.expand(definition, List.of(), word.place());
         }
-        if (d != null || Builtins.form(w.name()) != null) {
-            return wrong(
-                    w.place(),
-                    w.name() + " is a function; write "
-                            + (d == null ? Builtins.form(w.name()) : "(" + w.name() + " ...)"));
+        if (definition != null) {
+            return error(word.place(), name + " is a function; write (" + name + " ...)");
         }
-        return wrong(w.place(), "unknown name " + w.name() + hint(w.name(), schema.names()));
+        BuiltinFunction function = BuiltinFunctions.get(name);
+        if (function != null) {
+            return error(word.place(), name + " is a function; write " + function.syntax());
+        }
+        return error(word.place(), "unknown name " + name + suggestion(name, schema.names()));
     }
 
-    /** The nearest of the names that may stand there; not looked for once no more problems are told, as it takes long. */
-    private String hint(String name, Collection<String> names) {
-        if (problems.count() >= Diagnostics.MOST) {
-            return "";
+    private Expression inferSequence(Form.Sequence form) {
+        if (form.square()) {
+            return error(form.place(), "a list stands only as the second part of in or in-network");
         }
-        Set<String> known = new LinkedHashSet<>(names);
-        known.addAll(List.of("true", "false"));
-        known.addAll(defines.keySet());
-        for (Map<String, Expression> scope : scopes) {
-            known.addAll(scope.keySet());
-            if (known.remove(null)) {
-                break;
-            }
+        String name = form.head();
+        if (name == null) {
+            String found = form.items().isEmpty() ? "()" : form.items().get(0).describe();
+            return error(form.place(), "expected a function, found " + found);
         }
-        return NameSuggestions.hint(name, known);
-    }
-
-    private static boolean isTruth(String name) {
-        return name.equals("true") || name.equals("false");
-    }
-
-    private Expression lookUp(String name) {
-        for (Map<String, Expression> scope : scopes) {
-            Expression e = scope.get(name);
-            if (e != null) {
-                return e;
-            }
-            if (scope.containsKey(null)) {
-                // The body of a define sees its parameters and nothing of where it is used.
-                return null;
-            }
+        Definition definition = definitions.get(name);
+        if (definition != null && definition.isFunction()) {
+            return inferDefinitionCall(definition, form);
         }
-        return null;
-    }
-
-    private Expression called(Define d, Form.Sequence s) {
-        if (s.items().size() - 1 != d.parameters().size()) {
-            return wrong(
-                    s.place(),
-                    "expected " + d.parameters().size() + " arguments of " + d.name() + ", found "
-                            + (s.items().size() - 1));
+        BuiltinFunction function = BuiltinFunctions.get(name);
+        if (function != null) {
+            return function.rule().apply(new FunctionCall(function, form, this));
         }
-        List<Expression> args = new ArrayList<>();
-        for (Form f : s.items().subList(1, s.items().size())) {
-            args.add(check(f));
+        if (definition != null || schema.get(name) != null || scopes.lookUp(name) != null) {
+            return error(form.place(), name + " is a value, not a function; write it without brackets");
         }
-        return args.stream().anyMatch(Expression::unknown) ? terms.unknown(s.place()) : call(d, args, s.place());
+        return error(form.place(), "unknown function " + name + suggestion(name, BuiltinFunctions.names()));
     }
 
-    /** The body with its parameters in place; the same call gives the same expression, so calls of calls cost no more. */
-    private Expression call(Define d, List<Expression> args, SourcePosition from) {
-        Call call = new Call(d.name(), args);
-        Expression known = calls.get(call);
-        if (known != null) {
-            return known;
-        }
-        if (!opened.add(d.name())) {
-            return wrong(from, d.name() + " is defined by itself: " + String.join(" -> ", opened) + " -> " + d.name());
+    private Expression inferDefinitionCall(Definition definition, Form.Sequence form) {
+        List<Form> arguments = form.items().subList(1, form.items().size());
+        int expected = definition.parameters().size();
+        if (arguments.size() != expected) {
+            return error(
+                    form.place(),
+                    "expected " + expected + " arguments of " + definition.name() + ", found " + arguments.size());
         }
-        work++;
-        Map<String, Expression> names = new HashMap<>();
-        names.put(null, null);
-        for (int i = 0; i < args.size(); i++) {
-            names.put(d.parameters().get(i), args.get(i));
-        }
-        Expression made;
-        try {
-            made = within(names, d.body());
-        } finally {
-            opened.remove(d.name());
+        List<Expression> expressions = new ArrayList<>();
+        for (Form argument : arguments) {
+            expressions.add(inferOptional(argument));
         }
-        calls.put(call, made);
-        return made;
+        return expressions.stream().anyMatch(Expression::isUnknown)
+                ? interner.unknown(form.place())
+                : expander.expand(definition, expressions, form.place());
     }
 
-    /** A regular expression, or null where it is none. */
-    Matching matching(Form.Text text) {
-        try {
-            return new Matching(text.value(), Pattern.compile(text.value()));
-        } catch (PatternSyntaxException e) {
-            problems.add(text.place(), "not a regular expression of RE2: " + e.getDescription());
-            return null;
+    private boolean isReserved(String name) {
+        return BuiltinFunctions.contains(name)
+                || schema.get(name) != null
+                || isBooleanLiteral(name)
+                || name.equals("else");
+    }
+
+    private static boolean isBooleanLiteral(String name) {
+        return name.equals(TRUE) || name.equals(FALSE);
+    }
+
+    /** Suggests a name that is visible. Skipped once further errors are only counted, because the search is slow. */
+    private String suggestion(String name, Collection<String> candidates) {
+        if (diagnostics.count() >= Diagnostics.MOST) {
+            return "";
         }
+        Set<String> visible = new LinkedHashSet<>(candidates);
+        visible.add(TRUE);
+        visible.add(FALSE);
+        visible.addAll(definitions.keySet());
+        scopes.addVisibleNames(visible);
+        return NameSuggestions.hint(name, visible);
     }
 }
--- a/node/src/main/java/tulipshed/operators/CostCheck.java
+++ b/node/src/main/java/tulipshed/operators/CostCheck.java
@@ -30,7 +30,7 @@
             dearestName = name;
         }
         if (bound > most) {
-            Expression part = CostModel.dearest(e);
+            Expression part = CostModel.mostExpensivePart(e);
             problems.add(
                     part.place(),
                     "this may cost " + bound + " in all, over the max-cost of " + most + "; most of it is " + part);
--- a/node/src/main/java/tulipshed/operators/PoolReader.java
+++ b/node/src/main/java/tulipshed/operators/PoolReader.java
@@ -53,7 +53,7 @@
         Program program = builder.build();
         conditions.forEach((name, e) -> explanation.add("pool " + name + ": where " + e + " (boolean, cost at most "
                 + costs.check(name, e) + " a member when the list changes)"));
-        boolean ages = conditions.values().stream().anyMatch(e -> e.asks("member.age-ms"));
+        boolean ages = conditions.values().stream().anyMatch(e -> e.references("member.age-ms"));
         return problems.count() > before ? null : new PoolMembership(schema, values, ages, program);
     }
 
@@ -68,6 +68,6 @@
         }
         SectionFields f = new SectionFields(s, 2, Set.of("where"), problems);
         Form where = f.value("where");
-        conditions.put(name, where == null ? null : checker.expect(where, Type.BOOLEAN));
+        conditions.put(name, where == null ? null : checker.check(where, Type.BOOLEAN));
     }
 }
--- a/node/src/main/java/tulipshed/operators/RouteReader.java
+++ b/node/src/main/java/tulipshed/operators/RouteReader.java
@@ -66,7 +66,7 @@
             return null;
         }
         Program.Builder builder = new Program.Builder(schema.schema());
-        RuleTable table = builder.table(routes.stream().map(Read::when).toList(), checker.terms());
+        RuleTable table = builder.table(routes.stream().map(Read::when).toList(), checker.interner());
         List<Routes.Way> ways = new ArrayList<>();
         for (Read r : routes) {
             ways.add(new Routes.Way(
@@ -88,7 +88,7 @@
         }
         SectionFields f = new SectionFields(s, 2, FIELDS, problems);
         Form when = f.has("when") ? f.value("when") : new Form.Word("true", s.place());
-        Expression condition = when == null ? null : checker.expect(when, Type.BOOLEAN);
+        Expression condition = when == null ? null : checker.check(when, Type.BOOLEAN);
         if (f.has("to") == f.has("split")) {
             problems.add(s.place(), "expected either (to POOL ...) or (split EXPRESSION (WEIGHT POOL ...) ...)");
             return null;
@@ -138,7 +138,7 @@
         }
         // The share of a text is the one that (bucket TEXT SUM) gives.
         SourcePosition place = s.items().get(1).place();
-        return checker.expect(
+        return checker.check(
                 new Form.Sequence(
                         List.of(new Form.Word("bucket", place), s.items().get(1), new Form.Whole(sum, place)),
                         false,
--- a/node/src/main/java/tulipshed/operators/RuleReader.java
+++ b/node/src/main/java/tulipshed/operators/RuleReader.java
@@ -59,7 +59,7 @@
             return null;
         }
         Program.Builder builder = new Program.Builder(schema.schema());
-        RuleTable table = builder.table(rules.stream().map(Read::when).toList(), checker.terms());
+        RuleTable table = builder.table(rules.stream().map(Read::when).toList(), checker.interner());
         List<ClassificationRules.Rule> made = new ArrayList<>();
         for (Read r : rules) {
             made.add(new ClassificationRules.Rule(
@@ -83,11 +83,11 @@
         }
         SectionFields f = new SectionFields(s, 2, FIELDS, problems);
         Form when = f.value("when");
-        Expression condition = when == null ? null : checker.expect(when, Type.BOOLEAN);
+        Expression condition = when == null ? null : checker.check(when, Type.BOOLEAN);
         String className = f.has("class") ? f.oneOf("class", names.classNames()) : null;
         String tenant = f.has("tenant") ? f.oneOf("tenant", names.tenantNames()) : null;
         Form group = f.has("group") ? f.value("group") : null;
-        Expression computed = group == null ? null : checker.expect(group, Type.STRING);
+        Expression computed = group == null ? null : checker.check(group, Type.STRING);
         if (!f.has("class") && !f.has("tenant") && !f.has("group")) {
             problems.add(s.place(), "expected a class, a tenant or a group that the rule gives");
         }
--- a/node/src/main/java/tulipshed/operators/SectionReader.java
+++ b/node/src/main/java/tulipshed/operators/SectionReader.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import tulipshed.config.NameIndex;
-import tulipshed.expression.Builtins;
+import tulipshed.expression.BuiltinFunctions;
 import tulipshed.expression.CostModel;
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
@@ -151,7 +151,7 @@
             return;
         }
         Diagnostics twice = new Diagnostics("");
-        List<String> all = new ArrayList<>(checker(transactions, twice).defined());
+        List<String> all = new ArrayList<>(checker(transactions, twice).definitionNames());
         problems.addAll(twice);
         TypeChecker ofTransactions = checker(transactions, twice);
         TypeChecker ofMembers = checker(members, twice);
@@ -160,8 +160,8 @@
                 // Enough to tell; what is nearest to a misspelt name is dear to find.
                 return;
             }
-            Diagnostics first = ofTransactions.faultsOf(name);
-            Diagnostics second = first.none() ? first : ofMembers.faultsOf(name);
+            Diagnostics first = ofTransactions.checkDefinition(name);
+            Diagnostics second = first.none() ? first : ofMembers.checkDefinition(name);
             if (!second.none()) {
                 // It speaks of members where the fault is not that it does.
                 problems.addAll(first.toString().contains("unknown name member.") ? second : first);
@@ -216,17 +216,17 @@
             if (t != Type.STRING
                     || !(s.items().get(2) instanceof Form.Whole w)
                     || w.value() < 1
-                    || w.value() > CostModel.LONGEST_TEXT) {
+                    || w.value() > CostModel.MAX_STRING_LENGTH) {
                 problems.add(
                         s.items().get(2).place(),
-                        "expected characters at most, from 1 to " + CostModel.LONGEST_TEXT + ", of a string, found "
-                                + s.items().get(2).describe());
+                        "expected characters at most, from 1 to " + CostModel.MAX_STRING_LENGTH
+                                + ", of a string, found " + s.items().get(2).describe());
                 return;
             }
             longest = (int) w.value();
         }
         if (TAKEN.contains(s.head())
-                || Builtins.form(s.head()) != null
+                || BuiltinFunctions.contains(s.head())
                 || RequestSchema.names(Declarations.NONE).contains(s.head())) {
             problems.add(s.place(), s.head() + " has a meaning already");
         } else if (figures.putIfAbsent(s.head(), new Declarations.Figure(t, t == Type.STRING ? longest : 0)) != null) {
--- a/node/src/test/java/tulipshed/benchmark/ExpressionBenchmark.java
+++ b/node/src/test/java/tulipshed/benchmark/ExpressionBenchmark.java
@@ -96,13 +96,13 @@
                 text.toString().getBytes(StandardCharsets.US_ASCII),
                 new SexprReader.Bounds(4 << 20, 100, 400_000),
                 problems)) {
-            conditions.add(checker.expect(f, Type.BOOLEAN));
+            conditions.add(checker.check(f, Type.BOOLEAN));
         }
         if (!problems.none()) {
             throw new IllegalStateException(problems.toString());
         }
         Program.Builder builder = new Program.Builder(schema);
-        table = builder.table(conditions, checker.terms());
+        table = builder.table(conditions, checker.interner());
         frame = builder.build().frame();
         tenantNow = "tenant-" + (rules - 1);
         if (tulipshed() != rules - 1 || cel() != rules - 1 || jexl() != rules - 1) {
--- a/node/src/test/java/tulipshed/expression/ExpressionFuzzTest.java
+++ b/node/src/test/java/tulipshed/expression/ExpressionFuzzTest.java
@@ -39,7 +39,7 @@
         Form form = form(text);
         Diagnostics problems = new Diagnostics("test");
         TypeChecker checker = new TypeChecker(schema, problems);
-        Expression e = checker.expect(form, type);
+        Expression e = checker.check(form, type);
         if (e == null) {
             // Only a text that could grow too long is refused of what is well typed.
             assertTrue(problems.toString().contains("may grow"), () -> text + "\n" + problems);
@@ -55,7 +55,7 @@
         String text = random.untyped(3);
         Form form = form(text);
         Diagnostics problems = new Diagnostics("test");
-        Expression e = new TypeChecker(schema, problems).any(form);
+        Expression e = new TypeChecker(schema, problems).infer(form);
         assertEquals(e == null, !problems.none(), text);
         if (e != null) {
             compare(random, schema, form, text, e);
@@ -70,7 +70,7 @@
         for (int i = 0; i < INPUTS; i++) {
             Map<String, Object> values = random.values(schema);
             RandomExpressions.fill(frame, schema, values);
-            Object got = value.boxed(frame);
+            Object got = value.boxedValue(frame);
             Object want = new Reference(Map.of(), Map.of(), values).value(form);
             if (got instanceof Double d && want instanceof Number n) {
                 assertTrue(
@@ -102,13 +102,13 @@
                 default -> "(= class " + quoted(random, schema) + ")";
             };
             Form form = form("(and " + common + " " + random.typed(Type.BOOLEAN, 1) + ")");
-            Expression e = checker.expect(form, Type.BOOLEAN);
+            Expression e = checker.check(form, Type.BOOLEAN);
             assertNotNull(e, problems::toString);
             forms.add(form);
             conditions.add(e);
         }
         Program.Builder builder = new Program.Builder(schema);
-        RuleTable table = builder.table(conditions, checker.terms());
+        RuleTable table = builder.table(conditions, checker.interner());
         EvaluationFrame frame = builder.build().frame();
         long bound = table.bound(new CostModel());
         for (int i = 0; i < 5 * INPUTS; i++) {
--- a/node/src/test/java/tulipshed/expression/ExpressionTest.java
+++ b/node/src/test/java/tulipshed/expression/ExpressionTest.java
@@ -40,7 +40,7 @@
 
     private Expression any(String text) {
         List<Form> forms = forms(text);
-        return checker.any(forms.get(forms.size() - 1));
+        return checker.infer(forms.get(forms.size() - 1));
     }
 
     private EvaluationFrame fill(Program program, String cls, String k, String ten, Long sz, String from) {
@@ -64,7 +64,7 @@
         assertNotNull(e, problems::toString);
         Program.Builder b = new Program.Builder(schema);
         Program.Value v = b.value(e);
-        return v.boxed(fill(b.build(), "gate", "k-17", "melnik", 7L, "10.1.2.3"));
+        return v.boxedValue(fill(b.build(), "gate", "k-17", "melnik", 7L, "10.1.2.3"));
     }
 
     @ParameterizedTest
@@ -169,7 +169,7 @@
         assertEquals(Long.MAX_VALUE, value(text + "(+ d60 d60)"), "2^61 times 8, bounded");
         Expression e = any("(+ d60 d60)");
         assertTrue(new CostModel().bound(e) < 500, "each is worked out once: " + new CostModel().bound(e));
-        assertFalse(e.asks("class"));
+        assertFalse(e.references("class"));
         assertTrue(e.toString().length() < 1000);
     }
 
@@ -225,10 +225,10 @@
         }
         List<Form> rules = forms("(define tenant-name (default tenant \"\"))\n" + text);
         List<Expression> conditions = new ArrayList<>();
-        rules.subList(1, rules.size()).forEach(f -> conditions.add(checker.expect(f, Type.BOOLEAN)));
+        rules.subList(1, rules.size()).forEach(f -> conditions.add(checker.check(f, Type.BOOLEAN)));
         assertTrue(problems.none(), problems::toString);
         Program.Builder b = new Program.Builder(schema);
-        RuleTable table = b.table(conditions, checker.terms());
+        RuleTable table = b.table(conditions, checker.interner());
         Program p = b.build();
         assertEquals(
                 List.of(
--- a/node/src/test/java/tulipshed/expression/RandomExpressions.java
+++ b/node/src/test/java/tulipshed/expression/RandomExpressions.java
@@ -236,7 +236,7 @@
                     ? one("tenant", "group", "nothing", "clas", "-", "[]", "[1 2]", "()")
                     : leaf(Type.values()[random.nextInt(4)]);
         }
-        List<String> names = new ArrayList<>(Builtins.names());
+        List<String> names = new ArrayList<>(BuiltinFunctions.names());
         StringBuilder out = new StringBuilder("(" + names.get(random.nextInt(names.size())));
         for (int i = random.nextInt(4); i >= 0; i--) {
             out.append(' ')
