--- a/emulator/src/main/java/tulipshed/emulator/engine/Message.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/Message.java
@@ -1,42 +1,37 @@
 package tulipshed.emulator.engine;
 
-/** Something that arrives at a part at a moment. Messages of one moment come in the order of sender and number. */
-public final class Message implements Comparable<Message> {
-    final double atMs;
-    final Actor to;
-    final int from;
-    final long number;
-    /** What it is, in the terms of the part that it goes to. */
-    public final int kind;
-    /** What it is about; null where nothing. */
-    public final Object what;
-    /** A figure that goes with it. */
-    public final double value;
+/**
+ * A payload on its way to an actor. Messages are ordered by delivery time, then receiver, sender and the sender's sequence
+ * number, so that their order does not depend on threads.
+ */
+final class Message<P extends Payload> implements Comparable<Message<?>> {
+    final double deliveryMs;
+    final Actor<P> receiver;
+    final int senderId;
+    final long sequenceNumber;
+    final P payload;
 
-    Message(double atMs, Actor to, int from, long number, int kind, Object what, double value) {
-        this.atMs = atMs;
-        this.to = to;
-        this.from = from;
-        this.number = number;
-        this.kind = kind;
-        this.what = what;
-        this.value = value;
+    Message(double deliveryMs, Actor<P> receiver, int senderId, long sequenceNumber, P payload) {
+        this.deliveryMs = deliveryMs;
+        this.receiver = receiver;
+        this.senderId = senderId;
+        this.sequenceNumber = sequenceNumber;
+        this.payload = payload;
     }
 
-    /** The number of the part that sent it. */
-    public int from() {
-        return from;
+    void deliver() {
+        receiver.handle(this);
     }
 
     @Override
-    public int compareTo(Message o) {
-        int c = Double.compare(atMs, o.atMs);
-        if (c == 0) {
-            c = Integer.compare(to.id(), o.to.id());
+    public int compareTo(Message<?> other) {
+        int order = Double.compare(deliveryMs, other.deliveryMs);
+        if (order == 0) {
+            order = Integer.compare(receiver.id(), other.receiver.id());
         }
-        if (c == 0) {
-            c = Integer.compare(from, o.from);
+        if (order == 0) {
+            order = Integer.compare(senderId, other.senderId);
         }
-        return c != 0 ? c : Long.compare(number, o.number);
+        return order != 0 ? order : Long.compare(sequenceNumber, other.sequenceNumber);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/engine/Shard.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/Shard.java
@@ -5,23 +5,26 @@
 import java.util.PriorityQueue;
 
 /**
- * The parts that one thread runs, and what is due at them: a wheel of windows for what comes soon, a heap for the rest,
- * and a heap of the window that runs now.
+ * The actors that one thread runs, and the messages due at them. Pending messages are in a timing wheel with a slot for
+ * each of the next windows (Varghese and Lauck 1987), in an overflow heap beyond its span, and in a heap of their order for
+ * the window that runs now.
  */
 final class Shard {
-    private static final int WHEEL = 4096; // windows; of 0.25 to 1 ms, so seconds
+    private static final int WHEEL_SLOTS = 4096; // of 0.25 to 1 ms each, so seconds
 
     private final int number;
     private final double windowMs;
-    private final List<Message>[] wheel;
-    private final PriorityQueue<Message> later = new PriorityQueue<>(1024);
-    private final PriorityQueue<Message> now = new PriorityQueue<>(256);
-    private final List<Message>[] outgoing;
-    /** A bit for each place of the wheel that holds anything, and one for each 64 of those. */
-    private final long[] taken = new long[WHEEL / 64];
-
-    private long takenWords;
-    private long window = -1;
+    private final List<Message<?>>[] wheel;
+    private final PriorityQueue<Message<?>> overflow = new PriorityQueue<>(1024);
+    private final PriorityQueue<Message<?>> dueNow = new PriorityQueue<>(256);
+    /** Messages for other shards, by the receiving shard. */
+    private final List<Message<?>>[] outgoing;
+    /** A bit for each slot of the wheel that holds a message. */
+    private final long[] occupiedSlots = new long[WHEEL_SLOTS / Long.SIZE];
+    /** A bit for each word of {@link #occupiedSlots} that is not 0. */
+    private long occupiedWords;
+
+    private long currentWindow = -1;
     private long handled;
     private double nowMs;
 
@@ -29,9 +32,9 @@
     Shard(int number, int shards, double windowMs) {
         this.number = number;
         this.windowMs = windowMs;
-        wheel = new List[WHEEL];
+        wheel = new List[WHEEL_SLOTS];
         outgoing = new List[shards];
-        for (int i = 0; i < WHEEL; i++) {
+        for (int i = 0; i < WHEEL_SLOTS; i++) {
             wheel[i] = new ArrayList<>(0);
         }
         for (int i = 0; i < shards; i++) {
@@ -43,119 +46,132 @@
         return number;
     }
 
+    /** The number of messages delivered so far. */
     long handled() {
         return handled;
     }
 
-    void send(Message m) {
-        if (window >= 0 && windowOf(m.atMs) <= window) {
-            throw new IllegalStateException("a message of " + nowMs + " ms arrives elsewhere at " + m.atMs
+    /** Takes a message from one of its actors to any other. */
+    void send(Message<?> message) {
+        if (currentWindow >= 0 && windowOf(message.deliveryMs) <= currentWindow) {
+            throw new IllegalStateException("a message of " + nowMs + " ms arrives elsewhere at " + message.deliveryMs
                     + " ms, within one window of " + windowMs + " ms");
         }
-        Shard to = m.to.shard();
-        if (to == this) {
-            keep(m);
+        Shard receiving = message.receiver.shard();
+        if (receiving == this) {
+            enqueue(message);
         } else {
-            outgoing[to.number].add(m);
+            outgoing[receiving.number].add(message);
         }
     }
 
-    void remind(Message m) {
-        if (m.atMs < nowMs) {
-            throw new IllegalStateException("a reminder for " + m.atMs + " ms at " + nowMs + " ms");
+    /** Takes a message from one of its actors to itself. */
+    void schedule(Message<?> message) {
+        if (message.deliveryMs < nowMs) {
+            throw new IllegalStateException("a reminder for " + message.deliveryMs + " ms at " + nowMs + " ms");
         }
-        keep(m);
+        enqueue(message);
     }
 
-    private long windowOf(double atMs) {
-        return (long) (atMs / windowMs);
+    private long windowOf(double timeMs) {
+        return (long) (timeMs / windowMs);
     }
 
-    private void keep(Message m) {
-        long w = windowOf(m.atMs);
-        if (w <= window) {
-            now.add(m);
-        } else if (w < Math.max(0, window) + WHEEL) {
-            put((int) (w % WHEEL), m);
+    private void enqueue(Message<?> message) {
+        long window = windowOf(message.deliveryMs);
+        if (window <= currentWindow) {
+            dueNow.add(message);
+        } else if (window < Math.max(0, currentWindow) + WHEEL_SLOTS) {
+            addToSlot((int) (window % WHEEL_SLOTS), message);
         } else {
-            later.add(m);
+            overflow.add(message);
         }
     }
 
-    /** Takes what the others have sent; called while none of them runs. */
+    /** Takes what other shards have sent; called while none of them runs. */
     void collect(Shard[] shards) {
-        for (Shard s : shards) {
-            List<Message> mine = s.outgoing[number];
-            for (int i = 0; i < mine.size(); i++) {
-                keep(mine.get(i));
+        for (Shard shard : shards) {
+            List<Message<?>> incoming = shard.outgoing[number];
+            for (int i = 0; i < incoming.size(); i++) {
+                enqueue(incoming.get(i));
             }
-            mine.clear();
+            incoming.clear();
         }
     }
 
-    private void put(int place, Message m) {
-        wheel[place].add(m);
-        taken[place >>> 6] |= 1L << place;
-        takenWords |= 1L << (place >>> 6);
+    private void addToSlot(int slot, Message<?> message) {
+        wheel[slot].add(message);
+        occupiedSlots[slot >>> 6] |= 1L << slot;
+        occupiedWords |= 1L << (slot >>> 6);
     }
 
-    /** The first place from one on that holds anything, or below 0. */
-    private int from(int place) {
-        int word = place >>> 6;
-        long here = taken[word] & -1L << place;
-        if (here != 0) {
-            return (word << 6) + Long.numberOfTrailingZeros(here);
+    /** The first occupied slot from one on to the end of the wheel, or -1. */
+    private int nextOccupiedSlot(int slot) {
+        int word = slot >>> 6;
+        long inWord = occupiedSlots[word] & -1L << slot;
+        if (inWord != 0) {
+            return (word << 6) + Long.numberOfTrailingZeros(inWord);
         }
-        long after = word == 63 ? 0 : takenWords & -1L << (word + 1);
-        if (after == 0) {
+        long laterWords = word == 63 ? 0 : occupiedWords & -1L << (word + 1);
+        if (laterWords == 0) {
             return -1;
         }
-        word = Long.numberOfTrailingZeros(after);
-        return (word << 6) + Long.numberOfTrailingZeros(taken[word]);
+        word = Long.numberOfTrailingZeros(laterWords);
+        return (word << 6) + Long.numberOfTrailingZeros(occupiedSlots[word]);
     }
 
-    /** The next window in which something is due, or the largest number where nothing is. */
-    long next() {
-        if (!now.isEmpty()) {
-            // From outside of the run: sockets, between two windows.
-            return window;
+    /** The next window with a message, or {@link Long#MAX_VALUE} where there is none. */
+    long nextWindow() {
+        if (!dueNow.isEmpty()) {
+            // Sent from outside of the run, between two windows: by sockets.
+            return currentWindow;
         }
-        long first = later.isEmpty() ? Long.MAX_VALUE : windowOf(later.peek().atMs);
-        if (takenWords != 0) {
-            int start = (int) ((window + 1) % WHEEL);
-            int place = from(start);
-            place = place < 0 ? from(0) : place;
-            first = Math.min(first, window + 1 + Math.floorMod(place - start, WHEEL));
+        long next = overflow.isEmpty() ? Long.MAX_VALUE : windowOf(overflow.peek().deliveryMs);
+        if (occupiedWords != 0) {
+            int start = (int) ((currentWindow + 1) % WHEEL_SLOTS);
+            int slot = nextOccupiedSlot(start);
+            slot = slot < 0 ? nextOccupiedSlot(0) : slot;
+            next = Math.min(next, currentWindow + 1 + Math.floorMod(slot - start, WHEEL_SLOTS));
         }
-        return first;
+        return next;
     }
 
-    /** Runs all that is due in a window that is not before the last one. */
-    void run(long w) {
-        window = w;
-        while (!later.isEmpty() && windowOf(later.peek().atMs) < w + WHEEL) {
-            Message m = later.poll();
-            if (windowOf(m.atMs) <= w) {
-                now.add(m);
+    /** Delivers all messages of a window that is not before the last one. */
+    void run(long window) {
+        currentWindow = window;
+        moveOverflowToWheel();
+        moveSlotToDueNow((int) (window % WHEEL_SLOTS));
+        Message<?> message;
+        while ((message = dueNow.poll()) != null) {
+            nowMs = message.deliveryMs;
+            handled++;
+            message.deliver();
+        }
+    }
+
+    private void moveOverflowToWheel() {
+        while (!overflow.isEmpty() && windowOf(overflow.peek().deliveryMs) < currentWindow + WHEEL_SLOTS) {
+            Message<?> message = overflow.poll();
+            long window = windowOf(message.deliveryMs);
+            if (window <= currentWindow) {
+                dueNow.add(message);
             } else {
-                put((int) (windowOf(m.atMs) % WHEEL), m);
+                addToSlot((int) (window % WHEEL_SLOTS), message);
             }
         }
-        List<Message> due = wheel[(int) (w % WHEEL)];
-        if (!due.isEmpty()) {
-            int place = (int) (w % WHEEL);
-            now.addAll(due);
-            due.clear();
-            taken[place >>> 6] &= ~(1L << place);
-            if (taken[place >>> 6] == 0) {
-                takenWords &= ~(1L << (place >>> 6));
-            }
+    }
+
+    private void moveSlotToDueNow(int slot) {
+        List<Message<?>> due = wheel[slot];
+        if (due.isEmpty()) {
+            return;
         }
-        Message m;
-        while ((m = now.poll()) != null) {
-            nowMs = m.atMs;
-            handled++;
-            m.to.handle(m);
+        dueNow.addAll(due);
+        due.clear();
+        int word = slot >>> 6;
+        occupiedSlots[word] &= ~(1L << slot);
+        if (occupiedSlots[word] == 0) {
+            occupiedWords &= ~(1L << word);
         }
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/engine/SpinBarrier.java
+++ b/emulator/src/main/java/tulipshed/emulator/engine/SpinBarrier.java
@@ -2,7 +2,10 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Where threads wait for each other some 2,000 times for each virtual second; sleeping would cost more than the work. */
+/**
+ * A barrier that threads pass together, any number of times. They spin before they yield: they meet some 2,000 times in a
+ * virtual second, and to sleep would cost more than the work between.
+ */
 final class SpinBarrier {
     private static final int SPINS = 2000;
 
@@ -15,6 +18,11 @@
         this.threads = threads;
     }
 
+    /**
+     * Waits until all threads have called this.
+     *
+     * @throws IllegalStateException if the barrier is broken meanwhile
+     */
     @SuppressWarnings("ThreadPriorityCheck") // a spinning thread gives its core up where there are too few
     void await() {
         int mine = round;
@@ -37,6 +45,7 @@
         }
     }
 
+    /** Lets all threads that wait, now or later, fail. */
     void breakUp() {
         broken = true;
     }
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
@@ -7,10 +7,11 @@
 import java.util.Locale;
 import java.util.Set;
 import tulipshed.decision.api.Outcome;
-import tulipshed.emulator.engine.Message;
 import tulipshed.emulator.invariants.NodeInvariants;
-import tulipshed.emulator.model.Kinds;
+import tulipshed.emulator.model.ClientMessage;
 import tulipshed.emulator.model.NodeActor;
+import tulipshed.emulator.model.NodeTimer;
+import tulipshed.emulator.model.ProcessMessage;
 import tulipshed.emulator.model.World;
 import tulipshed.emulator.policy.ClientDemand;
 import tulipshed.emulator.policy.ClientRequest;
@@ -113,13 +114,13 @@
                 served++;
                 t.standing = true;
                 standing.add(this);
-                remind(nowMs + SAYS_MS * random.nextDouble(), Kinds.SAYS, this, 0);
+                schedule(nowMs + SAYS_MS * random.nextDouble(), new ClientLineDue(this));
                 judgeAnswer(t, "served");
                 goOn(() -> clients.served(nowMs, t));
-                remind(Math.max(nowMs, t.wish.untilMs), Kinds.LIFE_OVER, this, 0);
+                schedule(Math.max(nowMs, t.wish.untilMs), new ClientConnectionExpired(this));
                 return;
             }
-            remind(nowMs + LISTENS_ON_MS, Kinds.LIFE_OVER, this, 0);
+            schedule(nowMs + LISTENS_ON_MS, new ClientConnectionExpired(this));
             boolean busy = word.equals("BUSY");
             judgeAnswer(t, busy ? "refused" : "failed");
             count(busy ? tally().refused : tally().failed);
@@ -155,6 +156,14 @@
             drop();
         }
 
+        private void sendLine() {
+            if (here) {
+                wire.say("M 1");
+                saidMs = Double.isNaN(saidMs) ? nowMs : saidMs;
+                schedule(nowMs + SAYS_MS, new ClientLineDue(this));
+            }
+        }
+
         private void drop() {
             here = false;
             standing.remove(this);
@@ -237,7 +246,7 @@
                 Math.round(graceMs),
                 w.group < 0 ? "" : ",g=g" + w.group,
                 w.returning ? ",again=1" : ""));
-        remind(latestMs(t) + 1, Kinds.WAITED, t, 0);
+        schedule(latestMs(t) + 1, new ClientMessage.AnswerDue(t));
     }
 
     @Override
@@ -247,7 +256,7 @@
         }
         double due = dueMs(t);
         if (due >= nowMs) {
-            remind(Math.min(due + 1, nowMs + STILL_CHECK_MS), Kinds.WAITED, t, 0);
+            schedule(Math.min(due + 1, nowMs + STILL_CHECK_MS), new ClientMessage.AnswerDue(t));
             return false;
         }
         waitedInVain(t);
@@ -281,7 +290,7 @@
             rules.sent(nowMs, t.watched, member);
         }
         count(tally().attempts);
-        sendToMember(member, Kinds.DIAL, f, 0);
+        sendDial(f);
         return f;
     }
 
@@ -291,7 +300,7 @@
         if (!f.over) {
             f.over = true;
             over(f, "closed by the node");
-            sendToMember(f.member, Kinds.DROP, f, 0);
+            sendHangup(f);
         }
     }
 
@@ -314,58 +323,71 @@
     }
 
     @Override
-    protected void hear(Message m) {
-        switch (m.kind) {
-            case Kinds.UP -> up((EmulatedAttempt) m.what);
-            case Kinds.ENDED -> {
-                EmulatedAttempt f = (EmulatedAttempt) m.what;
-                if (!f.over) {
-                    f.over = true;
-                    over(f, "" + Outcome.values()[(int) m.value]);
-                    SocketEndpoint.end(f, Outcome.values()[(int) m.value]);
-                }
-            }
-            case Kinds.DELAY -> {
-                EmulatedAttempt f = (EmulatedAttempt) m.what;
-                if (!f.over) {
-                    ((LineConnection) f.kept).say("LOAD " + Math.round(m.value));
-                }
-            }
-            case Kinds.SAYS -> {
-                Client c = (Client) m.what;
-                if (c.here) {
-                    c.wire.say("M 1");
-                    c.saidMs = Double.isNaN(c.saidMs) ? nowMs : c.saidMs;
-                    remind(nowMs + SAYS_MS, Kinds.SAYS, c, 0);
-                }
-            }
-            case Kinds.LIFE_OVER -> {
-                Client c = (Client) m.what;
-                if (c.here) {
-                    c.gone();
-                }
-            }
-            case Kinds.STOP -> {
-                process.stop(m.value > 0);
-                remind(nowMs + world.scenario().nodes().restartMs(), Kinds.START, null, 0);
-            }
-            case Kinds.START -> {
-                if (process.alive()) {
-                    remind(nowMs + 50, Kinds.START, null, 0);
-                } else {
-                    // Another process, which knows what its file says until it is told.
-                    rules.starts();
-                    pauses.end(run.nowMs());
-                    process.start();
-                }
-            }
-            default -> throw new IllegalArgumentException("a trouble that sockets cannot have: " + m.kind);
+    protected void onAttemptUp(EmulatedAttempt attempt) {
+        if (!attempt.over) {
+            ((LineConnection) attempt.kept).say("UP r" + Long.toHexString(attempt.of.id));
         }
     }
 
-    private void up(EmulatedAttempt f) {
-        if (!f.over) {
-            ((LineConnection) f.kept).say("UP r" + Long.toHexString(f.of.id));
+    @Override
+    protected void onAttemptEnded(EmulatedAttempt attempt, Outcome outcome) {
+        if (!attempt.over) {
+            attempt.over = true;
+            over(attempt, "" + outcome);
+            SocketEndpoint.end(attempt, outcome);
+        }
+    }
+
+    @Override
+    protected void onMessageDelay(EmulatedAttempt attempt, double delayMs) {
+        if (!attempt.over) {
+            ((LineConnection) attempt.kept).say("LOAD " + Math.round(delayMs));
+        }
+    }
+
+    @Override
+    protected void onStopProcess(boolean graceful) {
+        process.stop(graceful);
+        schedule(nowMs + world.scenario().nodes().restartMs(), new ProcessMessage.StartProcess());
+    }
+
+    @Override
+    protected void onStartProcess() {
+        if (process.alive()) {
+            schedule(nowMs + 50, new ProcessMessage.StartProcess());
+        } else {
+            // Another process, which knows what its file says until it is told.
+            rules.starts();
+            pauses.end(run.nowMs());
+            process.start();
+        }
+    }
+
+    /** A client sends its next line. */
+    private record ClientLineDue(Client client) implements NodeTimer {
+        @Override
+        public int traceCode() {
+            return 21;
+        }
+
+        @Override
+        public void fire() {
+            client.sendLine();
+        }
+    }
+
+    /** A client needs its connection no longer. */
+    private record ClientConnectionExpired(Client client) implements NodeTimer {
+        @Override
+        public int traceCode() {
+            return 9;
+        }
+
+        @Override
+        public void fire() {
+            if (client.here) {
+                client.gone();
+            }
         }
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/Clients.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Clients.java
@@ -26,20 +26,20 @@
         giveUpShare = ways.giveUpShare();
     }
 
-    public void rate(double times) {
+    void setArrivalFactor(double times) {
         factor = times;
     }
 
-    public void impatientUntil(double ms) {
+    void setImpatientUntil(double ms) {
         impatientUntilMs = ms;
     }
 
-    public void giveUpShare(double share) {
+    void setEarlyLeaveShare(double share) {
         giveUpShare = share;
     }
 
     /** The part of the clients that leave before they are answered. */
-    public double giveUpShare() {
+    double earlyLeaveShare() {
         return giveUpShare;
     }
 
@@ -47,19 +47,20 @@
     public void next(double nowMs) {
         double perSecond = ways.perSecond() * world.shareOf(node.number) * factor;
         if (perSecond > 0) {
-            node.remindSelf(nowMs + RandomStreams.exponential(random, 1000 / perSecond), Kinds.ARRIVAL, null);
+            node.scheduleSelf(
+                    nowMs + RandomStreams.exponential(random, 1000 / perSecond), new ClientMessage.ClientArrival());
         } else if (ways.perSecond() > 0) {
-            node.remindSelf(nowMs + 1000, Kinds.ARRIVAL, this);
+            node.scheduleSelf(nowMs + 1000, new ClientMessage.ClientArrival());
         }
     }
 
-    public void arrives(double nowMs) {
+    void onArrival(double nowMs) {
         if (factor > 0) {
             ClientDemand w = world.wish(random, nowMs);
             world.wants(node.tally(), w, nowMs);
             w.firstAskedMs = nowMs;
             asks(nowMs, w);
-            comes(nowMs, w);
+            onReturn(nowMs, w);
         }
         next(nowMs);
     }
@@ -75,7 +76,7 @@
         }
     }
 
-    public void comes(double nowMs, ClientDemand w) {
+    void onReturn(double nowMs, ClientDemand w) {
         double deadline = world.scenario.classes().get(w.requestClass).deadlineMs();
         double left = w.firstAskedMs + deadline - nowMs;
         if (left < LEAST_LEFT_MS || w.tries >= ways.tries()) {
@@ -110,7 +111,7 @@
         }
     }
 
-    public void waited(double nowMs, ClientRequest t) {
+    void onAnswerDue(double nowMs, ClientRequest t) {
         if (node.unanswered(t)) {
             again(nowMs, t.wish, backoffMs(t.wish));
         }
--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedDiscovery.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedDiscovery.java
@@ -11,7 +11,6 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.emulator.engine.Actor;
-import tulipshed.emulator.engine.Message;
 import tulipshed.emulator.policy.EndpointListing;
 import tulipshed.proxy.EndpointListEntry;
 
@@ -19,7 +18,7 @@
  * Discovery: knows the members after a time, tells those that watch, answers calls one after the other at a fixed rate, and
  * fails those that would wait too long. Dark, it fails all and forgets who watches.
  */
-final class EmulatedDiscovery extends Actor {
+final class EmulatedDiscovery extends Actor<DiscoveryMessage> {
     private static final InetSocketAddress NOWHERE = InetSocketAddress.createUnresolved("emulator", 1);
 
     private final World world;
@@ -76,35 +75,34 @@
     }
 
     @Override
-    protected void take(double nowMs, Message message) {
-        switch (message.kind) {
-            case Kinds.STATE -> {
-                int[] what = (int[]) message.what;
-                change(nowMs, what[0], EndpointStatus.values()[what[1]], message.value);
-            }
-            case Kinds.FELL -> remind(nowMs + world.scenario.discovery().detectMs(), Kinds.STATE, message.what, 0);
-            case Kinds.CLOCK -> stepClock(nowMs, (Integer) message.what, message.value);
-            case Kinds.LATE -> laterMs = message.value;
-            case Kinds.TELL -> tell(nowMs, (Integer) message.what);
-            case Kinds.ANSWER -> answer(nowMs, (NodeActor) message.what, (int) message.value);
-            case Kinds.WATCH -> call(nowMs, (NodeActor) message.what, (int) message.value);
-            case Kinds.DARK -> {
-                darkUntilMs = nowMs + message.value;
-                onDark.accept(message.value);
-                if (world.scenario.discovery().pushed()) {
-                    // Agents are silent and learn nothing; nobody is told of a failure.
-                    return;
-                }
-                for (int n = watching.nextSetBit(0); n >= 0; n = watching.nextSetBit(n + 1)) {
-                    fail(nowMs, world.nodes[n]);
-                }
-                watching.clear();
-            }
-            default -> throw new IllegalStateException("discovery is sent " + message.kind);
+    protected void receive(double nowMs, DiscoveryMessage message) {
+        message.deliverTo(this, nowMs);
+    }
+
+    void onEndpointFailed(double nowMs, int endpoint) {
+        schedule(
+                nowMs + world.scenario.discovery().detectMs(),
+                new DiscoveryMessage.StatusChange(endpoint, EndpointStatus.REMOVED, 0));
+    }
+
+    void onNotificationDelay(double delayMs) {
+        laterMs = delayMs;
+    }
+
+    void onOutage(double nowMs, double durationMs) {
+        darkUntilMs = nowMs + durationMs;
+        onDark.accept(durationMs);
+        if (world.scenario.discovery().pushed()) {
+            // Agents are silent and learn nothing; nobody is told of a failure.
+            return;
+        }
+        for (int n = watching.nextSetBit(0); n >= 0; n = watching.nextSetBit(n + 1)) {
+            fail(nowMs, world.nodes[n]);
         }
+        watching.clear();
     }
 
-    private void change(double nowMs, int member, EndpointStatus state, double startedMs) {
+    void onStatusChange(double nowMs, int member, EndpointStatus state, double startedMs) {
         EndpointListing n = news(member, state, startedMs);
         if (state == EndpointStatus.REMOVED && now[member] == null) {
             return;
@@ -113,21 +111,21 @@
         changes.add(n);
         // In the order in which it happened, also where a late spell ends.
         lastDueMs = Math.max(lastDueMs, nowMs + world.scenario.discovery().lagMs() + laterMs);
-        remind(lastDueMs, Kinds.TELL, changes.size() - 1, 0);
+        schedule(lastDueMs, new DiscoveryMessage.NotificationDue(changes.size() - 1));
     }
 
     /** A member's clock is so much ahead from now on; when it started is told anew, as that clock shows it. */
-    private void stepClock(double nowMs, int member, double offMs) {
+    void onClockStep(double nowMs, int member, double offMs) {
         clockOffMs[member] = offMs;
         if (now[member] != null && now[member].listed().info().startedUs() > 0) {
             EndpointInfo info = now[member].listed().info();
-            change(nowMs, member, info.status(), info.startedUs() / 1000.0);
+            onStatusChange(nowMs, member, info.status(), info.startedUs() / 1000.0);
         }
     }
 
-    private void tell(double nowMs, int change) {
+    void onNotificationDue(double nowMs, int change) {
         if (world.scenario.discovery().pushed() && nowMs < darkUntilMs) {
-            remind(darkUntilMs, Kinds.TELL, change, 0);
+            schedule(darkUntilMs, new DiscoveryMessage.NotificationDue(change));
             return;
         }
         told = change + 1;
@@ -141,13 +139,13 @@
     /** Over a cut it arrives once the way is back. */
     private void toNode(double nowMs, NodeActor node, EndpointListing.Batch batch, int version) {
         double sentMs = world.cuts.backMs(site(), node.site, nowMs);
-        send(sentMs + world.wayToDiscovery(node), node, Kinds.LIST, batch, version);
+        send(sentMs + world.wayToDiscovery(node), node, new ProcessMessage.EndpointList(batch, version));
     }
 
-    private void call(double nowMs, NodeActor from, int version) {
+    void onListCall(double nowMs, NodeActor from, int version) {
         calls++;
         if (world.scenario.discovery().pushed()) {
-            remind(Math.max(nowMs, darkUntilMs), Kinds.ANSWER, from, version);
+            schedule(Math.max(nowMs, darkUntilMs), new DiscoveryMessage.AnswerDue(from, version));
             return;
         }
         if (nowMs < darkUntilMs
@@ -160,11 +158,11 @@
         }
         busyUntilMs =
                 Math.max(nowMs, busyUntilMs) + 1000 / world.scenario.discovery().callsPerS();
-        remind(busyUntilMs, Kinds.ANSWER, from, version);
+        schedule(busyUntilMs, new DiscoveryMessage.AnswerDue(from, version));
     }
 
     /** From here on the node hears of what becomes known; what it is told of before is in this answer. */
-    private void answer(double nowMs, NodeActor to, int version) {
+    void onAnswerDue(double nowMs, NodeActor to, int version) {
         if (nowMs < darkUntilMs) {
             fail(nowMs, to);
             return;
--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
@@ -5,10 +5,8 @@
 import java.util.List;
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
-import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.Outcome;
 import tulipshed.emulator.engine.Actor;
-import tulipshed.emulator.engine.Message;
 import tulipshed.emulator.invariants.SlowStartInvariant;
 import tulipshed.emulator.policy.EmulatedAttempt;
 import tulipshed.emulator.policy.PolicyFactory;
@@ -19,7 +17,7 @@
  * A pool member: set-ups wait for its cores in order of arrival; standing connections ask for work that goes on, and where
  * that is more than it can do, work piles up and messages take long (docs/emulator-design.md gives the model).
  */
-final class EmulatedEndpoint extends Actor implements PolicyHost.Truth {
+final class EmulatedEndpoint extends Actor<EndpointMessage> implements PolicyHost.Truth {
     private static final double TICK_MS = 150;
     private static final double NOTE_MS = 1000;
     private static final double SILENT_MS = 2000; // until a client gives up a member that says nothing
@@ -94,7 +92,7 @@
     /** The day begins with it running, warm where it has long run. */
     void begin(boolean running) {
         alive = running;
-        remind(TICK_MS * random.nextDouble(), Kinds.TICK, null, 0);
+        schedule(TICK_MS * random.nextDouble(), new EndpointMessage.Tick());
     }
 
     /** A connection that stands when the day begins. */
@@ -175,40 +173,43 @@
     }
 
     @Override
-    protected void take(double nowMs, Message m) {
-        switch (m.kind) {
-            case Kinds.DIAL -> dial(nowMs, (EmulatedAttempt) m.what);
-            case Kinds.TAKEN -> taken(nowMs, (EmulatedAttempt) m.what, (int) m.value);
-            case Kinds.DROP -> drop(nowMs, (EmulatedAttempt) m.what);
-            case Kinds.LOAD -> standing.load((EmulatedAttempt) m.what, m.value);
-            case Kinds.TICK -> tick(nowMs);
-            case Kinds.DRAINED -> sendAway(nowMs);
-            case Kinds.DIES -> die(nowMs, m.value > 0);
-            case Kinds.RISES -> rise(nowMs);
-            case Kinds.SLOW -> slower = m.value;
-            case Kinds.PAUSE -> {
-                account(nowMs);
-                pausedUntilMs = Math.max(pausedUntilMs, nowMs + m.value);
-            }
-            case Kinds.CUT -> cut(nowMs);
-            case Kinds.FAULT -> faults.share((EndpointFaults.Fate) m.what, m.value);
-            case Kinds.NOTICED -> end(nowMs, (EmulatedAttempt) m.what, Outcome.RESET);
-            default -> throw new IllegalStateException("a member is sent " + m.kind);
-        }
+    protected void receive(double nowMs, EndpointMessage message) {
+        message.deliverTo(this, nowMs);
+    }
+
+    void onLoadChanged(EmulatedAttempt attempt, double cores) {
+        standing.load(attempt, cores);
+    }
+
+    void onSlowdown(double factor) {
+        slower = factor;
+    }
+
+    void onPause(double nowMs, double durationMs) {
+        account(nowMs);
+        pausedUntilMs = Math.max(pausedUntilMs, nowMs + durationMs);
+    }
+
+    void onFaultShare(EndpointFaults.Fate fate, double share) {
+        faults.share(fate, share);
+    }
+
+    void onSilenceNoticed(double nowMs, EmulatedAttempt attempt) {
+        end(nowMs, attempt, Outcome.RESET);
     }
 
     // ---- Connections ----
 
-    private void tell(double nowMs, EmulatedAttempt f, int kind, double value) {
+    private void tell(double nowMs, EmulatedAttempt f, NodeMessage message) {
         NodeActor node = (NodeActor) f.from;
-        send(world.cuts.backMs(node.site, this, nowMs) + world.wayMs(site, node.site, random), node, kind, f, value);
+        send(world.cuts.backMs(node.site, this, nowMs) + world.wayMs(site, node.site, random), node, message);
     }
 
     private void end(double nowMs, EmulatedAttempt f, Outcome outcome) {
-        tell(nowMs, f, Kinds.ENDED, outcome.ordinal());
+        tell(nowMs, f, new AttemptMessage.AttemptEnded(f, outcome));
     }
 
-    private void dial(double nowMs, EmulatedAttempt f) {
+    void onDial(double nowMs, EmulatedAttempt f) {
         if (!alive) {
             if (resets) {
                 end(nowMs, f, Outcome.CONNECT_FAILED);
@@ -241,10 +242,10 @@
         double start = Math.max(Math.max(nowMs + backlogMs, pausedUntilMs), freeAtMs[core]);
         freeAtMs[core] = start + work / each;
         tally().waitUs.recordValue(Math.round((start - nowMs) * 1000));
-        remind(freeAtMs[core], Kinds.TAKEN, f, generation);
+        schedule(freeAtMs[core], new EndpointMessage.SetupDone(f, generation));
     }
 
-    private void taken(double nowMs, EmulatedAttempt f, int of) {
+    void onSetupDone(double nowMs, EmulatedAttempt f, int of) {
         if (of != generation) {
             if (resets) {
                 end(nowMs, f, Outcome.RESET);
@@ -254,7 +255,7 @@
         // Set up while nobody could hear of it, it stands once the way is back, if it is still wanted.
         double until = Math.max(pausedUntilMs, world.cuts.backMs(((NodeActor) f.from).site, this, nowMs));
         if (nowMs < until) {
-            remind(until, Kinds.TAKEN, f, of);
+            schedule(until, new EndpointMessage.SetupDone(f, of));
             return;
         }
         pending--;
@@ -269,12 +270,12 @@
             case RESET -> end(nowMs, f, Outcome.RESET);
             default -> {
                 standing.add(f);
-                tell(nowMs, f, Kinds.UP, 0);
+                tell(nowMs, f, new AttemptMessage.AttemptUp(f));
             }
         }
     }
 
-    private void drop(double nowMs, EmulatedAttempt f) {
+    void onHangup(double nowMs, EmulatedAttempt f) {
         f.dropped = true;
         if (f.place >= 0) {
             account(nowMs);
@@ -321,18 +322,13 @@
             say(nowMs, "pushed over " + Math.round(nowMs - startedMs) + " ms after its start");
             tally().felt++;
             cold.fell(nowMs, tally().rules, nowMs - startedMs);
-            die(nowMs, true);
-            send(
-                    nowMs + world.wayToDiscovery(this),
-                    world.discovery,
-                    Kinds.FELL,
-                    new int[] {number, EndpointStatus.REMOVED.ordinal()},
-                    0);
+            onProcessEnds(nowMs, true);
+            send(nowMs + world.wayToDiscovery(this), world.discovery, new DiscoveryMessage.EndpointFailed(number));
         }
     }
 
-    private void tick(double nowMs) {
-        remind(nowMs + TICK_MS, Kinds.TICK, null, 0);
+    void onTick(double nowMs) {
+        schedule(nowMs + TICK_MS, new EndpointMessage.Tick());
         account(nowMs);
         double passed = nowMs - tickedMs;
         Counters t = tally();
@@ -376,7 +372,7 @@
             noticed.clear();
             for (EmulatedAttempt f : standing.flows()) {
                 if (noticed.add(((NodeActor) f.from).number)) {
-                    tell(nowMs, f, Kinds.DELAY, delay);
+                    tell(nowMs, f, new AttemptMessage.MessageDelay(f, delay));
                 }
             }
         }
@@ -400,7 +396,7 @@
     // ---- Processes and the network ----
 
     /** A part of the world is out of reach: what stood for it is served nothing, and its nodes notice by themselves. */
-    private void cut(double nowMs) {
+    void onPartitionBegan(double nowMs) {
         account(nowMs);
         for (int i = standing.size() - 1; i >= 0; i--) {
             EmulatedAttempt f = standing.get(i);
@@ -412,17 +408,17 @@
     }
 
     /** A drain is over: its clients are sent away in good order, and the process ends. */
-    private void sendAway(double nowMs) {
+    void onDrainOver(double nowMs) {
         if (!alive) {
             return;
         }
         while (!standing.isEmpty()) {
             reset(nowMs, standing.get(standing.size() - 1), Outcome.OK);
         }
-        die(nowMs, true);
+        onProcessEnds(nowMs, true);
     }
 
-    private void die(double nowMs, boolean withReset) {
+    void onProcessEnds(double nowMs, boolean withReset) {
         if (!alive) {
             return;
         }
@@ -437,7 +433,7 @@
                 account(nowMs);
                 standing.remove(f);
                 tally().at(tally().resets, nowMs);
-                remind(nowMs + SILENT_MS * (0.5 + 0.5 * random.nextDouble()), Kinds.NOTICED, f, 0);
+                schedule(nowMs + SILENT_MS * (0.5 + 0.5 * random.nextDouble()), new EndpointMessage.SilenceNoticed(f));
             }
         }
         alive = false;
@@ -448,7 +444,7 @@
         java.util.Arrays.fill(freeAtMs, 0);
     }
 
-    private void rise(double nowMs) {
+    void onProcessStarts(double nowMs) {
         say(nowMs, "a new process");
         alive = true;
         resets = true;
--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedNode.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.Outcome;
-import tulipshed.emulator.engine.Message;
 import tulipshed.emulator.invariants.NodeInvariants;
 import tulipshed.emulator.policy.ClientDemand;
 import tulipshed.emulator.policy.ClientRequest;
@@ -31,8 +30,6 @@
     private boolean taking = true;
     private long lastTry;
 
-    private record Later(int generation, Runnable what) {}
-
     EmulatedNode(int id, int number, World world) {
         super(id, number, world);
         known = new NotifiedEndpoints(world.atStart);
@@ -62,44 +59,69 @@
     }
 
     @Override
-    protected void hear(Message m) {
-        switch (m.kind) {
-            case Kinds.TIMER -> {
-                Later later = (Later) m.what;
-                turn(() -> {
-                    if (later.generation == generation) {
-                        later.what.run();
-                    }
-                });
-            }
-            case Kinds.UP -> turn(() -> up((EmulatedAttempt) m.what));
-            case Kinds.ENDED -> {
-                if (m.from() == id()) {
-                    // It is this side that gives the way up.
-                    closes((EmulatedAttempt) m.what);
-                }
-                turn(() -> ended((EmulatedAttempt) m.what, Outcome.values()[(int) m.value]));
-            }
-            case Kinds.DELAY -> turn(() -> delayed((EmulatedAttempt) m.what, m.value));
-            case Kinds.LIST -> list((EndpointListing.Batch) m.what, (int) m.value);
-            case Kinds.LIFE_OVER -> turn(() -> lifeOver((EmulatedAttempt) m.what));
-            case Kinds.LOAD_CHANGES -> turn(() -> loadChanges((EmulatedAttempt) m.what));
-            case Kinds.LEAVES -> leaves((ClientRequest) m.what);
-            case Kinds.STOP -> stop(m.value > 0);
-            case Kinds.LEFT -> leftInGoodOrder((int) m.value);
-            case Kinds.START -> starts();
-            case Kinds.SEND_AWAY -> turn(() -> sendAway((ClientRequest) m.what));
-            case Kinds.CUT -> cut();
-            case Kinds.OVERDUE -> overdue((ClientRequest) m.what);
-            case Kinds.RELOAD -> turn(this::reload);
-            case Kinds.HOT_RESTART -> turn(this::hotRestart);
-            case Kinds.HOLD_UPS -> {
-                holdUps.begin(nowMs, m.value);
-                rules.heldUp(holdUps.excusesUntilMs(), ProcessStalls.LONGEST_MS);
+    protected void onPolicyTimer(int timerGeneration, Runnable action) {
+        turn(() -> {
+            if (timerGeneration == generation) {
+                action.run();
             }
-            case Kinds.RESUME -> holdUps.resume(nowMs, this::settled);
-            default -> throw new IllegalStateException("a node is sent " + m.kind);
-        }
+        });
+    }
+
+    @Override
+    protected void onAttemptUp(EmulatedAttempt attempt) {
+        turn(() -> up(attempt));
+    }
+
+    @Override
+    protected void onAttemptEnded(EmulatedAttempt attempt, Outcome outcome) {
+        turn(() -> ended(attempt, outcome));
+    }
+
+    @Override
+    protected void onAttemptTimedOut(EmulatedAttempt attempt) {
+        closes(attempt);
+        turn(() -> ended(attempt, Outcome.RESET));
+    }
+
+    @Override
+    protected void onMessageDelay(EmulatedAttempt attempt, double delayMs) {
+        turn(() -> delayed(attempt, delayMs));
+    }
+
+    @Override
+    protected void onConnectionExpired(EmulatedAttempt attempt) {
+        turn(() -> lifeOver(attempt));
+    }
+
+    @Override
+    protected void onLoadChangeDue(EmulatedAttempt attempt) {
+        turn(() -> loadChanges(attempt));
+    }
+
+    @Override
+    protected void onMoveDue(ClientRequest request) {
+        turn(() -> sendAway(request));
+    }
+
+    @Override
+    protected void onReloadConfiguration() {
+        turn(this::reload);
+    }
+
+    @Override
+    protected void onHotRestart() {
+        turn(this::hotRestart);
+    }
+
+    @Override
+    protected void onStallsBegin(double durationMs) {
+        holdUps.begin(nowMs, durationMs);
+        rules.heldUp(holdUps.excusesUntilMs(), ProcessStalls.LONGEST_MS);
+    }
+
+    @Override
+    protected void onStallOver() {
+        holdUps.resume(nowMs, this::settled);
     }
 
     @Override
@@ -128,7 +150,7 @@
     private double writeMs() {
         if (holdUps.strikes(nowMs)) {
             tell(null, "is held up until " + holdUps.writtenMs(nowMs));
-            remind(holdUps.writtenMs(nowMs), Kinds.RESUME, null, 0);
+            schedule(holdUps.writtenMs(nowMs), new ProcessMessage.StallOver());
         }
         return holdUps.writtenMs(nowMs);
     }
@@ -165,9 +187,9 @@
                 t,
                 "a client asks, try " + w.tries + (w.returning ? ", back after a break or a move" : "") + ", waits "
                         + Math.round(graceMs) + " ms");
-        remind(t.deadlineMs + SLACK_MS + 1, Kinds.WAITED, t, 0);
-        if (random.nextDouble() < clients.giveUpShare()) {
-            remind(nowMs + graceMs * random.nextDouble(), Kinds.LEAVES, t, 0);
+        schedule(t.deadlineMs + SLACK_MS + 1, new ClientMessage.AnswerDue(t));
+        if (random.nextDouble() < clients.earlyLeaveShare()) {
+            schedule(nowMs + graceMs * random.nextDouble(), new AttemptMessage.ClientLeaves(t));
         }
         turn(() -> {
             if (t.place >= 0) {
@@ -209,14 +231,15 @@
     }
 
     private void stands(EmulatedAttempt f) {
-        remind(Math.max(nowMs, f.of.wish.untilMs), Kinds.LIFE_OVER, f, 0);
+        schedule(Math.max(nowMs, f.of.wish.untilMs), new AttemptMessage.ConnectionExpired(f));
         double changes = world.scenario.clients().loadChangesPerS();
         if (changes > 0) {
-            remind(nowMs + RandomStreams.exponential(random, 1000 / changes), Kinds.LOAD_CHANGES, f, 0);
+            schedule(nowMs + RandomStreams.exponential(random, 1000 / changes), new AttemptMessage.LoadChangeDue(f));
         }
     }
 
-    private void leaves(ClientRequest t) {
+    @Override
+    protected void onClientLeaves(ClientRequest t) {
         if (t.owed && t.place >= 0) {
             tell(t, "the client leaves before it is answered");
             rules.left(t.watched);
@@ -248,11 +271,12 @@
             return false;
         }
         t.gone = true;
-        remind(t.deadlineMs + LATE_MS, Kinds.OVERDUE, t, 0);
+        schedule(t.deadlineMs + LATE_MS, new AttemptMessage.AnswerOverdue(t));
         return true;
     }
 
-    private void overdue(ClientRequest t) {
+    @Override
+    protected void onAnswerOverdue(ClientRequest t) {
         rules.waited(nowMs, t.watched);
         turn(() -> {
             if (t.place >= 0 && !t.standing) {
@@ -271,7 +295,7 @@
     // ---- Flows ----
 
     private void closes(EmulatedAttempt f) {
-        sendToMember(f.member, Kinds.DROP, f, 0);
+        sendHangup(f);
     }
 
     private void up(EmulatedAttempt f) {
@@ -336,22 +360,21 @@
         }
         t.wish.load = t.wish.usualLoad
                 * RandomStreams.lognormal(random, world.scenario.clients().loadSwing());
-        sendToMember(f.member, Kinds.LOAD, f, t.wish.load);
+        sendToEndpoint(f.member, new EndpointMessage.LoadChanged(f, t.wish.load));
         if (world.scenario.clients().tellsLoad()) {
             policy.loadChanged(f);
         }
-        remind(
+        schedule(
                 nowMs
                         + RandomStreams.exponential(
                                 random, 1000 / world.scenario.clients().loadChangesPerS()),
-                Kinds.LOAD_CHANGES,
-                f,
-                0);
+                new AttemptMessage.LoadChangeDue(f));
     }
 
     // ---- The list ----
 
-    private void list(EndpointListing.Batch batch, int version) {
+    @Override
+    protected void onEndpointList(EndpointListing.Batch batch, int version) {
         if (!up) {
             if (world.scenario.discovery().pushed()) {
                 // What the agent has counts as told to the next process from its first moment.
@@ -401,7 +424,8 @@
 
     // ---- Processes and the network ----
 
-    private void stop(boolean politely) {
+    @Override
+    protected void onStopProcess(boolean politely) {
         if (!up) {
             return;
         }
@@ -409,21 +433,22 @@
             // The front layer sends it nothing more, and what stands is asked to come again over a time.
             taking = false;
             for (ClientRequest t : tries) {
-                remind(nowMs + world.scenario.nodes().leaveMs() * random.nextDouble(), Kinds.SEND_AWAY, t, 0);
+                schedule(nowMs + world.scenario.nodes().leaveMs() * random.nextDouble(), new AttemptMessage.MoveDue(t));
             }
-            remind(nowMs + world.scenario.nodes().leaveMs() + 1, Kinds.LEFT, null, generation);
+            schedule(nowMs + world.scenario.nodes().leaveMs() + 1, new ProcessMessage.DrainOver(generation));
             return;
         }
         ends();
     }
 
     /** The time of a process that was asked to leave is over: it owes an answer to all that are left, and ends. */
-    private void leftInGoodOrder(int process) {
+    @Override
+    protected void onDrainOver(int process) {
         if (!up || process != generation) {
             return;
         }
         if (holdUps.isHeld(nowMs)) {
-            holdUps.waits(() -> leftInGoodOrder(process));
+            holdUps.waits(() -> onDrainOver(process));
             return;
         }
         policy.shutDown(List.copyOf(tries));
@@ -459,10 +484,11 @@
                 clients.again(nowMs, t.wish, world.scenario.clients().returnMs() * (0.5 + random.nextDouble()));
             }
         }
-        remind(nowMs + world.scenario.nodes().restartMs(), Kinds.START, null, 0);
+        schedule(nowMs + world.scenario.nodes().restartMs(), new ProcessMessage.StartProcess());
     }
 
-    private void starts() {
+    @Override
+    protected void onStartProcess() {
         up = taking = true;
         tell(null, "the next process starts");
         start(known.remembered());
@@ -485,17 +511,16 @@
      * A part of the world is out of reach: what stands there is silent. This side notices after a while and gives it up, or
      * is reset once the way is back.
      */
-    private void cut() {
+    @Override
+    protected void onNetworkPartitioned() {
         for (ClientRequest t : tries) {
             EmulatedAttempt f = t.flow;
             double backMs = f == null ? nowMs : world.cuts.backMs(site, world.members[f.member], nowMs);
             if (t.standing && backMs > nowMs) {
                 double noticed = nowMs + SILENT_MS * (0.5 + 0.5 * random.nextDouble());
-                remind(
+                schedule(
                         Math.min(noticed, backMs + world.scenario.network().leastMs()),
-                        Kinds.ENDED,
-                        f,
-                        Outcome.RESET.ordinal());
+                        new AttemptMessage.AttemptTimedOut(f));
             }
         }
     }
@@ -549,9 +574,9 @@
         double backMs = world.cuts.backMs(site, world.members[member], sentMs);
         if (backMs > sentMs) {
             // Never comes up; reset once the way is back, should anybody still wait.
-            remind(backMs + world.scenario.network().leastMs(), Kinds.ENDED, f, Outcome.RESET.ordinal());
+            schedule(backMs + world.scenario.network().leastMs(), new AttemptMessage.AttemptTimedOut(f));
         } else {
-            sendToMember(member, Kinds.DIAL, f, 0);
+            sendDial(f);
         }
         return f;
     }
@@ -613,16 +638,20 @@
 
     @Override
     public void after(double ms, Runnable what) {
-        remind(nowMs + ms, Kinds.TIMER, new Later(generation, what), 0);
+        schedule(nowMs + ms, new ProcessMessage.PolicyTimer(generation, what));
     }
 
     @Override
     public void watch() {
         // An agent is on the node's own machine; what it is not told over a cut comes once the way is back.
         if (world.scenario.discovery().pushed() || world.cuts.backMs(site, world.discovery.site(), nowMs) <= nowMs) {
-            send(nowMs + world.wayToDiscovery(this), world.discovery, Kinds.WATCH, this, known.version());
+            send(
+                    nowMs + world.wayToDiscovery(this),
+                    world.discovery,
+                    new DiscoveryMessage.ListCall(this, known.version()));
         } else {
-            remind(nowMs + SILENT_MS, Kinds.LIST, new EndpointListing.Batch(EndpointListKind.FAILED, List.of()), -1);
+            EndpointListing.Batch failed = new EndpointListing.Batch(EndpointListKind.FAILED, List.of());
+            schedule(nowMs + SILENT_MS, new ProcessMessage.EndpointList(failed, -1));
         }
     }
 
--- a/emulator/src/main/java/tulipshed/emulator/model/FaultSchedule.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/FaultSchedule.java
@@ -7,6 +7,7 @@
 import org.apache.commons.rng.sampling.ListSampler;
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.emulator.engine.Actor;
+import tulipshed.emulator.engine.Payload;
 import tulipshed.emulator.scenario.Scenario;
 import tulipshed.emulator.scenario.Scenario.Trouble;
 
@@ -25,18 +26,18 @@
     private final Planner planner;
 
     /** Where the plan comes from; it only sends. */
-    private static final class Planner extends Actor {
+    private static final class Planner extends Actor<Payload> {
         Planner() {
             super(2);
         }
 
         @Override
-        protected void take(double nowMs, tulipshed.emulator.engine.Message message) {
+        protected void receive(double nowMs, Payload payload) {
             throw new IllegalStateException("nothing is sent to the planner");
         }
 
-        void plan(double atMs, Actor to, int kind, Object what, double value) {
-            send(atMs, to, kind, what, value);
+        <P extends Payload> void plan(double atMs, Actor<P> receiver, P payload) {
+            send(atMs, receiver, payload);
         }
     }
 
@@ -69,7 +70,7 @@
     }
 
     private void state(double atMs, int member, EndpointStatus state, double startedMs) {
-        planner.plan(atMs, world.discovery, Kinds.STATE, new int[] {member, state.ordinal()}, startedMs);
+        planner.plan(atMs, world.discovery, new DiscoveryMessage.StatusChange(member, state, startedMs));
     }
 
     void plan() {
@@ -79,7 +80,7 @@
                 int n = count(t, world.listedAtStart);
                 for (int m = added; m < added + n; m++) {
                     double at = within(t);
-                    planner.plan(at, world.members[m], Kinds.RISES, null, 0);
+                    planner.plan(at, world.members[m], new EndpointMessage.ProcessStarts());
                     state(at, m, EndpointStatus.SERVING, at);
                 }
                 added += n;
@@ -96,8 +97,8 @@
     }
 
     private void fault(Trouble t, EmulatedEndpoint member, EndpointFaults.Fate fate, double share) {
-        planner.plan(t.atMs(), member, Kinds.FAULT, fate, share);
-        planner.plan(t.atMs() + t.overMs(), member, Kinds.FAULT, fate, 0);
+        planner.plan(t.atMs(), member, new EndpointMessage.FaultShare(fate, share));
+        planner.plan(t.atMs() + t.overMs(), member, new EndpointMessage.FaultShare(fate, 0));
     }
 
     /** Who is out of whose reach, and when; from a chance of its own, as the world must know it before all else. */
@@ -136,11 +137,11 @@
         double knownMs = t.atMs() + world.scenario.discovery().silentMs();
         for (int m = 0; m < world.listedAtStart; m++) {
             if (world.members[m].site.equals(site)) {
-                planner.plan(t.atMs(), world.members[m], Kinds.DIES, null, 0);
+                planner.plan(t.atMs(), world.members[m], new EndpointMessage.ProcessEnds(false));
                 if (knownMs < backMs) {
                     state(knownMs, m, EndpointStatus.REMOVED, 0);
                 }
-                planner.plan(backMs, world.members[m], Kinds.RISES, null, 0);
+                planner.plan(backMs, world.members[m], new EndpointMessage.ProcessStarts());
                 state(backMs, m, EndpointStatus.SERVING, backMs);
             }
         }
@@ -159,16 +160,17 @@
                 case "deploy-members", "remove-members" -> {
                     double gone = at + model.drainMs();
                     state(at, m, EndpointStatus.DRAINING, 0);
-                    planner.plan(gone, member, Kinds.DRAINED, null, 0);
+                    planner.plan(gone, member, new EndpointMessage.DrainOver());
                     state(gone, m, EndpointStatus.REMOVED, 0);
                     if (t.kind().startsWith("deploy")) {
                         double back = gone + model.restartMs();
-                        planner.plan(back, member, Kinds.RISES, null, 0);
+                        planner.plan(back, member, new EndpointMessage.ProcessStarts());
                         state(back, m, EndpointStatus.SERVING, back);
                     }
                 }
                 case "kill-members", "crash-members" -> {
-                    planner.plan(at, member, Kinds.DIES, null, t.kind().startsWith("crash") ? 1 : 0);
+                    planner.plan(
+                            at, member, new EndpointMessage.ProcessEnds(t.kind().startsWith("crash")));
                     state(
                             at
                                     + (t.kind().startsWith("crash")
@@ -179,11 +181,11 @@
                             0);
                 }
                 case "slow-members" -> {
-                    planner.plan(at, member, Kinds.SLOW, null, Math.max(1, t.factor()));
-                    planner.plan(at + t.overMs(), member, Kinds.SLOW, null, 1);
+                    planner.plan(at, member, new EndpointMessage.Slowdown(Math.max(1, t.factor())));
+                    planner.plan(at + t.overMs(), member, new EndpointMessage.Slowdown(1));
                 }
                 case "failing-members" -> fault(t, member, EndpointFaults.Fate.ERROR, Math.min(1, t.factor()));
-                case "pause-members" -> planner.plan(at, member, Kinds.PAUSE, null, t.overMs());
+                case "pause-members" -> planner.plan(at, member, new EndpointMessage.Pause(t.overMs()));
                 default -> throw new IllegalStateException(t.kind());
             }
         }
@@ -196,21 +198,19 @@
                     planner.plan(
                             within(t),
                             world.nodes[n],
-                            Kinds.STOP,
-                            null,
-                            t.kind().startsWith("deploy") ? 1 : 0);
+                            new ProcessMessage.StopProcess(t.kind().startsWith("deploy")));
                 }
             }
-            case "dark-list" -> planner.plan(t.atMs(), world.discovery, Kinds.DARK, null, t.overMs());
+            case "dark-list" -> planner.plan(t.atMs(), world.discovery, new DiscoveryMessage.Outage(t.overMs()));
             case "burst" -> {
                 for (NodeActor n : world.nodes) {
-                    planner.plan(t.atMs(), n, Kinds.RATE, null, t.factor());
-                    planner.plan(t.atMs() + t.overMs(), n, Kinds.RATE, null, 1);
+                    planner.plan(t.atMs(), n, new ClientMessage.ArrivalRate(t.factor()));
+                    planner.plan(t.atMs() + t.overMs(), n, new ClientMessage.ArrivalRate(1));
                 }
             }
             case "impatient" -> {
                 for (NodeActor n : world.nodes) {
-                    planner.plan(t.atMs(), n, Kinds.IMPATIENT, null, t.overMs());
+                    planner.plan(t.atMs(), n, new ClientMessage.ImpatientClients(t.overMs()));
                 }
             }
             case "roll-nodes" -> {
@@ -218,20 +218,23 @@
                 List<Integer> all = chosen(new Trouble(0, t.kind(), 1, 0, 0, 0), world.nodes.length);
                 for (int i = 0; i < all.size(); i++) {
                     int step = i * steps / all.size();
-                    planner.plan(t.atMs() + t.overMs() * step / steps, world.nodes[all.get(i)], Kinds.STOP, null, 1);
+                    planner.plan(
+                            t.atMs() + t.overMs() * step / steps,
+                            world.nodes[all.get(i)],
+                            new ProcessMessage.StopProcess(true));
                 }
             }
             case "reload" -> {
                 for (NodeActor n : world.nodes) {
-                    planner.plan(within(t), n, Kinds.RELOAD, null, 0);
+                    planner.plan(within(t), n, new ProcessMessage.ReloadConfiguration());
                 }
             }
             case "clocks-ahead", "clocks-behind" -> {
                 double off = 1000 * t.factor() * (t.kind().equals("clocks-ahead") ? 1 : -1);
                 for (int m : chosen(t, world.members.length)) {
-                    planner.plan(t.atMs(), world.discovery, Kinds.CLOCK, m, off);
+                    planner.plan(t.atMs(), world.discovery, new DiscoveryMessage.ClockStep(m, off));
                     if (t.overMs() > 0) {
-                        planner.plan(t.atMs() + t.overMs(), world.discovery, Kinds.CLOCK, m, 0);
+                        planner.plan(t.atMs() + t.overMs(), world.discovery, new DiscoveryMessage.ClockStep(m, 0));
                     }
                 }
             }
@@ -240,37 +243,36 @@
             }
             case "hot-restart-nodes" -> {
                 for (int n : chosen(t, world.nodes.length)) {
-                    planner.plan(within(t), world.nodes[n], Kinds.HOT_RESTART, null, 0);
+                    planner.plan(within(t), world.nodes[n], new ProcessMessage.HotRestart());
                 }
             }
             case "hold-up-nodes" -> {
                 for (int n : chosen(t, world.nodes.length)) {
-                    planner.plan(t.atMs(), world.nodes[n], Kinds.HOLD_UPS, null, t.overMs());
+                    planner.plan(t.atMs(), world.nodes[n], new ProcessMessage.StallsBegin(t.overMs()));
                 }
             }
             case "late-list" -> {
-                planner.plan(t.atMs(), world.discovery, Kinds.LATE, null, 1000 * t.factor());
-                planner.plan(t.atMs() + t.overMs(), world.discovery, Kinds.LATE, null, 0);
+                planner.plan(t.atMs(), world.discovery, new DiscoveryMessage.NotificationDelay(1000 * t.factor()));
+                planner.plan(t.atMs() + t.overMs(), world.discovery, new DiscoveryMessage.NotificationDelay(0));
             }
             case "early-clients" -> {
                 for (NodeActor n : world.nodes) {
-                    planner.plan(t.atMs(), n, Kinds.EARLY, null, t.share());
+                    planner.plan(t.atMs(), n, new ClientMessage.EarlyLeaveShare(t.share()));
                     planner.plan(
                             t.atMs() + t.overMs(),
                             n,
-                            Kinds.EARLY,
-                            null,
-                            world.scenario.clients().giveUpShare());
+                            new ClientMessage.EarlyLeaveShare(
+                                    world.scenario.clients().giveUpShare()));
                 }
             }
             case "shift" -> shift(t);
             case "lose-zone" -> zone(t);
             case "partition", "silence-members" -> {
                 for (NodeActor n : world.nodes) {
-                    planner.plan(t.atMs(), n, Kinds.CUT, null, 0);
+                    planner.plan(t.atMs(), n, new ProcessMessage.NetworkPartitioned());
                 }
                 for (EmulatedEndpoint m : world.members) {
-                    planner.plan(t.atMs(), m, Kinds.CUT, null, 0);
+                    planner.plan(t.atMs(), m, new EndpointMessage.PartitionBegan());
                 }
             }
             default ->
@@ -288,8 +290,9 @@
         }
         double others = there < 1 ? Math.max(0, (1 - t.factor() * there) / (1 - there)) : 1;
         for (NodeActor n : world.nodes) {
-            planner.plan(t.atMs(), n, Kinds.RATE, null, n.site.equals(site) && there < 1 ? t.factor() : others);
-            planner.plan(t.atMs() + t.overMs(), n, Kinds.RATE, null, 1);
+            planner.plan(
+                    t.atMs(), n, new ClientMessage.ArrivalRate(n.site.equals(site) && there < 1 ? t.factor() : others));
+            planner.plan(t.atMs() + t.overMs(), n, new ClientMessage.ArrivalRate(1));
         }
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/World.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/World.java
@@ -137,7 +137,7 @@
             ClientDemand w = wish(random, at);
             wants(tallies[0], w, at);
             w.firstAskedMs = at;
-            nodes[random.nextInt(nodes.length)].remindSelf(at, Kinds.COMES, w);
+            nodes[random.nextInt(nodes.length)].scheduleSelf(at, new ClientMessage.ClientReturns(w));
         }
         for (int i = 0; i < scenario.clients().standing() && !scenario.clients().comeAtFirst(); i++) {
             // Where an earlier day left them: about even, as by the lighter of two.
@@ -284,7 +284,7 @@
     }
 
     /** Without jitter: what discovery tells comes in order. */
-    double wayToDiscovery(Actor of) {
+    double wayToDiscovery(Actor<?> of) {
         String site = of instanceof NodeActor n ? n.site : ((EmulatedEndpoint) of).site;
         return site.equals(discovery.site())
                 ? scenario.network().withinMs()
