--- a/emulator/src/main/java/tulipshed/emulator/model/World.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/World.java
@@ -83,11 +83,7 @@
                 .toArray());
         List<EndpointType> kinds = kindsInTurn();
         int atFirst = kinds.size();
-        double[] popularity = new double[scenario.clients().groupCount()];
-        for (int g = 0; g < popularity.length; g++) {
-            popularity[g] = Math.pow(g + 1, -scenario.clients().groupSkew());
-        }
-        groupUpTo = upTo(popularity);
+        groupUpTo = upTo(groupPopularity());
         listedAtStart = atFirst;
         int more = scenario.faults().stream()
                 .filter(t -> t.kind().equals("add-members"))
@@ -114,6 +110,15 @@
         begin();
     }
 
+    /** The relative popularity of each affinity group: a Zipf distribution. */
+    private double[] groupPopularity() {
+        double[] popularity = new double[scenario.clients().groupCount()];
+        for (int g = 0; g < popularity.length; g++) {
+            popularity[g] = Math.pow(g + 1, -scenario.clients().groupSkew());
+        }
+        return popularity;
+    }
+
     /** Kinds take turns, so that a fleet's first members are no single kind. */
     private List<EndpointType> kindsInTurn() {
         List<EndpointType> out = new ArrayList<>();
@@ -148,7 +153,7 @@
             ClientDemand w = wish(random, at);
             wants(tallies[0], w, at);
             w.firstRequestMs = at;
-            nodes[random.nextInt(nodes.length)].remindSelf(at, Kinds.COMES, w);
+            nodes[random.nextInt(nodes.length)].scheduleSelf(at, new ClientMessage.ClientReturns(w));
         }
         for (int i = 0;
                 i < scenario.clients().establishedAtStart()
@@ -298,7 +303,7 @@
     }
 
     /** Without jitter: what discovery tells comes in order. */
-    double wayToDiscovery(Actor of) {
+    double wayToDiscovery(Actor<?> of) {
         String site = of instanceof NodeActor n ? n.site : ((EmulatedEndpoint) of).site;
         return site.equals(discovery.site())
                 ? scenario.network().withinSiteMs()
--- a/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
+++ b/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
@@ -29,7 +29,7 @@
             metaVar = "NAME=VALUE",
             usage =
                     "an attribute's value, as often as there are attributes; a name "
-                            + "that is not an attribute of a transaction or a member becomes one, of the type that its value looks like")
+                            + "that is not an attribute of a request or an endpoint becomes one, of the type that its value looks like")
     private List<String> assignments = new ArrayList<>();
 
     @Override
@@ -62,7 +62,7 @@
         if (!problems.none()) {
             return Optional.empty();
         }
-        Expression checked = new TypeChecker(schema, problems).any(forms.get(0));
+        Expression checked = new TypeChecker(schema, problems).infer(forms.get(0));
         if (checked != null && checked.type() == Type.ADDRESS) {
             problems.add(checked.place(), "an address can only be compared or looked for in networks");
         }
@@ -76,7 +76,7 @@
         frame.begin();
         values.setIn(frame, checked);
         System.out.println("type: " + checked.type());
-        System.out.println("value: " + value.boxed(frame));
+        System.out.println("value: " + value.boxedValue(frame));
         System.out.println("cost: " + frame.spent() + ", at most " + new CostModel().bound(checked));
     }
 }
