--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/Fault.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/Fault.java
@@ -4,25 +4,29 @@
 import java.util.Set;
 
 /**
- * One thing that is wrong for a time, drawn before the day begins.
+ * One fault of links or processes, drawn before the run begins. It is active from {@code fromMs} on and before
+ * {@code untilMs}; both are milliseconds of the scenario.
  *
- * @param kind the trouble's word in scenario files
- * @param nodes the nodes whose links or processes it is
- * @param members the members whose links it is; empty where it is none of theirs
- * @param condition of those links meanwhile; sound for what happens at one moment
- * @param share for a reset, of the connections over each link
+ * @param kind its name in scenario files
+ * @param nodes indices of the nodes whose links or processes it affects
+ * @param endpoints indices of the endpoints whose links to these nodes it affects; empty where it affects the links to
+ *     discovery, or the processes
+ * @param linkState state of those links meanwhile; {@link LinkState#HEALTHY} for a fault that lasts for a moment only
+ * @param resetShare for a reset, the share of the connections over each link that are reset, from 0 to 1
+ * @param midLine for a reset, whether half of the bytes that wait for delivery are delivered first
  */
 record Fault(
         String kind,
         double fromMs,
         double untilMs,
         Set<Integer> nodes,
-        Set<Integer> members,
-        LinkState condition,
-        double share,
+        Set<Integer> endpoints,
+        LinkState linkState,
+        double resetShare,
         boolean midLine) {
 
-    boolean at(double nowMs) {
+    /** Whether the fault is active at a moment. */
+    boolean isActiveAt(double nowMs) {
         return nowMs >= fromMs && nowMs < untilMs;
     }
 
@@ -35,6 +39,6 @@
                 untilMs / 1000,
                 kind,
                 nodes,
-                members.isEmpty() ? "" : ", members " + members);
+                endpoints.isEmpty() ? "" : ", members " + endpoints);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/FaultInjectionRun.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/FaultInjectionRun.java
@@ -5,6 +5,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import tulipshed.emulator.loadtest.LinkObserver;
 import tulipshed.emulator.loadtest.LoadTestRun;
 import tulipshed.emulator.loadtest.NetworkPaths;
 import tulipshed.emulator.model.RandomStreams;
@@ -12,113 +13,143 @@
 import tulipshed.emulator.scenario.EndpointType;
 import tulipshed.emulator.scenario.Scenario;
 
-/** One trial: real nodes in the emulator's world, each link between them and it through a relay, under a schedule of faults. */
+/**
+ * One fault-injection run: real nodes in the emulated world, each link between them and it through a {@link
+ * FaultInjectionProxy}, under a schedule of faults.
+ */
 public final class FaultInjectionRun implements AutoCloseable, NetworkPaths {
-    private static final int DRAWS = 31; // apart from the world's own chances
-    private static final int JITTER = 32;
+    /** Streams of random numbers apart from those of the emulated world. */
+    private static final int SCHEDULE_STREAM = 31;
+
+    private static final int JITTER_STREAM = 32;
 
     private final LinkFaultSchedule schedule;
-    private final List<Double> changes;
-    private final FaultInjectionProxy relays;
+    private final List<Double> changesMs;
+    private final FaultInjectionProxy proxy;
     private final LoadTestRun run;
-    /** By node, then member. */
-    private final List<List<ProxiedLink>> members = new ArrayList<>();
 
-    private final List<ProxiedLink> discovery = new ArrayList<>();
-    private double turnedMs = -1;
+    /** By node, then endpoint. */
+    private final List<List<ProxiedLink>> endpointLinks = new ArrayList<>();
+
+    /** By node. */
+    private final List<ProxiedLink> discoveryLinks = new ArrayList<>();
+
+    /** The moment up to which the schedule has been applied, in milliseconds of the scenario. */
+    private double appliedMs = -1;
 
-    /** The trial of a scenario, with the faults that its seed draws. */
-    public FaultInjectionRun(Scenario s, long seed, Path jar) throws IOException {
-        this(s, seed, jar, draw(s, seed));
+    /**
+     * Sets up the run of a scenario, with the faults that its seed draws.
+     *
+     * @param jar the jar of the node
+     * @throws IOException if sockets or processes cannot be set up
+     * @throws IllegalArgumentException if the scenario is too large for the sockets of one machine
+     */
+    public FaultInjectionRun(Scenario scenario, long seed, Path jar) throws IOException {
+        this(scenario, seed, jar, drawSchedule(scenario, seed));
     }
 
-    FaultInjectionRun(Scenario s, long seed, Path jar, LinkFaultSchedule schedule) throws IOException {
+    FaultInjectionRun(Scenario scenario, long seed, Path jar, LinkFaultSchedule schedule) throws IOException {
         this.schedule = schedule;
-        changes = schedule.changes();
-        for (int n = 0; n < s.nodes().count(); n++) {
-            members.add(new ArrayList<>());
+        changesMs = schedule.changesMs();
+        for (int node = 0; node < scenario.nodes().count(); node++) {
+            endpointLinks.add(new ArrayList<>());
         }
-        relays = new FaultInjectionProxy(RandomStreams.random(seed, JITTER, 0));
+        proxy = new FaultInjectionProxy(RandomStreams.random(seed, JITTER_STREAM, 0));
         try {
-            run = new LoadTestRun(LinkFaultSchedule.rest(s), seed, jar, this);
+            run = new LoadTestRun(LinkFaultSchedule.withoutLinkFaults(scenario), seed, jar, this);
         } catch (IOException | RuntimeException e) {
-            relays.close();
+            proxy.close();
             throw e;
         }
     }
 
-    static LinkFaultSchedule draw(Scenario s, long seed) {
-        int members = s.endpointTypes().stream().mapToInt(EndpointType::count).sum();
-        return LinkFaultSchedule.draw(s, members, RandomStreams.random(seed, DRAWS, 0));
+    /** The schedule that a seed draws. */
+    static LinkFaultSchedule drawSchedule(Scenario scenario, long seed) {
+        int endpointCount =
+                scenario.endpointTypes().stream().mapToInt(EndpointType::count).sum();
+        return LinkFaultGenerator.draw(scenario, endpointCount, RandomStreams.random(seed, SCHEDULE_STREAM, 0));
     }
 
-    /** Plays it. */
+    /**
+     * Runs the scenario in real time and judges what came of it.
+     *
+     * @throws IOException if the nodes do not start, or sockets fail
+     */
     public FaultInjectionResult play(FaultInjectionResult.Bounds bounds) throws IOException, InterruptedException {
-        RunResult o = run.run();
-        return FaultInjectionResult.of(schedule, o, run, relays.lateMs(), bounds);
+        RunResult outcome = run.run();
+        return FaultInjectionEvaluation.evaluate(schedule, outcome, run, proxy.maxLatenessMs(), bounds);
     }
 
-    /** Where its nodes listen. */
+    /** The addresses at which the nodes listen. */
     List<String> nodes() {
         return run.nodes();
     }
 
-    /** What the nodes said between two moments of the day. */
+    /** What the nodes logged between two moments of the scenario, in milliseconds. */
     public List<String> said(double fromMs, double toMs) {
         return run.said(fromMs, toMs);
     }
 
-    // ---- The ways of the run ----
-
     @Override
-    public InetSocketAddress toMember(int node, int member, InetSocketAddress there, Ear ear) throws IOException {
-        ProxiedLink link = relays.link(there, ear);
-        members.get(node).add(link);
+    public InetSocketAddress openLinkToEndpoint(int node, int endpoint, InetSocketAddress target, LinkObserver observer)
+            throws IOException {
+        ProxiedLink link = proxy.openLink(target, observer);
+        endpointLinks.get(node).add(link);
         return link.address();
     }
 
     @Override
-    public InetSocketAddress toDiscovery(int node, InetSocketAddress there) throws IOException {
-        ProxiedLink link = relays.link(there, null);
-        discovery.add(link);
+    public InetSocketAddress openLinkToDiscovery(int node, InetSocketAddress target) throws IOException {
+        ProxiedLink link = proxy.openLink(target, null);
+        discoveryLinks.add(link);
         return link.address();
     }
 
     @Override
-    public double hearsMs(int node, double atMs) {
-        return schedule.hearsMs(node, atMs);
+    public double receivableAtMs(int node, double sentAtMs) {
+        return schedule.receivableAtMs(node, sentAtMs);
     }
 
     @Override
-    public void turn(double nowMs) {
-        double since = turnedMs;
-        if (changes.stream().noneMatch(at -> at > since && at <= nowMs)) {
+    public void advanceTo(double nowMs) {
+        double sinceMs = appliedMs;
+        if (changesMs.stream().noneMatch(atMs -> atMs > sinceMs && atMs <= nowMs)) {
             return;
         }
-        turnedMs = nowMs;
-        for (int n = 0; n < members.size(); n++) {
-            for (int m = 0; m < members.get(n).size(); m++) {
-                become(members.get(n).get(m), schedule.member(n, m, nowMs));
-            }
-            become(discovery.get(n), schedule.discovery(n, nowMs));
-            if (schedule.still(n, nowMs) != schedule.still(n, since)) {
-                run.still(n, schedule.still(n, nowMs));
+        appliedMs = nowMs;
+        for (int node = 0; node < endpointLinks.size(); node++) {
+            updateLinks(node, nowMs);
+            if (schedule.isSuspended(node, nowMs) != schedule.isSuspended(node, sinceMs)) {
+                run.setSuspended(node, schedule.isSuspended(node, nowMs));
             }
         }
-        for (Fault f : schedule.faults()) {
-            if (f.share() > 0 && f.fromMs() > since && f.fromMs() <= nowMs) {
-                members.forEach(links -> links.forEach(l -> relays.on(() -> l.reset(f.share(), f.midLine()))));
+        for (Fault fault : schedule.faults()) {
+            if (fault.resetShare() > 0 && fault.fromMs() > sinceMs && fault.fromMs() <= nowMs) {
+                resetConnections(fault);
             }
         }
     }
 
-    private void become(ProxiedLink link, LinkState now) {
-        relays.on(() -> link.become(now));
+    private void updateLinks(int node, double nowMs) {
+        List<ProxiedLink> links = endpointLinks.get(node);
+        for (int endpoint = 0; endpoint < links.size(); endpoint++) {
+            setState(links.get(endpoint), schedule.linkToEndpoint(node, endpoint, nowMs));
+        }
+        setState(discoveryLinks.get(node), schedule.linkToDiscovery(node, nowMs));
+    }
+
+    private void setState(ProxiedLink link, LinkState state) {
+        proxy.execute(() -> link.setState(state));
+    }
+
+    private void resetConnections(Fault fault) {
+        endpointLinks.forEach(links ->
+                links.forEach(link -> proxy.execute(() -> link.reset(fault.resetShare(), fault.midLine()))));
     }
 
     @Override
     public void close() throws IOException {
         run.close();
-        relays.close();
+        proxy.close();
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/LinkState.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/LinkState.java
@@ -1,24 +1,26 @@
 package tulipshed.emulator.faultinjection;
 
 /**
- * How a link is now, seen from the node's end.
+ * The state of one link between a node and an endpoint or discovery, seen from the node's end.
  *
- * @param holdsOut what the node sends is held until this is over, and then arrives late
- * @param holdsBack what the node is sent is held likewise
- * @param deaf new connections are accepted and hear nothing; they are reset once it is over
- * @param delayMs how long each piece takes more, in either direction
- * @param jitterMs up to so much on top, by chance; pieces of one direction stay in order
+ * @param holdsOutbound whether bytes sent by the node are held while this lasts, to be delivered late
+ * @param holdsInbound whether bytes sent to the node are held likewise
+ * @param blackhole whether new connections are accepted and then receive nothing; they are reset once this is over
+ * @param latencyMs added latency of each delivery, in either direction, in milliseconds
+ * @param jitterMs upper bound of a uniformly random latency on top, in milliseconds; deliveries of one direction keep
+ *     their order
  */
-record LinkState(boolean holdsOut, boolean holdsBack, boolean deaf, double delayMs, double jitterMs) {
-    static final LinkState SOUND = new LinkState(false, false, false, 0, 0);
+record LinkState(boolean holdsOutbound, boolean holdsInbound, boolean blackhole, double latencyMs, double jitterMs) {
+    /** Neither holds, delays nor loses anything. */
+    static final LinkState HEALTHY = new LinkState(false, false, false, 0, 0);
 
-    /** Both at the same time: whatever either holds is held, the longer delay counts. */
-    LinkState and(LinkState o) {
+    /** Both states at the same time: what either holds is held, and the longer latency counts. */
+    LinkState combinedWith(LinkState other) {
         return new LinkState(
-                holdsOut || o.holdsOut,
-                holdsBack || o.holdsBack,
-                deaf || o.deaf,
-                Math.max(delayMs, o.delayMs),
-                Math.max(jitterMs, o.jitterMs));
+                holdsOutbound || other.holdsOutbound,
+                holdsInbound || other.holdsInbound,
+                blackhole || other.blackhole,
+                Math.max(latencyMs, other.latencyMs),
+                Math.max(jitterMs, other.jitterMs));
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/ProxiedConnection.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/ProxiedConnection.java
@@ -2,270 +2,226 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
-import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
+import tulipshed.emulator.faultinjection.PendingDelivery.StreamEnd;
 
-/** One connection over a link: two sockets, and in each direction what has been read and not yet been passed on. */
+/**
+ * One connection over a link: the node's socket, the socket to the link's target, and in each direction what has been
+ * read and not yet passed on. Confined to the proxy's thread.
+ */
 final class ProxiedConnection {
-    private static final int HELD_BYTES = 256 * 1024;
-    private static final int LINE_BYTES = 4096;
+    private static final int MAX_FIRST_LINE_BYTES = 4096;
+    private static final double NANOS_PER_MILLI = 1e6;
 
     private final ProxiedLink link;
-    private final FaultInjectionProxy relays;
-    private final Side node;
-    private final Side other;
-    private final StringBuilder first = new StringBuilder();
-    private final long number;
-    private long firstRound = -1;
-    private boolean toldFirst;
-    private boolean toldOver;
-
-    private enum End {
-        NONE,
-        FINISHED,
-        RESET
-    }
+    private final FaultInjectionProxy proxy;
+    private final ProxiedSocket nodeSocket;
 
-    /** What was read at once, or an end, and when it is due. */
-    private record Piece(ByteBuffer bytes, End end, long dueNs) {}
-
-    /** One socket, and what waits to be written to it. */
-    private final class Side {
-        private final SocketChannel channel;
-        private final SelectionKey key;
-        private final ArrayDeque<Piece> due = new ArrayDeque<>();
-        private int bytes;
-        private long lastNs;
-        private boolean blocked;
-        private boolean readOut;
-
-        Side(SocketChannel channel, boolean connecting) throws IOException {
-            this.channel = channel;
-            channel.configureBlocking(false);
-            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            key = channel.register(
-                    relays.selector(),
-                    connecting ? SelectionKey.OP_CONNECT : SelectionKey.OP_READ,
-                    ProxiedConnection.this);
-        }
+    /** Null where new connections of the link receive nothing. */
+    private final ProxiedSocket targetSocket;
 
-        void interest() {
-            if (key.isValid() && (key.interestOps() & SelectionKey.OP_CONNECT) == 0) {
-                Side towards = this == node ? other : node;
-                boolean reads = !readOut && (towards == null || towards.bytes < HELD_BYTES);
-                key.interestOps((reads ? SelectionKey.OP_READ : 0) | (blocked ? SelectionKey.OP_WRITE : 0));
-            }
-        }
-    }
+    private final long number;
+    private final StringBuilder firstLine = new StringBuilder();
+    private long firstLineRound = -1;
+    private boolean isFirstLineReported;
+    private boolean isCloseReported;
 
-    /** Carries a connection on to an address, or nowhere where that is null. */
-    ProxiedConnection(ProxiedLink link, FaultInjectionProxy relays, SocketChannel from, InetSocketAddress to)
+    /** Passes an accepted connection on to an address, or nowhere where that is null. */
+    ProxiedConnection(ProxiedLink link, FaultInjectionProxy proxy, SocketChannel accepted, InetSocketAddress target)
             throws IOException {
         this.link = link;
-        this.relays = relays;
-        number = relays.nextConnection();
-        node = new Side(from, false);
-        if (to == null) {
-            other = null;
+        this.proxy = proxy;
+        number = proxy.nextConnectionNumber();
+        nodeSocket = new ProxiedSocket(accepted, false, proxy.selector(), this);
+        if (target == null) {
+            targetSocket = null;
             return;
         }
-        SocketChannel c = SocketChannel.open();
-        c.configureBlocking(false);
-        other = new Side(c, !c.connect(to));
+        SocketChannel channel = SocketChannel.open();
+        channel.configureBlocking(false);
+        targetSocket = new ProxiedSocket(channel, !channel.connect(target), proxy.selector(), this);
     }
 
-    /** Whether nobody is at its other end. */
-    boolean unheard() {
-        return other == null;
+    /** Whether the connection was accepted while the link was a black hole, so that nobody receives what it sends. */
+    boolean isUnconnected() {
+        return targetSocket == null;
     }
 
-    void ready() {
+    /** Handles the readiness of either socket. */
+    void onReady() {
         try {
-            if (other != null && other.key.isValid() && other.key.isConnectable() && other.channel.finishConnect()) {
-                other.key.interestOps(SelectionKey.OP_READ);
+            if (targetSocket != null) {
+                targetSocket.finishConnect();
             }
         } catch (IOException e) {
-            // Refused: as a process that is not there refuses.
+            // Refused, as a process that is not there refuses.
             reset(false);
             return;
         }
-        read(node);
-        if (other != null) {
-            read(other);
+        read(nodeSocket);
+        if (targetSocket != null) {
+            read(targetSocket);
         }
-        for (Side s : new Side[] {node, other}) {
-            if (s != null && s.key.isValid() && s.key.isWritable()) {
-                s.blocked = false;
-            }
+        nodeSocket.unblockIfWritable();
+        if (targetSocket != null) {
+            targetSocket.unblockIfWritable();
         }
         deliver();
     }
 
-    private void read(Side s) {
-        if (s.readOut || !s.key.isValid() || !s.key.isReadable()) {
+    private void read(ProxiedSocket from) {
+        if (!from.isReadable()) {
             return;
         }
-        ByteBuffer in = relays.scratch();
-        in.clear();
-        End end = End.NONE;
-        try {
-            end = s.channel.read(in) < 0 ? End.FINISHED : End.NONE;
-        } catch (IOException e) {
-            end = End.RESET;
-        }
-        in.flip();
-        if (s == node && in.hasRemaining()) {
-            hearFirst(in.duplicate());
-        }
-        Side towards = s == node ? other : node;
-        if (in.hasRemaining()) {
-            byte[] bytes = new byte[in.remaining()];
-            in.get(bytes);
-            put(towards, new Piece(ByteBuffer.wrap(bytes), End.NONE, dueNs(towards)));
-        }
-        if (end != End.NONE) {
-            s.readOut = true;
-            put(towards, new Piece(null, end, dueNs(towards)));
-            if (s == node) {
-                over();
+        ByteBuffer buffer = proxy.readBuffer();
+        StreamEnd end = from.read(buffer);
+        if (from == nodeSocket && buffer.hasRemaining()) {
+            readFirstLine(buffer.duplicate());
+        }
+        ProxiedSocket to = from == nodeSocket ? targetSocket : nodeSocket;
+        if (buffer.hasRemaining()) {
+            byte[] bytes = new byte[buffer.remaining()];
+            buffer.get(bytes);
+            enqueue(to, PendingDelivery.ofBytes(bytes, dueNs(to)));
+        }
+        if (end != StreamEnd.NONE) {
+            enqueue(to, PendingDelivery.ofEnd(end, dueNs(to)));
+            if (from == nodeSocket) {
+                reportClosed();
             }
         }
-        s.interest();
+        from.updateInterest(to);
     }
 
-    private long dueNs(Side towards) {
-        LinkState c = link.condition();
-        double ms = c.delayMs() + (c.jitterMs() > 0 ? c.jitterMs() * relays.chance() : 0);
-        long due = System.nanoTime() + (long) (ms * 1e6);
-        return towards == null ? due : Math.max(towards.lastNs, due);
+    private long dueNs(ProxiedSocket to) {
+        LinkState state = link.state();
+        double latencyMs =
+                state.latencyMs() + (state.jitterMs() > 0 ? state.jitterMs() * proxy.nextRandomFraction() : 0);
+        long dueNs = System.nanoTime() + (long) (latencyMs * NANOS_PER_MILLI);
+        return to == null ? dueNs : to.earliestDueNs(dueNs);
     }
 
-    private void put(Side towards, Piece p) {
-        if (towards == null) {
-            if (p.end() != End.NONE) {
-                reset(false);
-            }
-            return;
+    private void enqueue(ProxiedSocket to, PendingDelivery delivery) {
+        if (to != null) {
+            to.enqueue(delivery);
+        } else if (delivery.end() != StreamEnd.NONE) {
+            reset(false);
         }
-        towards.due.add(p);
-        towards.lastNs = p.dueNs();
-        towards.bytes += p.bytes() == null ? 0 : p.bytes().remaining();
     }
 
-    /** Passes on what is due, unless it is held. */
+    /** Passes on what is due, unless the link holds it. */
     void deliver() {
-        if (other == null) {
+        if (targetSocket == null) {
             return;
         }
-        if (!link.condition().holdsOut()) {
-            deliver(other);
+        if (!link.state().holdsOutbound()) {
+            deliverTo(targetSocket);
         }
-        if (!link.condition().holdsBack()) {
-            deliver(node);
+        if (!link.state().holdsInbound()) {
+            deliverTo(nodeSocket);
         }
-        node.interest();
-        other.interest();
-        if (node.readOut && other.readOut && node.due.isEmpty() && other.due.isEmpty()) {
-            drop();
+        nodeSocket.updateInterest(targetSocket);
+        targetSocket.updateInterest(nodeSocket);
+        if (nodeSocket.isDone() && targetSocket.isDone()) {
+            close();
         }
     }
 
-    private void deliver(Side s) {
-        if (!s.channel.isConnected() && s.key.isValid()) {
+    private void deliverTo(ProxiedSocket to) {
+        if (!to.isConnected()) {
             return;
         }
-        long now = System.nanoTime();
-        while (!s.due.isEmpty() && !s.blocked && s.due.peek().dueNs() <= now) {
-            Piece p = s.due.peek();
+        long nowNs = System.nanoTime();
+        for (PendingDelivery next = to.nextDue(nowNs); next != null; next = to.nextDue(nowNs)) {
             try {
-                if (p.bytes() != null) {
-                    s.bytes -= s.channel.write(p.bytes());
-                    s.blocked = p.bytes().hasRemaining();
-                    if (s.blocked) {
-                        return;
-                    }
-                    relays.late(now - Math.max(p.dueNs(), link.changedNs()));
-                } else if (p.end() == End.FINISHED) {
-                    s.channel.shutdownOutput();
-                    if (s == node) {
-                        // The end of the flow as the node knows it.
-                        over();
-                    }
-                } else {
-                    reset(false);
+                if (!isDelivered(next, to, nowNs)) {
                     return;
                 }
             } catch (IOException e) {
-                // Whoever was to read it has gone: what it still sends is of no use to anybody either.
+                // The reader has gone: what it still sends is of no use to anybody either.
                 reset(false);
                 return;
             }
-            s.due.poll();
+            to.removeFirst();
         }
     }
 
-    private void hearFirst(ByteBuffer in) {
-        if (toldFirst || link.ear() == null) {
+    private boolean isDelivered(PendingDelivery next, ProxiedSocket to, long nowNs) throws IOException {
+        if (next.bytes() != null) {
+            if (!to.write(next)) {
+                return false;
+            }
+            proxy.recordLateness(nowNs - Math.max(next.dueNs(), link.stateSinceNs()));
+            return true;
+        }
+        if (next.end() == StreamEnd.RESET) {
+            reset(false);
+            return false;
+        }
+        to.shutdownOutput();
+        if (to == nodeSocket) {
+            // The node is notified of the end of its attempt.
+            reportClosed();
+        }
+        return true;
+    }
+
+    private void readFirstLine(ByteBuffer received) {
+        if (isFirstLineReported || link.observer() == null) {
             return;
         }
-        first.append(StandardCharsets.ISO_8859_1.decode(in));
-        int end = first.indexOf("\n");
-        if (end >= 0 || first.length() > LINE_BYTES) {
-            toldFirst = true;
-            String line = end >= 0 ? first.substring(0, end).strip() : "";
-            first.setLength(0);
-            firstRound = relays.round();
-            relays.tellFirst(number, false, () -> link.ear().first(this, line));
+        firstLine.append(StandardCharsets.ISO_8859_1.decode(received));
+        int end = firstLine.indexOf("\n");
+        if (end >= 0 || firstLine.length() > MAX_FIRST_LINE_BYTES) {
+            isFirstLineReported = true;
+            String line = end >= 0 ? firstLine.substring(0, end).strip() : "";
+            firstLine.setLength(0);
+            firstLineRound = proxy.round();
+            proxy.reportStart(number, false, () -> link.observer().onFirstLine(this, line));
         }
     }
 
-    private void over() {
-        if (!toldOver && link.ear() != null) {
-            toldOver = true;
-            Runnable what = () -> link.ear().over(this);
-            if (firstRound == relays.round()) {
-                relays.tellFirst(number, true, what);
-            } else {
-                relays.tellEnd(what);
-            }
+    private void reportClosed() {
+        if (isCloseReported || link.observer() == null) {
+            return;
+        }
+        isCloseReported = true;
+        Runnable report = () -> link.observer().onClosed(this);
+        if (firstLineRound == proxy.round()) {
+            proxy.reportStart(number, true, report);
+        } else {
+            proxy.reportEnd(report);
         }
     }
 
-    /** Breaks both sides; {@code midLine} lets half of what is owed to each through before. */
+    /** Resets both sockets; {@code midLine} delivers half of the first bytes that wait at each before. */
     void reset(boolean midLine) {
-        for (Side s : new Side[] {node, other}) {
-            if (s == null) {
-                continue;
-            }
-            try {
-                if (midLine && !s.due.isEmpty() && s.due.peek().bytes() != null && s.channel.isConnected()) {
-                    ByteBuffer half = s.due.peek().bytes();
-                    s.channel.write(half.limit(half.position() + half.remaining() / 2));
-                }
-                s.channel.setOption(StandardSocketOptions.SO_LINGER, 0);
-            } catch (IOException e) {
-                // It has ended by itself.
-            }
+        prepareReset(nodeSocket, midLine);
+        if (targetSocket != null) {
+            prepareReset(targetSocket, midLine);
         }
-        over();
-        drop();
+        reportClosed();
+        close();
     }
 
-    private void drop() {
-        for (Side s : new Side[] {node, other}) {
-            if (s != null) {
-                s.key.cancel();
-                try {
-                    s.channel.close();
-                } catch (IOException e) {
-                    // Nothing is left to be closed.
-                }
+    private static void prepareReset(ProxiedSocket socket, boolean midLine) {
+        try {
+            if (midLine) {
+                socket.writeHalfOfFirst();
             }
+            socket.resetOnClose();
+        } catch (IOException e) {
+            // It has ended by itself.
+        }
+    }
+
+    private void close() {
+        nodeSocket.close();
+        if (targetSocket != null) {
+            targetSocket.close();
         }
-        link.ended(this);
+        link.remove(this);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/ProxiedLink.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/ProxiedLink.java
@@ -10,92 +10,99 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import tulipshed.emulator.loadtest.NetworkPaths;
+import tulipshed.emulator.loadtest.LinkObserver;
 
-/** One link: an address of its own, whose connections are carried on to another under what the link is going through. */
+/**
+ * One link of a node: a loopback address of its own, whose connections are passed on to a target as the state of the link
+ * allows. All but the address is confined to the proxy's thread.
+ */
 final class ProxiedLink {
     private static final int BACKLOG = 256;
 
-    private final FaultInjectionProxy relays;
-    private final InetSocketAddress to;
-    private final NetworkPaths.Ear ear;
+    private final FaultInjectionProxy proxy;
+    private final InetSocketAddress target;
+    private final LinkObserver observer;
     private final ServerSocketChannel listener;
-    private final Set<ProxiedConnection> carried = new LinkedHashSet<>();
-    private LinkState condition = LinkState.SOUND;
-    private long changedNs = System.nanoTime();
-
-    ProxiedLink(FaultInjectionProxy relays, InetSocketAddress to, NetworkPaths.Ear ear) throws IOException {
-        this.relays = relays;
-        this.to = to;
-        this.ear = ear;
+    private final Set<ProxiedConnection> connections = new LinkedHashSet<>();
+    private LinkState state = LinkState.HEALTHY;
+    private long stateSinceNs = System.nanoTime();
+
+    /** Opens a healthy link; {@code observer} may be null. */
+    ProxiedLink(FaultInjectionProxy proxy, InetSocketAddress target, LinkObserver observer) throws IOException {
+        this.proxy = proxy;
+        this.target = target;
+        this.observer = observer;
         listener = ServerSocketChannel.open();
         listener.configureBlocking(false);
         listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
     }
 
+    /** The address at which the node reaches the target. */
     InetSocketAddress address() throws IOException {
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    // ---- On the relays' thread from here on ----
-
     void register() throws IOException {
-        listener.register(relays.selector(), SelectionKey.OP_ACCEPT, this);
+        listener.register(proxy.selector(), SelectionKey.OP_ACCEPT, this);
     }
 
-    void accept() throws IOException {
-        for (SocketChannel c = listener.accept(); c != null; c = listener.accept()) {
-            carried.add(new ProxiedConnection(this, relays, c, condition.deaf() ? null : to));
+    void acceptAll() throws IOException {
+        for (SocketChannel accepted = listener.accept(); accepted != null; accepted = listener.accept()) {
+            connections.add(new ProxiedConnection(this, proxy, accepted, state.blackhole() ? null : target));
         }
     }
 
-    LinkState condition() {
-        return condition;
+    LinkState state() {
+        return state;
     }
 
-    /** Since when it has been as it is: what was held until then is no fault of the relays. */
-    long changedNs() {
-        return changedNs;
+    /** Since when the link has its state: until then deliveries were held by the state before, not by the proxy. */
+    long stateSinceNs() {
+        return stateSinceNs;
     }
 
-    NetworkPaths.Ear ear() {
-        return ear;
+    /** What is notified of the node's connections, null for nothing. */
+    LinkObserver observer() {
+        return observer;
     }
 
-    void become(LinkState changed) {
-        if (changed.equals(condition)) {
+    /** Changes the state; connections that a black hole accepted are reset once it is over. */
+    void setState(LinkState changed) {
+        if (changed.equals(state)) {
             return;
         }
-        boolean heard = condition.deaf() && !changed.deaf();
-        condition = changed;
-        changedNs = System.nanoTime();
-        for (ProxiedConnection c : List.copyOf(carried)) {
-            if (heard && c.unheard()) {
-                c.reset(false);
+        boolean endsBlackhole = state.blackhole() && !changed.blackhole();
+        state = changed;
+        stateSinceNs = System.nanoTime();
+        for (ProxiedConnection connection : List.copyOf(connections)) {
+            if (endsBlackhole && connection.isUnconnected()) {
+                connection.reset(false);
             } else {
-                c.deliver();
+                connection.deliver();
             }
         }
     }
 
-    /** Breaks what is open, the oldest share of it; {@code midLine} lets half of what a side is owed through before. */
+    /** Resets a share of the open connections, oldest first; {@code midLine} delivers half of what waits before. */
     void reset(double share, boolean midLine) {
-        List<ProxiedConnection> all = new ArrayList<>(carried);
-        all.subList(0, (int) Math.round(all.size() * share)).forEach(c -> c.reset(midLine));
+        List<ProxiedConnection> oldestFirst = new ArrayList<>(connections);
+        int count = (int) Math.round(oldestFirst.size() * share);
+        oldestFirst.subList(0, count).forEach(connection -> connection.reset(midLine));
     }
 
+    /** Passes on what is due on all connections. */
     void deliver() {
-        if (!carried.isEmpty()) {
-            List.copyOf(carried).forEach(ProxiedConnection::deliver);
+        if (!connections.isEmpty()) {
+            List.copyOf(connections).forEach(ProxiedConnection::deliver);
         }
     }
 
-    void ended(ProxiedConnection c) {
-        carried.remove(c);
+    void remove(ProxiedConnection closed) {
+        connections.remove(closed);
     }
 
     void close() throws IOException {
         listener.close();
-        List.copyOf(carried).forEach(c -> c.reset(false));
+        List.copyOf(connections).forEach(connection -> connection.reset(false));
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/LoadTestRun.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/LoadTestRun.java
@@ -142,7 +142,7 @@
             List<InetSocketAddress> reached = new ArrayList<>();
             for (int m = 0; m < members.size(); m++) {
                 InetSocketAddress there = members.get(m).address();
-                reached.add(ways == null ? there : ways.toMember(n, m, there, new MemberEar(m)));
+                reached.add(ways == null ? there : ways.openLinkToEndpoint(n, m, there, new EndpointLinkObserver(m)));
             }
             addresses.add(reached);
             int number = n;
@@ -162,27 +162,27 @@
                     n,
                     seed * 1000 + n,
                     processes.get(n).address(),
-                    ways == null ? discovery : ways.toDiscovery(n, discovery),
+                    ways == null ? discovery : ways.openLinkToDiscovery(n, discovery),
                     world.atStart(),
                     addresses.get(n));
         }
     }
 
     /** One member's, at the node's end; called on the links' thread. */
-    private final class MemberEar implements NetworkPaths.Ear {
+    private final class EndpointLinkObserver implements LinkObserver {
         private final int member;
 
-        MemberEar(int member) {
+        EndpointLinkObserver(int member) {
             this.member = member;
         }
 
         @Override
-        public void first(Object connection, String line) {
+        public void onFirstLine(Object connection, String line) {
             heard.add(new Heard(sinceMs(), member, connection, line));
         }
 
         @Override
-        public void over(Object connection) {
+        public void onClosed(Object connection) {
             heard.add(new Heard(sinceMs(), member, connection, null));
         }
     }
@@ -270,7 +270,7 @@
 
     /** From when on a node can hear what discovery or its agent has at that moment of the day. */
     private double heardMs(int node, double atMs) {
-        return ways == null ? atMs : ways.hearsMs(node, atMs);
+        return ways == null ? atMs : ways.receivableAtMs(node, atMs);
     }
 
     private double sinceMs() {
@@ -332,7 +332,7 @@
     private void hearAll(double atMs) {
         latestMs = atMs;
         if (ways != null) {
-            ways.turn(atMs);
+            ways.advanceTo(atMs);
         }
         hear();
         hearLinks();
@@ -412,9 +412,9 @@
         return processes.stream().map(p -> p.address().toString()).toList();
     }
 
-    /** Has a node's process stand still, or go on where it stood. */
-    public void still(int node, boolean on) {
-        nodes.get(node).still(on);
+    /** Suspends the process of a node (SIGSTOP), or resumes it (SIGCONT). */
+    public void setSuspended(int node, boolean suspended) {
+        nodes.get(node).setSuspended(suspended);
     }
 
     boolean linked() {
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/NodeProcess.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/NodeProcess.java
@@ -114,10 +114,10 @@
         return process != null && !stopped && !process.isAlive();
     }
 
-    /** Has the process stand still, or go on where it stood. */
-    void still(boolean on) {
+    /** Suspends the process (SIGSTOP), or resumes it (SIGCONT). */
+    void setSuspended(boolean suspended) {
         try {
-            new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(process.pid()))
+            new ProcessBuilder("kill", suspended ? "-STOP" : "-CONT", Long.toString(process.pid()))
                     .start()
                     .waitFor();
         } catch (IOException e) {
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
@@ -314,13 +314,13 @@
         }
     }
 
-    /** Has its process stand still, or go on. */
-    void still(boolean on) {
-        if (on) {
+    /** Suspends its process, or resumes it. */
+    void setSuspended(boolean suspended) {
+        if (suspended) {
             pauses.begin(run.nowMs());
-            process.still(true);
+            process.setSuspended(true);
         } else {
-            process.still(false);
+            process.setSuspended(false);
             pauses.end(run.nowMs());
         }
     }
--- a/emulator/src/test/java/tulipshed/emulator/faultinjection/LinkFaultScheduleTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/faultinjection/LinkFaultScheduleTest.java
@@ -24,7 +24,7 @@
     }
 
     private static LinkFaultSchedule draw(String troubles, long seed) {
-        return LinkFaultSchedule.draw(scenario(troubles), 10, RandomStreams.random(seed, 31, 0));
+        return LinkFaultGenerator.draw(scenario(troubles), 10, RandomStreams.random(seed, 31, 0));
     }
 
     @Test
@@ -34,23 +34,24 @@
             for (int m = 0; m < 10; m++) {
                 assertEquals(
                         n % 2 != m % 2,
-                        s.member(n, m, 5000).holdsOut() && s.member(n, m, 8999).holdsBack());
-                assertEquals(LinkState.SOUND, s.member(n, m, 4999));
-                assertEquals(LinkState.SOUND, s.member(n, m, 9000));
+                        s.linkToEndpoint(n, m, 5000).holdsOutbound()
+                                && s.linkToEndpoint(n, m, 8999).holdsInbound());
+                assertEquals(LinkState.HEALTHY, s.linkToEndpoint(n, m, 4999));
+                assertEquals(LinkState.HEALTHY, s.linkToEndpoint(n, m, 9000));
             }
             // Discovery stands at the first site.
-            assertEquals(n % 2 == 1 ? 9000 : 6000, s.hearsMs(n, 6000));
+            assertEquals(n % 2 == 1 ? 9000 : 6000, s.receivableAtMs(n, 6000));
         }
     }
 
     @Test
     void oneWayCutsHoldOneWay() {
         LinkState out = draw("(trouble cut-links (at-s 1)(over-s 1)(share 1)(count 1))", 1)
-                .member(0, 0, 1500);
-        assertTrue(out.holdsOut() && !out.holdsBack() && !out.deaf());
+                .linkToEndpoint(0, 0, 1500);
+        assertTrue(out.holdsOutbound() && !out.holdsInbound() && !out.blackhole());
         LinkState back = draw("(trouble cut-links (at-s 1)(over-s 1)(share 1)(count 2))", 1)
-                .member(0, 0, 1500);
-        assertTrue(!back.holdsOut() && back.holdsBack() && !back.deaf());
+                .linkToEndpoint(0, 0, 1500);
+        assertTrue(!back.holdsOutbound() && back.holdsInbound() && !back.blackhole());
     }
 
     @Test
@@ -63,11 +64,11 @@
         LinkFaultSchedule s = draw(half, 7);
         assertTrue(s.faults().stream()
                         .filter(f -> f.kind().equals("cut-links"))
-                        .map(Fault::members)
+                        .map(Fault::endpoints)
                         .distinct()
                         .count()
                 > 1);
-        assertEquals(List.of(1000.0, 2000.0, 3000.0, 5000.0), s.changes());
+        assertEquals(List.of(1000.0, 2000.0, 3000.0, 5000.0), s.changesMs());
     }
 
     @Test
@@ -76,10 +77,10 @@
                 "(trouble stop-nodes (at-s 2)(over-s 3)(share 1))(trouble mute-discovery (at-s 4)(over-s 4)(share 1))"
                         + "(trouble slow-links (at-s 4)(over-s 2)(share 1)(factor 30))(trouble silence-members (at-s 5)(over-s 2)(share 1))",
                 3);
-        assertEquals(8000, s.hearsMs(0, 2500));
-        assertEquals(1999, s.hearsMs(0, 1999));
-        assertTrue(s.still(0, 4999) && !s.still(0, 5000));
-        assertEquals(new LinkState(true, true, true, 30, 30), s.member(3, 3, 5500));
+        assertEquals(8000, s.receivableAtMs(0, 2500));
+        assertEquals(1999, s.receivableAtMs(0, 1999));
+        assertTrue(s.isSuspended(0, 4999) && !s.isSuspended(0, 5000));
+        assertEquals(new LinkState(true, true, true, 30, 30), s.linkToEndpoint(3, 3, 5500));
     }
 
     @Test
@@ -88,10 +89,10 @@
                 "(trouble partition (at-s 5)(over-s 4))(trouble kill-nodes (at-s 3)(count 1))(trouble cut-links (at-s 1))");
         assertEquals(
                 List.of("kill-nodes"),
-                LinkFaultSchedule.rest(s).faults().stream()
+                LinkFaultSchedule.withoutLinkFaults(s).faults().stream()
                         .map(FaultSettings::kind)
                         .toList());
-        LinkFaultSchedule all = LinkFaultSchedule.draw(s, 10, RandomStreams.random(1, 31, 0));
+        LinkFaultSchedule all = LinkFaultGenerator.draw(s, 10, RandomStreams.random(1, 31, 0));
         assertEquals(1000, all.firstMs());
         assertEquals(9000, all.lastMs(), "also of what the world makes, as all count for being whole again");
     }
--- a/emulator/src/test/java/tulipshed/emulator/faultinjection/TrialTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/faultinjection/TrialTest.java
@@ -176,8 +176,8 @@
     @Test
     void theMeanIsOverWholeSecondsAndNothingElse() {
         List<Double> served = List.of(Double.NaN, 0.5, 1.0, 0.0, 1.0);
-        assertEquals(0.5, FaultInjectionResult.mean(served, 0, 4000), 1e-12);
-        assertEquals(1.0, FaultInjectionResult.mean(served, 1500, 3999), 1e-12);
-        assertTrue(Double.isNaN(FaultInjectionResult.mean(served, 4500, 4900)));
+        assertEquals(0.5, FaultInjectionEvaluation.mean(served, 0, 4000), 1e-12);
+        assertEquals(1.0, FaultInjectionEvaluation.mean(served, 1500, 3999), 1e-12);
+        assertTrue(Double.isNaN(FaultInjectionEvaluation.mean(served, 4500, 4900)));
     }
 }
