--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
@@ -16,7 +16,7 @@
 import tulipshed.emulator.policy.ClientDemand;
 import tulipshed.emulator.policy.ClientRequest;
 import tulipshed.emulator.policy.EmulatedAttempt;
-import tulipshed.emulator.policy.EndpointListing;
+import tulipshed.emulator.policy.EndpointListDelivery;
 
 /** A node that is a process: its clients connect to it over loopback, its flows arrive at the members' sockets. */
 final class SocketNode extends NodeActor {
@@ -59,7 +59,7 @@
     }
 
     @Override
-    protected void begin(EndpointListing.Batch list) {
+    protected void begin(EndpointListDelivery list) {
         rules = newRules(SOCKETS_MS);
         clients.next(0);
     }
@@ -89,15 +89,15 @@
         public void line(LineConnection from, String line) {
             now();
             String word = line.contains(" ") ? line.substring(0, line.indexOf(' ')) : line;
-            if (t.standing) {
+            if (t.established) {
                 if (word.equals("M")) {
                     saidMs = Double.NaN;
                 } else if (word.equals("UP") || word.equals("BUSY") || word.equals("ERR")) {
-                    rules.answered(nowMs, t.watched, word);
+                    rules.answered(nowMs, t.observed, word);
                 }
                 if (word.equals("MOVE")) {
                     gone();
-                    if (t.flow == null || !t.flow.over) {
+                    if (t.attempt == null || !t.attempt.ended) {
                         // Its member counts those that it sends away itself.
                         count(tally().moves);
                     }
@@ -105,19 +105,19 @@
                 }
                 return;
             }
-            if (!t.owed) {
-                rules.answered(nowMs, t.watched, word + " after its answer");
+            if (!t.answerPending) {
+                rules.answered(nowMs, t.observed, word + " after its answer");
                 return;
             }
-            t.owed = false;
+            t.answerPending = false;
             if (word.equals("UP")) {
                 served++;
-                t.standing = true;
+                t.established = true;
                 standing.add(this);
                 schedule(nowMs + SAYS_MS * random.nextDouble(), new ClientLineDue(this));
                 judgeAnswer(t, "served");
                 goOn(() -> clients.served(nowMs, t));
-                schedule(Math.max(nowMs, t.wish.untilMs), new ClientConnectionExpired(this));
+                schedule(Math.max(nowMs, t.demand.wantedUntilMs), new ClientConnectionExpired(this));
                 return;
             }
             schedule(nowMs + LISTENS_ON_MS, new ClientConnectionExpired(this));
@@ -132,21 +132,21 @@
         public void ended(LineConnection from, boolean reset) {
             now();
             drop();
-            if (t.standing) {
+            if (t.established) {
                 if (process.killed()) {
                     // Its members count all other resets.
                     count(tally().resets);
                 }
                 goOn(() -> clients.returns(nowMs, t));
-            } else if (t.owed) {
-                t.owed = false;
+            } else if (t.answerPending) {
+                t.answerPending = false;
                 if (process.killed()) {
-                    rules.left(t.watched);
+                    rules.left(t.observed);
                 } else {
-                    rules.closed(nowMs, t.watched);
+                    rules.closed(nowMs, t.observed);
                 }
-                goOn(() ->
-                        clients.again(nowMs, t.wish, world.scenario().clients().returnMs()));
+                goOn(() -> clients.again(
+                        nowMs, t.demand, world.scenario().clients().returnMs()));
             }
         }
 
@@ -176,7 +176,7 @@
         double sum = 0;
         for (Client c : standing) {
             if (!(atMs - c.saidMs > HEARS_MS)) {
-                sum += world.scenario().classes().get(c.t.wish.requestClass).worth();
+                sum += world.scenario().classes().get(c.t.demand.requestClass).worth();
             }
         }
         return sum;
@@ -203,7 +203,7 @@
      */
     private void judgeAnswer(ClientRequest t, String how) {
         rules.heldUp(Double.POSITIVE_INFINITY, dueMs(t) - latestMs(t));
-        rules.answered(nowMs, t.watched, how);
+        rules.answered(nowMs, t.observed, how);
         rules.heldUp(0, 0);
     }
 
@@ -213,7 +213,7 @@
 
     /** When the answer to a client is owed at the latest; infinite while the process is stopped. */
     private double dueMs(ClientRequest t) {
-        return pauses.dueMs(t.askedMs, latestMs(t));
+        return pauses.dueMs(t.arrivalMs, latestMs(t));
     }
 
     @Override
@@ -225,7 +225,7 @@
                 nowMs + graceMs,
                 rules.asked(nowMs, lastTry, nowMs + graceMs));
         Client c = new Client(t);
-        t.kept = c;
+        t.policyState = c;
         try {
             c.wire = run.connect(process.address(), c);
         } catch (ConnectException e) {
@@ -245,13 +245,13 @@
                 s.tenants().get(w.tenant).name(),
                 Math.round(graceMs),
                 w.group < 0 ? "" : ",g=g" + w.group,
-                w.returning ? ",again=1" : ""));
+                w.reconnecting ? ",again=1" : ""));
         schedule(latestMs(t) + 1, new ClientMessage.AnswerDue(t));
     }
 
     @Override
     protected boolean unanswered(ClientRequest t) {
-        if (!t.owed) {
+        if (!t.answerPending) {
             return false;
         }
         double due = dueMs(t);
@@ -264,15 +264,15 @@
     }
 
     private void waitedInVain(ClientRequest t) {
-        t.owed = false;
-        rules.waited(nowMs, t.watched);
-        ((Client) t.kept).gone();
+        t.answerPending = false;
+        rules.waited(nowMs, t.observed);
+        ((Client) t.policyState).gone();
     }
 
     /** After the day's end: judges a client whose answer is overdue. */
     void judgeOverdue(ClientRequest t) {
         now();
-        if (t.owed && dueMs(t) < nowMs) {
+        if (t.answerPending && dueMs(t) < nowMs) {
             waitedInVain(t);
         }
     }
@@ -282,12 +282,12 @@
         now();
         endpointConnections++;
         EmulatedAttempt f = new EmulatedAttempt(t, member, nowMs, run.toldStartMs(member), this);
-        t.attempts++;
+        t.attemptCount++;
         // One that was held on its way comes after the one that took its place.
-        t.flow = t.flow == null || t.flow.over ? f : t.flow;
-        f.kept = wire;
+        t.attempt = t.attempt == null || t.attempt.ended ? f : t.attempt;
+        f.policyState = wire;
         if (!run.linked()) {
-            rules.sent(nowMs, t.watched, member);
+            rules.sent(nowMs, t.observed, member);
         }
         count(tally().attempts);
         sendDial(f);
@@ -297,8 +297,8 @@
     /** The node has ended a flow, because its client left or because it did not want to wait. */
     void closedByNode(EmulatedAttempt f) {
         now();
-        if (!f.over) {
-            f.over = true;
+        if (!f.ended) {
+            f.ended = true;
             over(f, "closed by the node");
             sendHangup(f);
         }
@@ -307,7 +307,7 @@
     /** Over links, the node's end of them says when a flow is over. */
     private void over(EmulatedAttempt f, String how) {
         if (!run.linked()) {
-            rules.over(nowMs, f.of.watched, how);
+            rules.over(nowMs, f.request.observed, how);
         }
     }
 
@@ -324,15 +324,15 @@
 
     @Override
     protected void onAttemptUp(EmulatedAttempt attempt) {
-        if (!attempt.over) {
-            ((LineConnection) attempt.kept).say("UP r" + Long.toHexString(attempt.of.id));
+        if (!attempt.ended) {
+            ((LineConnection) attempt.policyState).say("UP r" + Long.toHexString(attempt.request.id));
         }
     }
 
     @Override
     protected void onAttemptEnded(EmulatedAttempt attempt, Outcome outcome) {
-        if (!attempt.over) {
-            attempt.over = true;
+        if (!attempt.ended) {
+            attempt.ended = true;
             over(attempt, "" + outcome);
             SocketEndpoint.end(attempt, outcome);
         }
@@ -340,8 +340,8 @@
 
     @Override
     protected void onMessageDelay(EmulatedAttempt attempt, double delayMs) {
-        if (!attempt.over) {
-            ((LineConnection) attempt.kept).say("LOAD " + Math.round(delayMs));
+        if (!attempt.ended) {
+            ((LineConnection) attempt.policyState).say("LOAD " + Math.round(delayMs));
         }
     }
 
--- a/emulator/src/main/java/tulipshed/emulator/model/NodeActor.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/NodeActor.java
@@ -7,7 +7,7 @@
 import tulipshed.emulator.policy.ClientDemand;
 import tulipshed.emulator.policy.ClientRequest;
 import tulipshed.emulator.policy.EmulatedAttempt;
-import tulipshed.emulator.policy.EndpointListing;
+import tulipshed.emulator.policy.EndpointListDelivery;
 
 /**
  * The simulation's side of a node, whether the node itself is emulated or a process of its own: it has the node's clients
@@ -46,7 +46,7 @@
     }
 
     /** The day begins, with a list of endpoints from an earlier process. */
-    protected abstract void begin(EndpointListing.Batch list);
+    protected abstract void begin(EndpointListDelivery list);
 
     /** Whether the front layer sends clients to it. */
     protected abstract boolean takes();
@@ -135,7 +135,7 @@
     }
 
     /** Discovery reports endpoints; the version is below 0 where the call failed. */
-    protected void onEndpointList(EndpointListing.Batch batch, int version) {
+    protected void onEndpointList(EndpointListDelivery batch, int version) {
         throw unsupported("EndpointList");
     }
 
@@ -180,12 +180,12 @@
 
     /** Asks the attempt's endpoint for a connection. */
     protected final void sendDial(EmulatedAttempt attempt) {
-        sendToEndpoint(attempt.member, new EndpointMessage.Dial(attempt));
+        sendToEndpoint(attempt.endpoint, new EndpointMessage.Dial(attempt));
     }
 
     /** Closes this side of an attempt or of its connection. */
     protected final void sendHangup(EmulatedAttempt attempt) {
-        sendToEndpoint(attempt.member, new EndpointMessage.Hangup(attempt));
+        sendToEndpoint(attempt.endpoint, new EndpointMessage.Hangup(attempt));
     }
 
     final void sendToEndpoint(int endpoint, EndpointMessage message) {
--- a/emulator/src/main/java/tulipshed/emulator/model/ProcessMessage.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/ProcessMessage.java
@@ -1,6 +1,6 @@
 package tulipshed.emulator.model;
 
-import tulipshed.emulator.policy.EndpointListing;
+import tulipshed.emulator.policy.EndpointListDelivery;
 
 /** The messages to a node that are about its process, its configuration or its network. */
 public sealed interface ProcessMessage extends NodeMessage {
@@ -18,7 +18,7 @@
     }
 
     /** Discovery reports endpoints; the version is below 0 where the call failed. */
-    record EndpointList(EndpointListing.Batch batch, int version) implements ProcessMessage {
+    record EndpointList(EndpointListDelivery batch, int version) implements ProcessMessage {
         @Override
         public int traceCode() {
             return 8;
