--- /dev/null
+++ b/node/src/main/java/tulipshed/simadapter/AttemptFields.java
@@ -0,0 +1,73 @@
+package tulipshed.simadapter;
+
+import com.fasterxml.jackson.core.JsonParser;
+import java.io.IOException;
+import tulipshed.config.MalformedInputException;
+import tulipshed.decision.api.LoadReport;
+import tulipshed.decision.api.Outcome;
+
+/**
+ * The fields of one line that describe an attempt or its result; a health check has a result too. {@link #readField} has
+ * their external names.
+ */
+final class AttemptFields {
+    private int number;
+    private long durationUs;
+    private boolean concluded;
+    private String verdict;
+    private LoadReport loadReport = LoadReport.NONE;
+
+    /** Reads the parser's current token as the value of that field; false where it is none of an attempt. */
+    boolean readField(JsonParser parser, String name) throws IOException {
+        switch (name) {
+            case "Leg" -> number = (int) JsonTokens.integer(parser, name);
+            case "TookS" -> durationUs = JsonTokens.micros(parser, name);
+            case "NoMore" -> concluded = parser.getValueAsBoolean();
+            case "Verdict" -> verdict = JsonTokens.string(parser, name);
+            case "Telemetry" -> loadReport = LoadReportReader.read(parser);
+            default -> {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** Returns the number of the attempt within its request, from 0. */
+    int number() {
+        return number;
+    }
+
+    /** Returns how long the attempt took, in microseconds. */
+    long durationUs() {
+        return durationUs;
+    }
+
+    /** Whether the client expects nothing more for its request. */
+    boolean concluded() {
+        return concluded;
+    }
+
+    /**
+     * Returns how the attempt or the health check ended.
+     *
+     * @throws MalformedInputException if its external name is unknown
+     */
+    Outcome outcome() {
+        return switch (String.valueOf(verdict)) {
+            case "delivered" -> Outcome.OK;
+            case "app_error" -> Outcome.ERROR;
+            case "shed" -> Outcome.FULL;
+            case "expired" -> Outcome.TIMEOUT;
+            case "dial_failed" -> Outcome.CONNECT_FAILED;
+            case "dropped" -> Outcome.RESET;
+            case "revoked" -> Outcome.CANCELLED;
+            case "unused" -> Outcome.UNUSED;
+            default -> throw new MalformedInputException("unknown Verdict " + verdict);
+        };
+    }
+
+    /** Returns the endpoint's load report, {@link LoadReport#NONE} if there is none. */
+    LoadReport loadReport() {
+        return loadReport;
+    }
+}
--- /dev/null
+++ b/node/src/main/java/tulipshed/simadapter/ConnectionReportFields.java
@@ -0,0 +1,45 @@
+package tulipshed.simadapter;
+
+import com.fasterxml.jackson.core.JsonParser;
+import java.io.IOException;
+
+/**
+ * The fields of one line that report on an established connection; {@link #readField} has their external names. A report
+ * that is neither a load nor a latency is ignored.
+ */
+final class ConnectionReportFields {
+    /** External values of {@code Sort}. */
+    private static final int SORT_LOAD = 1;
+
+    private static final int SORT_LATENCY = 2;
+
+    private int sort;
+    private double value;
+
+    /** Reads the parser's current token as the value of that field; false where it is none of a report. */
+    boolean readField(JsonParser parser, String name) throws IOException {
+        switch (name) {
+            case "Sort" -> sort = (int) JsonTokens.integer(parser, name);
+            case "Value" -> value = JsonTokens.number(parser, name);
+            default -> {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** Whether {@link #value()} is a load, in microseconds of work a second. */
+    boolean isLoad() {
+        return sort == SORT_LOAD;
+    }
+
+    /** Whether {@link #value()} is a latency, in milliseconds. */
+    boolean isLatency() {
+        return sort == SORT_LATENCY;
+    }
+
+    /** Returns the reported value. */
+    double value() {
+        return value;
+    }
+}
--- /dev/null
+++ b/node/src/main/java/tulipshed/simadapter/EndpointListFields.java
@@ -0,0 +1,46 @@
+package tulipshed.simadapter;
+
+import com.fasterxml.jackson.core.JsonParser;
+import java.io.IOException;
+import java.util.List;
+import tulipshed.config.MalformedInputException;
+import tulipshed.decision.api.EndpointInfo;
+import tulipshed.decision.api.EndpointListKind;
+
+/** The fields of one line that carry an endpoint list; {@link #readField} has their external names. */
+final class EndpointListFields {
+    private String scope;
+    private List<EndpointInfo> endpoints = List.of();
+
+    /** Reads the parser's current token as the value of that field; false where it is none of an endpoint list. */
+    boolean readField(JsonParser parser, String name) throws IOException {
+        switch (name) {
+            case "Scope" -> scope = JsonTokens.string(parser, name);
+            case "NodesList" -> endpoints = EndpointListReader.read(parser);
+            default -> {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /**
+     * Returns what the list is.
+     *
+     * @throws MalformedInputException if its external name is unknown
+     */
+    EndpointListKind kind() {
+        return switch (String.valueOf(scope)) {
+            case "patch" -> EndpointListKind.CHANGES;
+            case "whole" -> EndpointListKind.COMPLETE;
+            case "stale_copy" -> EndpointListKind.CACHED;
+            case "broken" -> EndpointListKind.FAILED;
+            default -> throw new MalformedInputException("unknown Scope " + scope);
+        };
+    }
+
+    /** Returns the endpoints listed, empty by default. */
+    List<EndpointInfo> endpoints() {
+        return endpoints;
+    }
+}
--- a/node/src/main/java/tulipshed/simadapter/Instances.java
+++ b/node/src/main/java/tulipshed/simadapter/Instances.java
@@ -8,6 +8,7 @@
 import tulipshed.decision.api.BalancerActions;
 import tulipshed.decision.api.BalancerApi;
 import tulipshed.decision.api.BalancerSettings;
+import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.Outcome;
 
 /** The running instances of the decision module, and the dispatch of events to them. Confined to the adapter's thread. */
@@ -58,35 +59,51 @@
 
     private static void deliver(WireEvent event, long nowUs, BalancerApi balancer, NameIndex names) {
         switch (event.type()) {
-            case ENDPOINTS_CHANGED -> balancer.endpointsChanged(nowUs, event.listKind(), event.endpoints());
-            case REQUEST_ARRIVED -> balancer.requestArrived(nowUs, event.newRequest(names));
-            case CONNECTION_ADOPTED -> balancer.connectionAdopted(nowUs, event.newRequest(names), event.endpoint());
+            case ENDPOINTS_CHANGED ->
+                balancer.endpointsChanged(
+                        nowUs, event.endpointList().kind(), event.endpointList().endpoints());
+            case REQUEST_ARRIVED -> balancer.requestArrived(nowUs, newRequest(event, names));
+            case CONNECTION_ADOPTED -> balancer.connectionAdopted(nowUs, newRequest(event, names), event.endpoint());
             case ATTEMPT_ESTABLISHED ->
-                balancer.attemptEstablished(nowUs, event.requestId(), event.attempt(), event.durationUs());
+                balancer.attemptEstablished(
+                        nowUs,
+                        event.requestId(),
+                        event.attempt().number(),
+                        event.attempt().durationUs());
             case CONNECTION_REPORTED -> deliverReport(event, nowUs, balancer);
             case ATTEMPT_ENDED -> deliverAttemptEnd(event, nowUs, balancer);
             case REQUEST_CANCELLED -> balancer.requestCancelled(nowUs, event.requestId());
             case HEALTH_CHECK_COMPLETED ->
-                balancer.healthCheckCompleted(nowUs, event.endpoint(), event.outcome(), event.loadReport());
+                balancer.healthCheckCompleted(
+                        nowUs,
+                        event.endpoint(),
+                        event.attempt().outcome(),
+                        event.attempt().loadReport());
             case TIMER_FIRED -> balancer.timerFired(nowUs, event.timerToken());
             case PEER_MESSAGE_RECEIVED -> balancer.peerMessageReceived(nowUs, event.sendingPeer(), event.body());
             default -> throw unknown(event);
         }
     }
 
+    private static NewRequest newRequest(WireEvent event, NameIndex names) {
+        return event.request().newRequest(event.typeName(), names);
+    }
+
     /** Reports of a kind that the adapter does not know are ignored. */
     private static void deliverReport(WireEvent event, long nowUs, BalancerApi balancer) {
-        if (event.reportsLoad()) {
-            balancer.loadReported(nowUs, event.requestId(), event.reportedValue());
-        } else if (event.reportsLatency()) {
-            balancer.latencyReported(nowUs, event.requestId(), event.reportedValue());
+        ConnectionReportFields report = event.connectionReport();
+        if (report.isLoad()) {
+            balancer.loadReported(nowUs, event.requestId(), report.value());
+        } else if (report.isLatency()) {
+            balancer.latencyReported(nowUs, event.requestId(), report.value());
         }
     }
 
     private static void deliverAttemptEnd(WireEvent event, long nowUs, BalancerApi balancer) {
-        Outcome outcome = event.outcome();
+        AttemptFields attempt = event.attempt();
+        Outcome outcome = attempt.outcome();
         balancer.attemptEnded(
-                nowUs, event.requestId(), event.attempt(), event.concluded(), outcome, event.loadReport());
+                nowUs, event.requestId(), attempt.number(), attempt.concluded(), outcome, attempt.loadReport());
     }
 
     private static MalformedInputException unknown(WireEvent event) {
--- a/node/src/main/java/tulipshed/simadapter/WireEvent.java
+++ b/node/src/main/java/tulipshed/simadapter/WireEvent.java
@@ -3,59 +3,32 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
-import java.util.List;
 import java.util.Map;
 import tulipshed.config.JsonValues;
 import tulipshed.config.MalformedInputException;
-import tulipshed.config.NameIndex;
-import tulipshed.decision.api.EndpointInfo;
-import tulipshed.decision.api.EndpointListKind;
-import tulipshed.decision.api.LoadReport;
-import tulipshed.decision.api.NewRequest;
-import tulipshed.decision.api.Outcome;
 import tulipshed.time.Clock;
 
 /**
- * One line of the simulator's input. This class and the readers of nested values translate the external names to the
- * terms of the decision module; {@link #readField} lists them all. A field that is absent or null has its default, and
- * unknown fields are skipped. Read once, not changed afterwards.
+ * One line of the simulator's input. This class, its groups of fields and the readers of nested values translate the
+ * external names to the terms of the decision module. A field that is absent or null has its default, and unknown fields
+ * are skipped. Read once, not changed afterwards.
  */
 final class WireEvent {
-    /** External values of {@code Sort}: what the {@code Value} of a report on a connection is. Others are ignored. */
-    private static final int SORT_LOAD = 1;
+    private static final long NO_FRAME = -1;
 
-    private static final int SORT_LATENCY = 2;
-
-    private static final long NO_ID = -1;
-    private static final int NO_TENANT = -1;
+    private final RequestFields request = new RequestFields();
+    private final AttemptFields attempt = new AttemptFields();
+    private final ConnectionReportFields connectionReport = new ConnectionReportFields();
+    private final EndpointListFields endpointList = new EndpointListFields();
 
     private String typeName;
     private String instance;
     private double timeS = Double.NaN;
-    private long frame = NO_ID;
+    private long frame = NO_FRAME;
     private long seed;
     private Map<String, Object> settings;
-    private long requestId = NO_ID;
-    private String className;
-    private String tenantName;
-    private String key;
-    private String group;
-    private long timeoutUs;
-    private double loadHintPerS;
-    private boolean retry;
-    private boolean midFlow;
-    private boolean reconnecting;
     private String endpoint;
-    private int attempt;
-    private long durationUs;
-    private boolean concluded;
-    private String verdict;
-    private LoadReport loadReport = LoadReport.NONE;
-    private int reportKind;
-    private double reportedValue;
     private long timerToken;
-    private String scope;
-    private List<EndpointInfo> endpoints = List.of();
     private int sendingPeer;
     private byte[] body = new byte[0];
 
@@ -88,6 +61,17 @@
     }
 
     private void readField(JsonParser parser, String name) throws IOException {
+        boolean read = request.readField(parser, name)
+                || attempt.readField(parser, name)
+                || connectionReport.readField(parser, name)
+                || endpointList.readField(parser, name)
+                || readOwnField(parser, name);
+        if (!read) {
+            parser.skipChildren();
+        }
+    }
+
+    private boolean readOwnField(JsonParser parser, String name) throws IOException {
         switch (name) {
             case "cmd" -> typeName = JsonTokens.string(parser, name);
             case "Who" -> instance = JsonTokens.string(parser, name);
@@ -95,31 +79,15 @@
             case "frame" -> frame = JsonTokens.integer(parser, name);
             case "RngSeed" -> seed = JsonTokens.unsignedInteger(parser, name);
             case "Settings" -> settings = settings(parser);
-            case "MsgId" -> requestId = JsonTokens.integer(parser, name);
-            case "Service" -> className = JsonTokens.string(parser, name);
-            case "Org" -> tenantName = parser.getValueAsString();
-            case "Subject" -> key = JsonTokens.string(parser, name);
-            case "TeamId" -> group = JsonTokens.string(parser, name);
-            case "GraceS" -> timeoutUs = JsonTokens.micros(parser, name);
-            case "SizeHintS" -> loadHintPerS = JsonTokens.number(parser, name);
-            case "Resent" -> retry = parser.getValueAsBoolean();
-            case "Stray" -> midFlow = parser.getValueAsBoolean();
-            case "Returned" -> reconnecting = parser.getValueAsBoolean();
             case "Server" -> endpoint = JsonTokens.string(parser, name);
-            case "Leg" -> attempt = (int) JsonTokens.integer(parser, name);
-            case "TookS" -> durationUs = JsonTokens.micros(parser, name);
-            case "NoMore" -> concluded = parser.getValueAsBoolean();
-            case "Verdict" -> verdict = JsonTokens.string(parser, name);
-            case "Telemetry" -> loadReport = LoadReportReader.read(parser);
-            case "Sort" -> reportKind = (int) JsonTokens.integer(parser, name);
-            case "Value" -> reportedValue = JsonTokens.number(parser, name);
             case "Label" -> timerToken = JsonTokens.integer(parser, name);
-            case "Scope" -> scope = JsonTokens.string(parser, name);
-            case "NodesList" -> endpoints = EndpointListReader.read(parser);
             case "SrcPeer" -> sendingPeer = (int) JsonTokens.integer(parser, name);
             case "Body" -> body = parser.getBinaryValue();
-            default -> parser.skipChildren();
+            default -> {
+                return false;
+            }
         }
+        return true;
     }
 
     private static Map<String, Object> settings(JsonParser parser) throws IOException {
@@ -127,17 +95,17 @@
         return JsonValues.object(parser);
     }
 
-    /** The type, or null if it is unknown. */
+    /** Returns the type, or null if it is unknown. */
     EventType type() {
         return EventType.of(typeName);
     }
 
-    /** The external name of the type, for error messages. */
+    /** Returns the external name of the type, for error messages. */
     String typeName() {
         return typeName;
     }
 
-    /** The name of the instance that the event is for, or null. */
+    /** Returns the name of the instance that the event is for, or null. */
     String instance() {
         return instance;
     }
@@ -147,22 +115,22 @@
         return !Double.isNaN(timeS) && frame >= 0;
     }
 
-    /** The time of a batch, in microseconds. */
+    /** Returns the time of a batch, in microseconds. */
     long timeUs() {
         return Clock.secondsToMicros(timeS);
     }
 
-    /** The number of a batch, which its reply repeats. */
+    /** Returns the number of a batch, which its reply repeats. */
     long frame() {
         return frame;
     }
 
-    /** The seed of an instance's random source. */
+    /** Returns the seed of an instance's random source. */
     long seed() {
         return seed;
     }
 
-    /** The settings of an instance in their external form. */
+    /** Returns the settings of an instance in their external form, which the reader of settings translates. */
     Map<String, Object> settings() {
         if (settings == null) {
             throw new MalformedInputException("Provision without Settings");
@@ -170,119 +138,50 @@
         return settings;
     }
 
-    /** The request's ID. */
-    long requestId() {
-        if (requestId < 0) {
-            throw new MalformedInputException(typeName + " without MsgId");
-        }
-        return requestId;
+    /** Returns the fields that describe a request. */
+    RequestFields request() {
+        return request;
     }
 
-    /** The request, its class and tenant translated to indexes. */
-    NewRequest newRequest(NameIndex names) {
-        Integer requestClass = names.classIndex(className);
-        if (requestClass == null) {
-            throw new MalformedInputException("unknown Service " + className);
-        }
-        Integer tenant = names.tenantIndex(tenantName);
-        return new NewRequest(
-                requestId(),
-                requestClass,
-                tenant == null ? NO_TENANT : tenant,
-                key,
-                group,
-                timeoutUs,
-                loadHintPerS * Clock.MICROS_PER_SECOND,
-                retry,
-                midFlow,
-                reconnecting);
-    }
-
-    /** The endpoint's ID. */
-    String endpoint() {
-        if (endpoint == null) {
-            throw new MalformedInputException(typeName + " without Server");
-        }
-        return endpoint;
+    /** Returns the ID of the request. */
+    long requestId() {
+        return request.id(typeName);
     }
 
-    /** The number of the attempt within its request, from 0. */
-    int attempt() {
+    /** Returns the fields that describe an attempt, or the result of an attempt or a health check. */
+    AttemptFields attempt() {
         return attempt;
     }
 
-    /** How long the attempt took, in microseconds. */
-    long durationUs() {
-        return durationUs;
+    /** Returns the fields that report on an established connection. */
+    ConnectionReportFields connectionReport() {
+        return connectionReport;
     }
 
-    /** Whether the client expects nothing more for its request. */
-    boolean concluded() {
-        return concluded;
+    /** Returns the fields that carry an endpoint list. */
+    EndpointListFields endpointList() {
+        return endpointList;
     }
 
-    /** How an attempt or a health check ended; external name Verdict. */
-    Outcome outcome() {
-        return switch (String.valueOf(verdict)) {
-            case "delivered" -> Outcome.OK;
-            case "app_error" -> Outcome.ERROR;
-            case "shed" -> Outcome.FULL;
-            case "expired" -> Outcome.TIMEOUT;
-            case "dial_failed" -> Outcome.CONNECT_FAILED;
-            case "dropped" -> Outcome.RESET;
-            case "revoked" -> Outcome.CANCELLED;
-            case "unused" -> Outcome.UNUSED;
-            default -> throw new MalformedInputException("unknown Verdict " + verdict);
-        };
-    }
-
-    /** The endpoint's load report, {@link LoadReport#NONE} if there is none. */
-    LoadReport loadReport() {
-        return loadReport;
-    }
-
-    /** Whether {@link #reportedValue()} is a load, in microseconds of work a second. */
-    boolean reportsLoad() {
-        return reportKind == SORT_LOAD;
-    }
-
-    /** Whether {@link #reportedValue()} is a latency, in milliseconds. */
-    boolean reportsLatency() {
-        return reportKind == SORT_LATENCY;
-    }
-
-    /** The value reported on an established connection. */
-    double reportedValue() {
-        return reportedValue;
+    /** Returns the ID of the endpoint. */
+    String endpoint() {
+        if (endpoint == null) {
+            throw new MalformedInputException(typeName + " without Server");
+        }
+        return endpoint;
     }
 
-    /** The token that the instance gave its timer. */
+    /** Returns the token that the instance gave its timer. */
     long timerToken() {
         return timerToken;
     }
 
-    /** What the endpoint list is; external name Scope. */
-    EndpointListKind listKind() {
-        return switch (String.valueOf(scope)) {
-            case "patch" -> EndpointListKind.CHANGES;
-            case "whole" -> EndpointListKind.COMPLETE;
-            case "stale_copy" -> EndpointListKind.CACHED;
-            case "broken" -> EndpointListKind.FAILED;
-            default -> throw new MalformedInputException("unknown Scope " + scope);
-        };
-    }
-
-    /** The endpoints listed, empty by default. */
-    List<EndpointInfo> endpoints() {
-        return endpoints;
-    }
-
-    /** The index of the instance that sent a message. */
+    /** Returns the index of the instance that sent a message. */
     int sendingPeer() {
         return sendingPeer;
     }
 
-    /** The content of a message. */
+    /** Returns the content of a message. */
     byte[] body() {
         return body;
     }
