--- a/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
+++ b/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
@@ -94,7 +94,7 @@
     /** Accepts no new connections from now on. */
     void startDraining() {
         if (frontend != null) {
-            frontend.leaving();
+            frontend.startDraining();
         }
     }
 
--- a/node/src/main/java/tulipshed/quic/ClientPath.java
+++ b/node/src/main/java/tulipshed/quic/ClientPath.java
@@ -4,70 +4,76 @@
 import tulipshed.transport.UdpSocket;
 
 /**
- * One way by which a client is heard: its address, the listener that hears it, and, once something goes to its member, a place
- * on a socket towards it. A client that merely gets another address from its network keeps its path, and its member sees
- * nothing; one that goes to another network by itself takes a new id for it and gets a second path, which its member sees and
- * proves as one (RFC 9000 section 9).
+ * One network path of a client, with its flow to the endpoint. A NAT rebinding changes the path's address, and the endpoint
+ * notices nothing. A client that migrates uses a new connection ID and gets a second path, which the endpoint sees and
+ * validates as such (RFC 9000 section 9).
  */
 final class ClientPath {
     private final QuicSession session;
-    private UdpSocket listener;
-    private InetSocketAddress client;
-    private UpstreamFlow side;
-    private double heardMs;
+    private PathAddress address;
 
+    /** Null while nothing was sent to the endpoint by this path, and after it was closed. */
+    private UpstreamFlow flow;
+
+    private double lastReceivedMs;
+
+    /** A path without a flow, on which a datagram has just been received. */
     ClientPath(QuicSession session, UdpSocket listener, InetSocketAddress client, double nowMs) {
         this.session = session;
-        this.listener = listener;
-        this.client = client;
-        this.heardMs = nowMs;
+        address = new PathAddress(listener, client);
+        lastReceivedMs = nowMs;
     }
 
+    /** The connection of the path. */
     QuicSession session() {
         return session;
     }
 
-    boolean isAt(UdpSocket otherListener, InetSocketAddress other) {
-        return listener == otherListener && client.equals(other);
+    /** Whether the path has this address. */
+    boolean isAt(UdpSocket listener, InetSocketAddress client) {
+        return address.listener() == listener && address.client().equals(client);
     }
 
-    ConnectionTable.Way way() {
-        return new ConnectionTable.Way(listener, client);
+    /** The address of the path. */
+    PathAddress address() {
+        return address;
     }
 
-    InetSocketAddress client() {
-        return client;
+    /** Changes the address. */
+    void rebind(UdpSocket listener, InetSocketAddress client) {
+        address = new PathAddress(listener, client);
     }
 
-    /** The client is heard elsewhere now. */
-    void move(UdpSocket changedListener, InetSocketAddress changed) {
-        listener = changedListener;
-        client = changed;
+    /** A datagram was received on the path. */
+    void received(double nowMs) {
+        lastReceivedMs = nowMs;
     }
 
-    void heard(double nowMs) {
-        heardMs = nowMs;
+    /** When a datagram was last received on the path. */
+    double lastReceivedMs() {
+        return lastReceivedMs;
     }
 
-    double heardMs() {
-        return heardMs;
+    /** The flow to the endpoint; null where there is none. */
+    UpstreamFlow flow() {
+        return flow;
     }
 
-    /** Its place towards the member; null where it has none. */
-    UpstreamFlow side() {
-        return side;
+    /** Closes the flow, if there is one, and replaces it. */
+    void replaceFlow(UpstreamFlow replacement) {
+        if (flow != null) {
+            flow.close();
+        }
+        flow = replacement;
     }
 
-    /** Takes a place, in place of the one it had. */
-    void side(UpstreamFlow changed) {
-        if (side != null) {
-            side.close();
-        }
-        side = changed;
+    /** Closes the flow, if there is one. */
+    void closeFlow() {
+        replaceFlow(null);
     }
 
-    /** To the client. */
+    /** Sends a datagram to the client. */
     void send(byte[] datagram) {
-        listener.send(client, datagram);
+        address.listener().send(address.client(), datagram);
     }
 }
--- a/node/src/main/java/tulipshed/quic/ConnectionIdConfigurations.java
+++ b/node/src/main/java/tulipshed/quic/ConnectionIdConfigurations.java
@@ -6,46 +6,49 @@
 import tulipshed.connectionid.ServerIds;
 
 /**
- * The configurations of ids that are live: up to seven at once, told apart by the upper three bits of an id's first byte
- * (QUIC-LB section 3.1), so that servers can go over to a new one while connections of the old one stand.
+ * The active configurations of connection IDs: up to seven, told apart by the upper three bits of an ID's first byte (QUIC-LB
+ * section 3.1), so that servers can change to a new one while connections of the old one are open. Immutable.
  */
 final class ConnectionIdConfigurations {
-    /** Of ids that carry no server (QUIC-LB section 3.2). */
+    /** The configuration of IDs that carry no server ID (QUIC-LB section 3.2). */
     static final int UNROUTABLE = ServerIds.CONFIGURATIONS;
 
-    private final ServerIds[] ids = new ServerIds[UNROUTABLE];
-    private final Map<Integer, Map<String, String>> members = new HashMap<>();
+    private static final int CONFIGURATION_SHIFT = 5;
+    private static final int CONFIGURATION_MASK = 7;
+    private static final int LENGTH_MASK = 0x1F;
 
-    /** Adds one, and which member has which server id, in hexadecimal, under it. */
-    ConnectionIdConfigurations with(ServerIds one, Map<String, String> membersByServer) {
-        ConnectionIdConfigurations more = new ConnectionIdConfigurations();
-        System.arraycopy(ids, 0, more.ids, 0, ids.length);
-        more.members.putAll(members);
-        more.ids[one.configuration()] = one;
-        more.members.put(one.configuration(), Map.copyOf(membersByServer));
-        return more;
+    private final ServerIds[] configurations = new ServerIds[UNROUTABLE];
+    private final Map<Integer, Map<String, String>> endpointIds = new HashMap<>();
+
+    /** These configurations and another one, with the ID of the endpoint for each of its server IDs, in hexadecimal. */
+    ConnectionIdConfigurations with(ServerIds added, Map<String, String> endpointIdsByServerId) {
+        ConnectionIdConfigurations extended = new ConnectionIdConfigurations();
+        System.arraycopy(configurations, 0, extended.configurations, 0, configurations.length);
+        extended.endpointIds.putAll(endpointIds);
+        extended.configurations[added.configuration()] = added;
+        extended.endpointIds.put(added.configuration(), Map.copyOf(endpointIdsByServerId));
+        return extended;
     }
 
     /**
-     * How long an id is of which only the first byte is known, as in a short header: as its configuration says, else as
-     * its lower five bits say, which servers may fill that way (QUIC-LB section 3.3).
+     * The length of an ID by its first byte, as short headers do not carry it: that of its configuration, or what its lower
+     * five bits say, which servers may set so (QUIC-LB section 3.3).
      */
-    int length(int first) {
-        int configuration = first >> 5 & 7;
-        return configuration != UNROUTABLE && ids[configuration] != null
-                ? ids[configuration].idLength()
-                : Math.min(ConnectionId.LONGEST, 1 + (first & 0x1F));
+    int length(int firstByte) {
+        int configuration = firstByte >> CONFIGURATION_SHIFT & CONFIGURATION_MASK;
+        return configuration != UNROUTABLE && configurations[configuration] != null
+                ? configurations[configuration].idLength()
+                : Math.min(ConnectionId.LONGEST, 1 + (firstByte & LENGTH_MASK));
     }
 
-    /** Where an id leads: a member, and the number of the connection there, -1 where its ids tell none. */
-    record Place(String member, long connection) {}
-
-    /** Where an id leads by the server id in it, or null. */
-    Place place(ConnectionId id) {
-        int configuration = id.length() == 0 ? UNROUTABLE : id.first() >> 5;
-        ServerIds.Lead lead =
-                configuration == UNROUTABLE || ids[configuration] == null ? null : ids[configuration].read(id);
-        String member = lead == null ? null : members.get(configuration).get(lead.server());
-        return member == null ? null : new Place(member, lead.connection());
+    /** Where an ID leads by its server ID; null where it leads nowhere. */
+    ConnectionIdRoute route(ConnectionId id) {
+        int configuration = id.length() == 0 ? UNROUTABLE : id.first() >> CONFIGURATION_SHIFT;
+        ServerIds.Lead decoded = configuration == UNROUTABLE || configurations[configuration] == null
+                ? null
+                : configurations[configuration].read(id);
+        String endpointId =
+                decoded == null ? null : endpointIds.get(configuration).get(decoded.server());
+        return endpointId == null ? null : new ConnectionIdRoute(endpointId, decoded.connection());
     }
 }
--- a/node/src/main/java/tulipshed/quic/ConnectionStateMachine.java
+++ b/node/src/main/java/tulipshed/quic/ConnectionStateMachine.java
@@ -6,334 +6,292 @@
 import tulipshed.limits.QuicLimits;
 
 /**
- * What one connection of QUIC is in, and what is to be done with each datagram of its two ends. Without I/O: whoever owns it
- * carries the steps out.
+ * The state of one connection: decides what is to be done with each datagram of the client and of the endpoint (RFC 9000
+ * sections 7, 8.1 and 10). Without I/O; the owner carries the actions out.
  */
 final class ConnectionStateMachine {
-    /** How far a connection is. */
-    enum Stage {
-        /** Its hello is not whole. */
-        OPENING,
-        /** Its client is owed an answer. */
-        OWED,
-        /** A member serves it. */
-        STANDING,
-        /** Its client has had its answer. */
-        ANSWERED
-    }
+    private final QuicLimits limits;
 
-    /** What to do with what came, or as time passed. */
-    enum Step {
-        /** Nothing. */
-        DROP,
-        /** It is kept until the hello is whole. */
-        HOLD,
-        /** The hello is whole: a transaction arrives. */
-        ARRIVE,
-        /** What the client says cannot be a hello. */
-        BAD_HELLO,
-        /** The hello has passed a bound. */
-        NEVER_WHOLE,
-        /** The client takes its wish back. */
-        TAKEN_BACK,
-        /** To the other end. */
-        PASS,
-        /** The member serves: if the core says so, the connection stands, and this goes to the client. */
-        BEGIN,
-        /** The member's Retry goes to the client, which begins again with another id. */
-        RETRIED,
-        /** The member has no room. */
-        REFUSED,
-        /** The member has failed. */
-        FAILED,
-        /** The client is told once more what it was told. */
-        REPEAT,
-        /** The member has fallen silent. */
-        SILENT,
-        /** Nothing has come from either end for long. */
-        IDLE,
-        /** Nothing of it needs to be kept. */
-        FORGET
-    }
+    /** The client's source ID; null for a resumed connection. */
+    private final ConnectionId clientId;
 
-    /** What an address that nothing has proved may be sent, for each byte from there (RFC 9000 section 8.1). */
-    private static final int AMPLIFICATION = 3;
+    /** The destination ID of the client's first Initial. */
+    private final ConnectionId originalDestinationId;
+
+    private final AmplificationLimit amplification = new AmplificationLimit();
+    private final boolean isResumed;
+    private final double openedMs;
+
+    /** The ID that the Initial keys follow from: the original destination ID, or that of the endpoint's Retry. */
+    private ConnectionId initialKeyId;
+
+    /** The destination ID that the client used last. */
+    private ConnectionId currentId;
+
+    /** The client's first datagrams, which are sent again to each endpoint that is tried. */
+    private List<byte[]> firstDatagrams = new ArrayList<>(2);
+
+    private ConnectionStage stage = ConnectionStage.PENDING;
+
+    /** Null once the request has taken it. */
+    private ClientHelloAssembler clientHello;
 
-    private final QuicLimits limits;
-    private List<byte[]> first = new ArrayList<>(2);
-    private final ConnectionId clientId;
-    private final ConnectionId firstKeyedBy;
-    private ConnectionId keyedBy;
-    private ConnectionId current;
-    private Stage stage = Stage.OWED;
-    private ClientHelloAssembler opening;
     private Version version = Version.V1;
-    private double openedMs;
-    private double heardMs;
-    private double answeredMs;
-    private long credit;
-    private boolean proven;
-    private boolean pastInitial;
-    private boolean stoodBefore;
-
-    private ConnectionStateMachine(QuicLimits limits, ConnectionId destination, ConnectionId clientId, double nowMs) {
+    private double lastReceivedMs;
+    private double closedMs;
+
+    /** Whether the client has sent packets that only follow the Initial ones. */
+    private boolean isPastInitial;
+
+    private ConnectionStateMachine(
+            QuicLimits limits, ConnectionId destination, ConnectionId clientId, boolean isResumed, double nowMs) {
         this.limits = limits;
-        this.firstKeyedBy = destination;
-        this.keyedBy = destination;
-        this.current = destination;
         this.clientId = clientId;
-        this.heardMs = nowMs;
-        this.openedMs = nowMs;
+        this.isResumed = isResumed;
+        originalDestinationId = destination;
+        initialKeyId = destination;
+        currentId = destination;
+        openedMs = nowMs;
+        lastReceivedMs = nowMs;
     }
 
-    /** Of a client whose first datagram this is, with what could be read of it; {@code proven} by a token. */
+    /**
+     * A connection that a client opens.
+     *
+     * @param datagram the client's first datagram
+     * @param clientHello what that datagram carries of the ClientHello
+     * @param isValidated whether a token has validated the client's address
+     */
     static ConnectionStateMachine opens(
             QuicLimits limits,
             ConnectionId destination,
             ConnectionId clientId,
             byte[] datagram,
-            ClientHelloAssembler begun,
-            boolean proven,
+            ClientHelloAssembler clientHello,
+            boolean isValidated,
             double nowMs) {
-        ConnectionStateMachine m = new ConnectionStateMachine(limits, destination, clientId, nowMs);
-        m.proven = proven;
-        m.version = begun.version();
-        m.opening = begun;
-        m.stage = begun.hello() == null ? Stage.OPENING : Stage.OWED;
-        m.first.add(datagram);
-        m.credit = AMPLIFICATION * (long) datagram.length;
-        return m;
+        ConnectionStateMachine opened = new ConnectionStateMachine(limits, destination, clientId, false, nowMs);
+        opened.amplification.validate(isValidated);
+        opened.version = clientHello.version();
+        opened.clientHello = clientHello;
+        opened.stage = clientHello.hello() == null ? ConnectionStage.AWAITING_CLIENT_HELLO : ConnectionStage.PENDING;
+        opened.firstDatagrams.add(datagram);
+        opened.amplification.received(datagram.length);
+        return opened;
     }
 
-    /** Of a connection that stands at a member already; nothing else is known of it. */
-    static ConnectionStateMachine carriesOn(
-            QuicLimits limits, ConnectionId destination, byte[] datagram, double nowMs) {
-        ConnectionStateMachine m = new ConnectionStateMachine(limits, destination, null, nowMs);
-        // Its server chose the id, so it has been heard there; and it sees this path as a new one, which it proves
-        // itself.
-        m.proven = true;
-        m.pastInitial = true;
-        m.stoodBefore = true;
-        m.first.add(datagram);
-        return m;
+    /** A connection that is established at an endpoint already; nothing but its ID is known of it. */
+    static ConnectionStateMachine resumes(QuicLimits limits, ConnectionId destination, byte[] datagram, double nowMs) {
+        ConnectionStateMachine resumed = new ConnectionStateMachine(limits, destination, null, true, nowMs);
+        // The ID is the endpoint's, which sees this path as a new one and validates it itself.
+        resumed.amplification.validate(true);
+        resumed.isPastInitial = true;
+        resumed.firstDatagrams.add(datagram);
+        return resumed;
     }
 
-    // ---- What the client sends ----
-
-    /** Takes a datagram of the client. */
-    Step fromClient(byte[] datagram, List<Packet> packets, double nowMs) {
-        heardMs = nowMs;
-        credit += AMPLIFICATION * (long) datagram.length;
-        switch (stage) {
-            case ANSWERED -> {
-                // A reset counts for the id that the client uses now.
-                use(packets.get(0).destination());
-                return Step.REPEAT;
-            }
-            case OPENING -> {
-                return more(datagram, packets);
-            }
-            default -> {
-                return later(datagram, packets);
+    /** Decides on a datagram of the client. */
+    ConnectionAction fromClient(byte[] datagram, List<Packet> packets, double nowMs) {
+        lastReceivedMs = nowMs;
+        amplification.received(datagram.length);
+        return switch (stage) {
+            case CLOSED -> {
+                // A reset counts for the ID that the client uses now.
+                useId(packets.get(0).destination());
+                yield ConnectionAction.REPEAT_ANSWER;
             }
-        }
+            case AWAITING_CLIENT_HELLO -> continueClientHello(datagram, packets);
+            case PENDING, ESTABLISHED -> forwardFromClient(datagram, packets);
+        };
     }
 
-    private Step later(byte[] datagram, List<Packet> packets) {
-        Packet p = packets.get(0);
-        if (stage == Stage.OWED && packets.stream().anyMatch(this::closes)) {
-            return Step.TAKEN_BACK;
+    private ConnectionAction forwardFromClient(byte[] datagram, List<Packet> packets) {
+        if (stage == ConnectionStage.PENDING && isClosedBy(packets)) {
+            return ConnectionAction.CLIENT_CLOSED;
         }
-        if (p.type() == Packet.Type.INITIAL) {
-            // With compatible negotiation the client goes over to the version that its server chose (RFC 9368).
-            version = Version.of(p.version());
+        Packet first = packets.get(0);
+        if (first.type() == Packet.Type.INITIAL) {
+            // With compatible negotiation the client changes to the version that its server chose (RFC 9368).
+            version = Version.of(first.version());
         }
-        Packet.Type type = packets.get(packets.size() - 1).type();
-        pastInitial |= type == Packet.Type.HANDSHAKE || type == Packet.Type.SHORT;
-        use(p.destination());
-        // It has what was sent to its address: an id that its server chose.
-        proven |= pastInitial && !current.equals(keyedBy);
-        if (stage == Stage.OWED && first.size() < limits.retainedFirstDatagrams()) {
-            first.add(datagram);
+        Packet.Type lastType = packets.get(packets.size() - 1).type();
+        isPastInitial |= lastType == Packet.Type.HANDSHAKE || lastType == Packet.Type.SHORT;
+        useId(first.destination());
+        // The client uses an ID that its server chose, so it has received what was sent to its address.
+        amplification.validate(isPastInitial && !currentId.equals(initialKeyId));
+        if (stage == ConnectionStage.PENDING && firstDatagrams.size() < limits.retainedFirstDatagrams()) {
+            firstDatagrams.add(datagram);
         }
-        return Step.PASS;
+        return ConnectionAction.FORWARD;
     }
 
-    private void use(ConnectionId id) {
-        current = current.equals(id) ? current : id;
+    /** Keeps the ID that is stored already where it is the same one, so that received datagrams can be collected. */
+    private void useId(ConnectionId id) {
+        currentId = currentId.equals(id) ? currentId : id;
     }
 
-    /** More of a client whose hello is not whole yet. */
-    private Step more(byte[] datagram, List<Packet> packets) {
+    private ConnectionAction continueClientHello(byte[] datagram, List<Packet> packets) {
         try {
-            boolean sound = opening.take(packets);
-            if (opening.closes()) {
-                return Step.TAKEN_BACK;
+            boolean isReadable = clientHello.take(packets);
+            if (clientHello.closes()) {
+                return ConnectionAction.CLIENT_CLOSED;
             }
-            if (!sound && packets.get(0).type() == Packet.Type.INITIAL) {
-                return Step.DROP;
+            if (!isReadable && packets.get(0).type() == Packet.Type.INITIAL) {
+                return ConnectionAction.DROP;
             }
         } catch (MalformedPacketException e) {
-            return Step.BAD_HELLO;
+            return ConnectionAction.REFUSE_MALFORMED;
         }
-        if (first.size() < limits.retainedFirstDatagrams()) {
-            first.add(datagram);
+        if (firstDatagrams.size() < limits.retainedFirstDatagrams()) {
+            firstDatagrams.add(datagram);
         }
-        if (opening.hello() != null) {
-            stage = Stage.OWED;
-            return Step.ARRIVE;
+        if (clientHello.hello() != null) {
+            stage = ConnectionStage.PENDING;
+            return ConnectionAction.START_REQUEST;
         }
-        return first.size() >= limits.retainedFirstDatagrams() ? Step.NEVER_WHOLE : Step.HOLD;
+        return firstDatagrams.size() >= limits.retainedFirstDatagrams()
+                ? ConnectionAction.REFUSE_INCOMPLETE
+                : ConnectionAction.AWAIT_CLIENT_HELLO;
     }
 
-    /**
-     * Whether this is the Initial of a client that takes its wish back. Its keys follow from the first id, or from the one that
-     * a Retry gave it; one that has not seen the Retry yet closes with the former.
-     */
-    private boolean closes(Packet p) {
-        return p.type() == Packet.Type.INITIAL
-                && (closes(p, keyedBy) || (!keyedBy.equals(firstKeyedBy) && closes(p, firstKeyedBy)));
+    /** A client that has not received the Retry yet closes with the keys of its original destination ID. */
+    private boolean isClosedBy(List<Packet> packets) {
+        return InitialClose.isIn(packets, initialKeyId)
+                || (!initialKeyId.equals(originalDestinationId) && InitialClose.isIn(packets, originalDestinationId));
     }
 
-    private static boolean closes(Packet p, ConnectionId keyedBy) {
-        try {
-            byte[] frames = InitialKeys.client(Version.of(p.version()), keyedBy).open(p);
-            return InitialFrames.read(frames).closes();
-        } catch (MalformedPacketException e) {
-            return false;
-        }
-    }
-
-    // ---- What the member sends ----
-
-    /** Takes a datagram of the member. */
-    Step fromMember(List<Packet> packets, double nowMs) {
-        if (stage == Stage.STANDING) {
-            heardMs = nowMs;
-            return Step.PASS;
-        } else if (stage != Stage.OWED) {
-            return Step.DROP;
+    /** Decides on a datagram of the endpoint. */
+    ConnectionAction fromEndpoint(List<Packet> packets, double nowMs) {
+        if (stage == ConnectionStage.ESTABLISHED) {
+            lastReceivedMs = nowMs;
+            return ConnectionAction.FORWARD;
         }
-        Packet p = packets.get(0);
-        // Sockets are shared: until it stands, only what is for this client makes it stand (the member has no other id
-        // of it).
-        if (!stoodBefore && !p.destination().equals(clientId)) {
-            return Step.DROP;
+        if (stage != ConnectionStage.PENDING) {
+            return ConnectionAction.DROP;
         }
-        heardMs = nowMs;
-        if (stoodBefore) {
-            return Step.BEGIN;
+        Packet first = packets.get(0);
+        // Upstream sockets are shared: before it is established, only a packet for this client concerns the connection.
+        if (!isResumed && !first.destination().equals(clientId)) {
+            return ConnectionAction.DROP;
         }
-        switch (p.type()) {
+        lastReceivedMs = nowMs;
+        return isResumed ? ConnectionAction.ESTABLISH : firstAnswer(first);
+    }
+
+    private ConnectionAction firstAnswer(Packet packet) {
+        return switch (packet.type()) {
             case RETRY -> {
-                // The client begins again under the id that the server chose, and its keys follow from that.
-                keyedBy = p.source();
-                first.clear();
-                return Step.RETRIED;
-            }
-            case INITIAL -> {
-                InitialFrames frames;
-                try {
-                    frames = InitialFrames.read(
-                            InitialKeys.server(Version.of(p.version()), keyedBy).open(p));
-                } catch (MalformedPacketException e) {
-                    return Step.DROP;
-                }
-                return !frames.closes()
-                        ? Step.BEGIN
-                        : frames.closeCode() == InitialFrames.CONNECTION_REFUSED ? Step.REFUSED : Step.FAILED;
-            }
-            case HANDSHAKE, SHORT -> {
-                return Step.BEGIN;
+                // The client starts again with the ID that the server chose, which its keys follow from.
+                initialKeyId = packet.source();
+                firstDatagrams.clear();
+                yield ConnectionAction.FORWARD_RETRY;
             }
-            default -> {
-                return Step.FAILED;
-            }
-        }
+            case INITIAL -> firstInitial(packet);
+            case HANDSHAKE, SHORT -> ConnectionAction.ESTABLISH;
+            case ZERO_RTT, VERSION_NEGOTIATION, OTHER_VERSION -> ConnectionAction.ENDPOINT_FAILED;
+        };
     }
 
-    // ---- What its owner does ----
+    private ConnectionAction firstInitial(Packet initial) {
+        InitialFrames frames;
+        try {
+            frames = InitialFrames.read(InitialKeys.server(Version.of(initial.version()), initialKeyId)
+                    .open(initial));
+        } catch (MalformedPacketException e) {
+            return ConnectionAction.DROP;
+        }
+        if (!frames.closes()) {
+            return ConnectionAction.ESTABLISH;
+        }
+        return frames.closeCode() == InitialFrames.CONNECTION_REFUSED
+                ? ConnectionAction.ENDPOINT_REFUSED
+                : ConnectionAction.ENDPOINT_FAILED;
+    }
 
-    /** The core says that the member serves it. */
-    void stands() {
-        stage = Stage.STANDING;
-        first = List.of();
+    /** The connection is established at the endpoint. */
+    void establish() {
+        stage = ConnectionStage.ESTABLISHED;
+        firstDatagrams = List.of();
     }
 
-    /** The client has had its answer, or wants none. */
-    void answered(double nowMs) {
-        stage = Stage.ANSWERED;
-        answeredMs = nowMs;
-        opening = null;
-        first = List.of();
+    /** The client has got its final answer, or needs none. */
+    void close(double nowMs) {
+        stage = ConnectionStage.CLOSED;
+        closedMs = nowMs;
+        clientHello = null;
+        firstDatagrams = List.of();
     }
 
-    /** What was read of the hello, given once; null where there was none. */
-    ClientHelloAssembler takeOpening() {
-        ClientHelloAssembler read = opening;
-        opening = null;
-        return read;
+    /** The complete ClientHello, once; null afterwards, and for a resumed connection. */
+    ClientHelloAssembler takeClientHello() {
+        ClientHelloAssembler taken = clientHello;
+        clientHello = null;
+        return taken;
     }
 
-    /** What time has done; {@code silent} where the member has left the client's datagrams unanswered for too long. */
-    Step tick(double nowMs, boolean silent) {
+    /** Decides what is to be done at this time. */
+    ConnectionAction checkTimeouts(double nowMs, boolean isEndpointUnresponsive) {
         return switch (stage) {
-            case ANSWERED -> nowMs - answeredMs > limits.finalResponseRepeatMs() ? Step.FORGET : Step.DROP;
-            case OPENING -> nowMs - openedMs > limits.clientHelloTimeoutMs() ? Step.NEVER_WHOLE : Step.DROP;
-            case STANDING -> silent ? Step.SILENT : nowMs - heardMs > limits.idleTimeoutMs() ? Step.IDLE : Step.DROP;
-            case OWED -> Step.DROP;
+            case CLOSED ->
+                nowMs - closedMs > limits.finalResponseRepeatMs() ? ConnectionAction.REMOVE : ConnectionAction.DROP;
+            case AWAITING_CLIENT_HELLO ->
+                nowMs - openedMs > limits.clientHelloTimeoutMs()
+                        ? ConnectionAction.REFUSE_INCOMPLETE
+                        : ConnectionAction.DROP;
+            case ESTABLISHED -> checkEstablished(nowMs, isEndpointUnresponsive);
+            case PENDING -> ConnectionAction.DROP;
         };
     }
 
-    /**
-     * Whether so many bytes may go to the client's address now: to one that nothing has proved no more than three times what
-     * came from there, by all answers and members together.
-     */
-    boolean maySend(int bytes) {
-        if (proven) {
-            return true;
+    private ConnectionAction checkEstablished(double nowMs, boolean isEndpointUnresponsive) {
+        if (isEndpointUnresponsive) {
+            return ConnectionAction.ENDPOINT_UNRESPONSIVE;
         }
-        boolean may = credit >= bytes;
-        credit -= may ? bytes : 0;
-        return may;
+        return nowMs - lastReceivedMs > limits.idleTimeoutMs() ? ConnectionAction.IDLE_TIMEOUT : ConnectionAction.DROP;
+    }
+
+    /** Takes this many bytes of the anti-amplification allowance; false where they may not be sent to the client now. */
+    boolean maySend(int bytes) {
+        return amplification.tryAcquire(bytes);
     }
 
-    /** Whether something has proved the client's address. */
-    boolean proven() {
-        return proven;
+    /** Whether the client's address is validated. */
+    boolean isAddressValidated() {
+        return amplification.isValidated();
     }
 
-    Stage stage() {
+    /** How far the connection has come. */
+    ConnectionStage stage() {
         return stage;
     }
 
-    /** Whether the client can still read a close in an Initial packet. */
-    boolean readsInitials() {
-        return !pastInitial && clientId != null;
+    /** Whether the client can still read a CONNECTION_CLOSE in an Initial packet. */
+    boolean canReadInitial() {
+        return !isPastInitial && clientId != null;
     }
 
-    /** A server-side Initial that closes the connection. */
-    byte[] closing(int code, String reason) {
-        return QuicSession.closing(version, keyedBy, clientId, code, reason);
+    /** A datagram with an Initial of the server that closes the connection. */
+    byte[] closeDatagram(int errorCode, String reason) {
+        return InitialClose.datagram(version, initialKeyId, clientId, errorCode, reason);
     }
 
-    /** The id that the client last used. */
-    ConnectionId current() {
-        return current;
+    /** The destination ID that the client used last. */
+    ConnectionId currentId() {
+        return currentId;
     }
 
-    /** The id that Initial keys follow from. */
-    ConnectionId keyedBy() {
-        return keyedBy;
+    /** The ID that the Initial keys follow from. */
+    ConnectionId initialKeyId() {
+        return initialKeyId;
     }
 
-    /** How long the client's ids are: the short headers that it is sent do not tell. */
+    /** The length of the client's IDs, in bytes: short headers to the client do not carry it. */
     int clientIdLength() {
         return clientId == null ? 0 : clientId.length();
     }
 
-    /** The client's first datagrams, which a further attempt repeats. */
-    List<byte[]> first() {
-        return first;
+    /** The client's first datagrams, which each further attempt sends again. */
+    List<byte[]> firstDatagrams() {
+        return firstDatagrams;
     }
 }
--- a/node/src/main/java/tulipshed/quic/ConnectionTable.java
+++ b/node/src/main/java/tulipshed/quic/ConnectionTable.java
@@ -1,99 +1,123 @@
 package tulipshed.quic;
 
 import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import tulipshed.connectionid.ConnectionId;
 
-/** Which connection ids, addresses and server's numbers lead to which path of a client. Without I/O. */
+/**
+ * The open connections, and which connection IDs (RFC 9000 section 5.1), client addresses and numbers of servers lead to which
+ * of their paths. Without I/O.
+ */
 final class ConnectionTable {
-    /** A client's address and the listener at which it is heard, which is where its answers come from. */
-    record Way(Object listener, Object client) {}
+    private final Set<QuicSession> sessions = new LinkedHashSet<>();
+    private final Map<ConnectionId, ClientPath> pathsById = new HashMap<>();
+    private final Map<PathAddress, ClientPath> pathsByAddress = new HashMap<>();
+    private final Map<ConnectionIdRoute, QuicSession> sessionsByNumber = new HashMap<>();
 
-    /** A connection as its server numbers it. */
-    private record Numbered(String member, long connection) {}
+    /** How many IDs of each length are in the table. */
+    private final int[] idsByLength = new int[ConnectionId.LONGEST + 1];
 
-    private final Map<ConnectionId, ClientPath> byId = new HashMap<>();
-    private final Map<Way, ClientPath> byWay = new HashMap<>();
-    private final Map<Numbered, QuicSession> byNumber = new HashMap<>();
-    /** How many ids of each length are known. */
-    private final int[] lengths = new int[ConnectionId.LONGEST + 1];
+    /** Adds a connection. */
+    void add(QuicSession session) {
+        sessions.add(session);
+    }
+
+    /** Removes a connection; its IDs and addresses are removed one by one. */
+    void remove(QuicSession session) {
+        sessions.remove(session);
+    }
+
+    /** The open connections, oldest first; a copy. */
+    List<QuicSession> sessions() {
+        return List.copyOf(sessions);
+    }
+
+    /** How many connections are open. */
+    int sessionCount() {
+        return sessions.size();
+    }
 
-    /** The path of an id, or null. */
+    /** The path of an ID, or null. */
     ClientPath path(ConnectionId id) {
-        return byId.get(id);
+        return pathsById.get(id);
     }
 
-    /** The path at that address, or null. */
-    ClientPath path(Way way) {
-        return byWay.get(way);
+    /** The path at an address, or null. */
+    ClientPath path(PathAddress address) {
+        return pathsByAddress.get(address);
     }
 
-    /** The connection that a server numbers so; null where there is none or its ids carry no numbers. */
-    QuicSession numbered(String member, long connection) {
-        return connection < 0 ? null : byNumber.get(new Numbered(member, connection));
+    /** The connection that the endpoint of a route numbers so; null where there is none or the ID carries no number. */
+    QuicSession numbered(ConnectionIdRoute route) {
+        return route.isNumbered() ? sessionsByNumber.get(route) : null;
     }
 
-    /** From now on the id leads there, unless it leads elsewhere already. */
-    boolean learn(ConnectionId id, ClientPath path) {
-        boolean added = byId.putIfAbsent(id, path) == null;
-        lengths[id.length()] += added ? 1 : 0;
-        return added;
+    /** Adds an ID that leads to a path; false where it leads to one already. */
+    boolean addId(ConnectionId id, ClientPath path) {
+        boolean isAdded = pathsById.putIfAbsent(id, path) == null;
+        idsByLength[id.length()] += isAdded ? 1 : 0;
+        return isAdded;
     }
 
-    /** An id of a connection leads to another of its paths. */
-    void lead(ConnectionId id, ClientPath path) {
-        byId.replace(id, path);
+    /** Lets an ID of a connection lead to another of its paths. */
+    void moveId(ConnectionId id, ClientPath path) {
+        pathsById.replace(id, path);
     }
 
-    /** The id leads to that connection no more. */
-    void forget(ConnectionId id, QuicSession session) {
-        ClientPath path = byId.get(id);
+    /** Removes an ID that leads to this connection. */
+    void removeId(ConnectionId id, QuicSession session) {
+        ClientPath path = pathsById.get(id);
         if (path != null && path.session() == session) {
-            byId.remove(id);
-            lengths[id.length()]--;
+            pathsById.remove(id);
+            idsByLength[id.length()]--;
         }
     }
 
-    /** Its server's number leads to the connection; the one that was there before has ended without a word. */
-    void number(String member, long connection, QuicSession session) {
-        if (connection >= 0) {
-            byNumber.put(new Numbered(member, connection), session);
+    /** Adds the endpoint's number of a connection; an older connection of that number has ended unnoticed. */
+    void addNumber(ConnectionIdRoute route, QuicSession session) {
+        if (route.isNumbered()) {
+            sessionsByNumber.put(route, session);
         }
     }
 
-    void forgetNumber(String member, long connection, QuicSession session) {
-        byNumber.remove(new Numbered(member, connection), session);
+    /** Removes the endpoint's number of this connection. */
+    void removeNumber(ConnectionIdRoute route, QuicSession session) {
+        sessionsByNumber.remove(route, session);
     }
 
-    /** The path is heard there from now on. */
-    void at(Way way, ClientPath path) {
-        byWay.put(way, path);
+    /** Lets an address lead to a path. */
+    void addAddress(PathAddress address, ClientPath path) {
+        pathsByAddress.put(address, path);
     }
 
-    void leaves(Way way, ClientPath path) {
-        byWay.remove(way, path);
+    /** Removes an address that leads to this path. */
+    void removeAddress(PathAddress address, ClientPath path) {
+        pathsByAddress.remove(address, path);
     }
 
     /**
-     * How long the known id is that a short header begins with, or 0: servers may choose ids of no configuration, which are
-     * known from their handshake.
+     * The length of the known ID that a short header begins with, or 0. A short header does not carry the length (RFC 8999
+     * section 5.2), and servers may choose IDs of no configuration, which are learned from their handshake.
      */
-    int learnt(byte[] datagram) {
-        for (int n = Math.min(ConnectionId.LONGEST, datagram.length - 1); n > 0; n--) {
-            if (lengths[n] > 0 && byId.containsKey(new ConnectionId(datagram, 1, n))) {
-                return n;
+    int knownIdLength(byte[] datagram) {
+        for (int length = Math.min(ConnectionId.LONGEST, datagram.length - 1); length > 0; length--) {
+            if (idsByLength[length] > 0 && pathsById.containsKey(new ConnectionId(datagram, 1, length))) {
+                return length;
             }
         }
         return 0;
     }
 
-    /** Ids known. */
-    int ids() {
-        return byId.size();
+    /** How many IDs are in the table. */
+    int idCount() {
+        return pathsById.size();
     }
 
-    /** Addresses and numbers known. */
-    int others() {
-        return byWay.size() + byNumber.size();
+    /** How many addresses and numbers are in the table; for tests. */
+    int addressAndNumberCount() {
+        return pathsByAddress.size() + sessionsByNumber.size();
     }
 }
--- a/node/src/main/java/tulipshed/quic/LearnedConnectionIds.java
+++ b/node/src/main/java/tulipshed/quic/LearnedConnectionIds.java
@@ -6,52 +6,59 @@
 import tulipshed.connectionid.ConnectionId;
 import tulipshed.connectionid.StatelessReset;
 
-/** The ids that lead to one connection, oldest first, with the tokens by which its server's resets are known. Without I/O. */
+/** The IDs that lead to one connection, oldest first, with their stateless reset tokens (RFC 9000 section 10.3). Without I/O. */
 final class LearnedConnectionIds {
-    private final List<ConnectionId> ids = new ArrayList<>(3);
-    /** Null until it is asked for. */
-    private final List<byte[]> tokens = new ArrayList<>(3);
+    private static final int INITIAL_CAPACITY = 3;
 
+    private final List<ConnectionId> ids = new ArrayList<>(INITIAL_CAPACITY);
+
+    /** The token of each ID; null until it is needed. */
+    private final List<byte[]> resetTokens = new ArrayList<>(INITIAL_CAPACITY);
+
+    /** Adds an ID. */
     void add(ConnectionId id) {
         ids.add(id);
-        tokens.add(null);
+        resetTokens.add(null);
     }
 
-    boolean has(ConnectionId id) {
+    /** Whether this ID was added and not removed. */
+    boolean contains(ConnectionId id) {
         return ids.contains(id);
     }
 
+    /** How many IDs there are. */
     int count() {
         return ids.size();
     }
 
-    /** Takes out the oldest. */
-    ConnectionId poll() {
-        tokens.remove(0);
+    /** Removes the oldest ID. */
+    ConnectionId removeOldest() {
+        resetTokens.remove(0);
         return ids.remove(0);
     }
 
+    /** The IDs, oldest first. */
     List<ConnectionId> all() {
         return ids;
     }
 
     /**
-     * Whether this datagram of a server resets the connection: it ends with the token of one of the ids (RFC 9000 section
-     * 10.3.1). A token is worked out once.
+     * Whether a datagram of the server resets the connection: it ends with the token of one of the IDs (RFC 9000 section
+     * 10.3.1). All tokens are compared, so that the time does not depend on which one matches.
      */
-    boolean resets(byte[] datagram, StatelessReset key) {
+    boolean isStatelessReset(byte[] datagram, StatelessReset key) {
         if (datagram.length < StatelessReset.LEAST) {
             return false;
         }
-        boolean found = false;
+        boolean isFound = false;
         for (int i = 0; i < ids.size(); i++) {
-            byte[] token = tokens.get(i);
+            byte[] token = resetTokens.get(i);
             if (token == null) {
                 token = key.token(ids.get(i));
-                tokens.set(i, token);
+                resetTokens.set(i, token);
             }
-            found |= Arrays.equals(token, 0, token.length, datagram, datagram.length - token.length, datagram.length);
+            isFound |= Arrays.equals(token, 0, token.length, datagram, datagram.length - token.length, datagram.length);
         }
-        return found;
+        return isFound;
     }
 }
--- a/node/src/main/java/tulipshed/quic/QuicConfig.java
+++ b/node/src/main/java/tulipshed/quic/QuicConfig.java
@@ -8,10 +8,17 @@
 import tulipshed.time.WallClock;
 
 /**
- * What the second front works with: where it listens, and besides where servers may tell clients to go (null
- * for nowhere), what a connection is taken to ask for unless rules say otherwise,
- * how ids carry their server, the key shared for resets, and the tokens and the threshold of Retry, null where the node
- * never asks for proof of an address.
+ * The configuration of the QUIC frontend.
+ *
+ * @param listen the address of the first listener
+ * @param preferred the servers' preferred address (RFC 9000 section 9.6), where the frontend listens too; null for none
+ * @param requestClass the request class of a connection, unless rules say otherwise
+ * @param tenant the tenant of a connection; null for none
+ * @param deadlineMs the time within which a connection is to be accepted
+ * @param ids how connection IDs carry server IDs
+ * @param reset the key for stateless resets, which the servers share
+ * @param tokens the tokens of Retry packets; null where the node sends none
+ * @param policy when Retry packets are sent; null where the node sends none
  */
 public record QuicConfig(
         InetSocketAddress listen,
@@ -24,27 +31,36 @@
         RetryTokens tokens,
         RetryPolicy policy) {
 
-    /** From what the operators' file says, which has been checked. */
-    public static QuicConfig of(QuicSection s, Limits limits, WallClock wallClock) {
+    /** The configuration for a valid section of the operators' file. */
+    public static QuicConfig of(QuicSection section, Limits limits, WallClock wallClock) {
         ConnectionIdConfigurations ids = new ConnectionIdConfigurations();
-        for (QuicSection.Ids i : s.ids()) {
+        for (QuicSection.Ids entry : section.ids()) {
             ids = ids.with(
-                    new ServerIds(i.configuration(), i.serverIdBytes(), i.nonceBytes(), i.connectionBytes(), i.key()),
-                    i.servers());
+                    new ServerIds(
+                            entry.configuration(),
+                            entry.serverIdBytes(),
+                            entry.nonceBytes(),
+                            entry.connectionBytes(),
+                            entry.key()),
+                    entry.servers());
         }
-        QuicSection.Retry r = s.retry();
+        QuicSection.Retry retry = section.retry();
         return new QuicConfig(
-                s.listen(),
-                s.preferred(),
-                s.requestClass(),
-                s.tenant(),
-                s.deadlineMs(),
+                section.listen(),
+                section.preferred(),
+                section.requestClass(),
+                section.tenant(),
+                section.deadlineMs(),
                 ids,
-                new StatelessReset(s.resetKey()),
-                r == null
+                new StatelessReset(section.resetKey()),
+                retry == null
                         ? null
                         : new RetryTokens(
-                                r.keys(), r.use(), r.expiresMs(), limits.quic().tokenClockToleranceMs(), wallClock),
-                r == null ? null : new RetryPolicy(r.on(), r.off(), r.stayMs()));
+                                retry.keys(),
+                                retry.use(),
+                                retry.expiresMs(),
+                                limits.quic().tokenClockToleranceMs(),
+                                wallClock),
+                retry == null ? null : new RetryPolicy(retry.on(), retry.off(), retry.stayMs()));
     }
 }
--- a/node/src/main/java/tulipshed/quic/QuicMetrics.java
+++ b/node/src/main/java/tulipshed/quic/QuicMetrics.java
@@ -1,44 +1,16 @@
 package tulipshed.quic;
 
-/** What the front has done and dropped since its start. */
+/** The counters of one QUIC frontend since its start. Confined to the event-loop thread. */
 final class QuicMetrics {
-    /** What is counted. */
-    enum Figure {
-        DATAGRAMS,
-        OPENED_V1,
-        OPENED_V2,
-        RETRY_SENT,
-        RETRY_ACCEPTED,
-        REBINDS,
-        IDS_JOINED,
-        PATHS_OPENED,
-        CARRIED_ON,
-        RESETS_SENT,
-        RESETS_PASSED,
-        DROPPED_MALFORMED,
-        DROPPED_SMALL,
-        DROPPED_UNKNOWN_ID,
-        DROPPED_STRAY,
-        DROPPED_AMPLIFICATION,
-        DROPPED_REPLAYED,
-        DROPPED_PRESSED,
-        GAVE_WAY,
-        HELLO_NEVER_WHOLE,
-        NEGOTIATED;
+    private final long[] counts = new long[QuicCounter.values().length];
 
-        /** As the second address tells it. */
-        String written() {
-            return "quic_" + name().toLowerCase(java.util.Locale.ROOT);
-        }
+    /** Adds one to a counter. */
+    void count(QuicCounter counter) {
+        counts[counter.ordinal()]++;
     }
 
-    private final long[] counts = new long[Figure.values().length];
-
-    void count(Figure f) {
-        counts[f.ordinal()]++;
-    }
-
-    long get(Figure f) {
-        return counts[f.ordinal()];
+    /** The value of a counter. */
+    long get(QuicCounter counter) {
+        return counts[counter.ordinal()];
     }
 }
--- a/node/src/main/java/tulipshed/quic/QuicSession.java
+++ b/node/src/main/java/tulipshed/quic/QuicSession.java
@@ -1,308 +1,200 @@
 package tulipshed.quic;
 
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.List;
-import tulipshed.connectionid.ConnectionId;
 import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.Attempt;
 import tulipshed.proxy.ClientConnection;
 import tulipshed.proxy.Request;
 import tulipshed.proxy.UpstreamConnector;
-import tulipshed.quic.QuicMetrics.Figure;
 import tulipshed.transport.UdpSocket;
 
 /**
- * One connection of QUIC: carries out what its {@link ConnectionStateMachine} says, between the client's paths and the core, and is
- * the connector of its flows to members.
+ * One QUIC connection (RFC 9000 section 5): carries out the actions of its {@link ConnectionStateMachine} between the client's
+ * paths and the core, and opens the flows to endpoints.
  */
 final class QuicSession implements ClientConnection, UpstreamConnector {
-    private static final int LONGEST_REPLY = 43;
-
-    private final QuicFrontend front;
+    private final QuicContext context;
     private final ConnectionStateMachine machine;
-    private final LearnedConnectionIds ids = new LearnedConnectionIds();
-    private final List<ClientPath> paths = new ArrayList<>(1);
-    /** By which the client was last heard. */
-    private ClientPath current;
+    private final ClientPaths paths;
+    private final ClientResponder client;
+    private final SessionAdmission admission;
 
-    private Request transaction;
-    private Attempt flow;
-    private byte[] answer;
-    private boolean countedUnproven;
-    private boolean carriedOn;
-    private String numberedAt;
-    private long number = -1;
+    private Request request;
+    private Attempt attempt;
 
-    QuicSession(QuicFrontend front, ConnectionStateMachine machine, UdpSocket listener, InetSocketAddress client) {
-        this.front = front;
+    /** A connection whose client's first datagram was received at this address. */
+    QuicSession(QuicContext context, ConnectionStateMachine machine, UdpSocket listener, InetSocketAddress address) {
+        this.context = context;
         this.machine = machine;
-        current = new ClientPath(this, listener, client, front.clock.nowMs());
-        paths.add(current);
-        front.table.at(current.way(), current);
-        learn(machine.current(), current);
+        paths = new ClientPaths(context, this, listener, address, machine.currentId());
+        client = new ClientResponder(context, machine, paths);
+        admission = new SessionAdmission(context.admission(), this);
     }
 
-    /** A new connection. */
+    /** Starts a new connection. */
     void open() {
-        countedUnproven = !machine.proven();
-        front.unproven(countedUnproven ? 1 : 0);
-        if (machine.stage() == ConnectionStateMachine.Stage.OPENING) {
-            front.waits(1);
+        if (!machine.isAddressValidated()) {
+            admission.addressUnvalidated();
+        }
+        if (machine.stage() == ConnectionStage.AWAITING_CLIENT_HELLO) {
+            admission.clientHelloStarted();
         } else {
-            arrive();
+            startRequest();
         }
     }
 
-    /** The hello is whole, so all is known that rules may ask for. */
-    private void arrive() {
-        transaction = new Request(
+    private void startRequest() {
+        request = new Request(
                 this,
                 this,
-                front.arrival(machine.keyedBy().toString()),
-                QuicFrontend.origin(current.client(), machine.takeOpening()),
-                front.clock.nowMs(),
+                context.settings().requestAttributes(machine.initialKeyId().toString()),
+                QuicRequestOrigin.of(paths.current().address().client(), machine.takeClientHello()),
+                context.clock().nowMs(),
                 false);
-        front.core.requestArrived(transaction);
+        context.core().requestArrived(request);
     }
 
-    /** A connection that stands at that member already, though this node knows nothing else of it. */
-    void carryOn(String member) {
-        carriedOn = true;
-        number(machine.current(), member);
-        transaction = new Request(
+    /** Starts a connection that is established at this endpoint already. */
+    void resume(String endpointId) {
+        admission.resumed();
+        paths.learnNumber(machine.currentId(), endpointId);
+        request = new Request(
                 this,
                 this,
-                front.arrival(machine.current().toString()),
-                QuicFrontend.origin(current.client(), null),
-                front.clock.nowMs(),
+                context.settings().requestAttributes(machine.currentId().toString()),
+                QuicRequestOrigin.of(paths.current().address().client(), null),
+                context.clock().nowMs(),
                 true);
-        front.core.adoptConnection(transaction, member);
+        context.core().adoptConnection(request, endpointId);
     }
 
-    /** Others need its place more: it ends, and its client hears that it must come again. */
-    void giveWay() {
-        if (flow != null) {
-            front.core.attemptEnded(flow, Outcome.CANCELLED);
-            forget();
+    /** Ends a resumed connection in favour of others; its client is resumed again with its next datagram. */
+    void evict() {
+        if (attempt != null) {
+            context.core().attemptEnded(attempt, Outcome.CANCELLED);
+            remove();
         }
     }
 
-    private void settled() {
-        if (carriedOn) {
-            front.settled(this);
-        }
-    }
-
-    // ---- What the client sends ----
-
+    /** Processes a datagram that the client has sent by one of its paths. */
     void fromClient(ClientPath path, byte[] datagram, List<Packet> packets) {
-        double nowMs = front.clock.nowMs();
-        current = path;
-        path.heard(nowMs);
-        boolean waited = machine.stage() == ConnectionStateMachine.Stage.OPENING;
-        ConnectionStateMachine.Step step = machine.fromClient(datagram, packets, nowMs);
-        if (waited && step != ConnectionStateMachine.Step.HOLD && step != ConnectionStateMachine.Step.DROP) {
-            front.waits(-1);
+        double nowMs = context.clock().nowMs();
+        paths.received(path, nowMs);
+        boolean wasAwaitingClientHello = machine.stage() == ConnectionStage.AWAITING_CLIENT_HELLO;
+        ConnectionAction action = machine.fromClient(datagram, packets, nowMs);
+        if (wasAwaitingClientHello
+                && action != ConnectionAction.AWAIT_CLIENT_HELLO
+                && action != ConnectionAction.DROP) {
+            admission.clientHelloEnded();
         }
-        if (machine.proven()) {
-            proven();
+        if (machine.isAddressValidated()) {
+            admission.addressSettled();
         }
-        switch (step) {
-            case PASS -> toMember(path, datagram, nowMs);
-            case REPEAT -> repeatAnswer(datagram.length);
-            case ARRIVE -> {
-                if (front.arrival("") == null) {
-                    answer(InitialFrames.INTERNAL_ERROR, "an unknown class");
-                } else {
-                    arrive();
-                }
-            }
-            case BAD_HELLO -> answer(InitialFrames.PROTOCOL_VIOLATION, "not a client hello");
-            case NEVER_WHOLE -> neverWhole();
-            case TAKEN_BACK -> {
-                if (transaction != null) {
-                    front.core.clientDisconnected(transaction);
-                }
-                end();
-            }
+        switch (action) {
+            case FORWARD -> forwardToEndpoint(path, datagram, nowMs);
+            case REPEAT_ANSWER -> client.repeatClose(datagram.length);
+            case START_REQUEST -> startRequestIfConfigured();
+            case REFUSE_MALFORMED -> answer(InitialFrames.PROTOCOL_VIOLATION, CloseReason.MALFORMED_CLIENT_HELLO);
+            case REFUSE_INCOMPLETE -> refuseIncompleteClientHello();
+            case CLIENT_CLOSED -> clientClosed();
             default -> {}
         }
     }
 
-    /** A hello that passed a bound, in time or in datagrams. */
-    private void neverWhole() {
-        front.counted.count(Figure.HELLO_NEVER_WHOLE);
-        answer(InitialFrames.CONNECTION_REFUSED, "no whole hello");
-    }
-
-    /** A client that missed its one answer and sends again is given the same; nothing is begun anew. */
-    private void repeatAnswer(int length) {
-        if (answer != null) {
-            toClient(current, answer);
-        } else if (machine.maySend(LONGEST_REPLY)) {
-            front.reset(current, machine.current(), length);
+    private void startRequestIfConfigured() {
+        if (context.settings().hasRequestAttributes()) {
+            startRequest();
+        } else {
+            answer(InitialFrames.INTERNAL_ERROR, CloseReason.UNKNOWN_CLASS);
         }
     }
 
-    private void toMember(ClientPath path, byte[] datagram, double nowMs) {
-        if (path.side() == null && machine.stage() == ConnectionStateMachine.Stage.STANDING) {
-            path.side(UpstreamFlow.further(front, flow, d -> fromMember(path, d)));
-        }
-        if (path.side() != null) {
-            path.side().send(datagram, nowMs);
+    private void clientClosed() {
+        if (request != null) {
+            context.core().clientDisconnected(request);
         }
+        end();
     }
 
-    // ---- Paths ----
-
-    /** Whether its client has sent what only follows on Initial packets. */
-    boolean isPastInitial() {
-        return !machine.readsInitials();
+    private void refuseIncompleteClientHello() {
+        context.metrics().count(QuicCounter.CLIENT_HELLO_INCOMPLETE);
+        answer(InitialFrames.CONNECTION_REFUSED, CloseReason.INCOMPLETE_CLIENT_HELLO);
     }
 
-    /**
-     * The path of this connection at that address: for an id that came there first, a path of its own, so that the member sees
-     * two and answers each where it belongs.
-     */
-    ClientPath path(UdpSocket listener, InetSocketAddress client, ConnectionId id) {
-        ClientPath path =
-                paths.stream().filter(p -> p.isAt(listener, client)).findFirst().orElse(null);
-        if (path == null) {
-            if (paths.size() >= front.limits.quic().maxPathsPerConnection()) {
-                close(paths.stream()
-                        .filter(p -> p != current)
-                        .min((a, b) -> Double.compare(a.heardMs(), b.heardMs()))
-                        .orElseThrow());
-            }
-            path = new ClientPath(this, listener, client, front.clock.nowMs());
-            paths.add(path);
-            front.table.at(path.way(), path);
-            front.counted.count(Figure.PATHS_OPENED);
+    private void forwardToEndpoint(ClientPath path, byte[] datagram, double nowMs) {
+        if (path.flow() == null && machine.stage() == ConnectionStage.ESTABLISHED) {
+            path.replaceFlow(UpstreamFlow.openFurther(context, attempt, received -> fromEndpoint(path, received)));
         }
-        learn(id, path);
-        return path;
-    }
-
-    /** What led to a path that is gone leads to the one where the client is. */
-    private void close(ClientPath path) {
-        paths.remove(path);
-        path.side(null);
-        front.table.leaves(path.way(), path);
-        ids.all().stream().filter(id -> front.table.path(id) == path).forEach(id -> front.table.lead(id, current));
-    }
-
-    /** The client of that path is heard elsewhere, under an id that it used before: its network has given it another address. */
-    ClientPath rebind(ClientPath path, UdpSocket listener, InetSocketAddress client, ConnectionId id) {
-        for (ClientPath p : paths) {
-            if (p.isAt(listener, client)) {
-                front.table.lead(id, p);
-                return p;
-            }
+        if (path.flow() != null) {
+            path.flow().send(datagram, nowMs);
         }
-        front.counted.count(Figure.REBINDS);
-        front.table.leaves(path.way(), path);
-        path.move(listener, client);
-        front.table.at(path.way(), path);
-        return path;
     }
 
-    /** To the client; an address that nothing has proved is sent no more than three times what came from it. */
-    private void toClient(ClientPath path, byte[] datagram) {
-        if (machine.maySend(datagram.length)) {
-            path.send(datagram);
-        } else {
-            front.counted.count(Figure.DROPPED_AMPLIFICATION);
-        }
+    /** Whether the client has sent packets that only follow the Initial ones. */
+    boolean isPastInitial() {
+        return !machine.canReadInitial();
     }
 
-    // ---- Answers ----
-
-    /** An Initial with CONNECTION_CLOSE, as a server sends it that has not begun the handshake. */
-    static byte[] closing(Version version, ConnectionId destination, ConnectionId clientId, int code, String reason) {
-        return InitialKeys.server(version, destination)
-                .seal(clientId, destination, 0, InitialFrames.close(code, reason));
+    /** The client's network paths. */
+    ClientPaths paths() {
+        return paths;
     }
 
     @Override
     public void reject(double retryAfterMs) {
-        answer(InitialFrames.CONNECTION_REFUSED, busy(retryAfterMs));
-    }
-
-    static String busy(double retryAfterMs) {
-        long ms = (long) Math.ceil(retryAfterMs);
-        return ms > 0 ? "busy; come again after " + ms + " ms" : "busy";
+        answer(InitialFrames.CONNECTION_REFUSED, CloseReason.overload(retryAfterMs));
     }
 
     @Override
     public void fail() {
-        answer(InitialFrames.INTERNAL_ERROR, "failed");
+        answer(InitialFrames.INTERNAL_ERROR, CloseReason.FAILED);
     }
 
     @Override
     public void migrate() {
-        answer(InitialFrames.CONNECTION_REFUSED, "moved; come again");
+        answer(InitialFrames.CONNECTION_REFUSED, CloseReason.MIGRATE);
     }
 
-    /**
-     * The last word to the client. While it can still read Initial packets that is a close; later only a reset
-     * is left, which it accepts once it has learnt its tokens in the handshake.
-     */
-    private void answer(int code, String reason) {
-        if (machine.stage() == ConnectionStateMachine.Stage.ANSWERED) {
+    private void answer(int errorCode, String reason) {
+        if (machine.stage() == ConnectionStage.CLOSED) {
             return;
         }
-        if (machine.readsInitials()) {
-            answer = machine.closing(code, reason);
-            toClient(current, answer);
-        } else if (machine.maySend(LONGEST_REPLY)) {
-            front.reset(current, machine.current(), LONGEST_REPLY + 1);
-        }
+        client.close(errorCode, reason);
         end();
     }
 
-    private void proven() {
-        front.unproven(countedUnproven ? -1 : 0);
-        countedUnproven = false;
-    }
-
     private void end() {
-        proven();
-        settled();
-        machine.answered(front.clock.nowMs());
-        closeSides();
-    }
-
-    private void closeSides() {
-        paths.forEach(p -> p.side(null));
+        admission.addressSettled();
+        admission.confirmed();
+        machine.close(context.clock().nowMs());
+        paths.closeFlows();
     }
 
-    // ---- Flows ----
-
     @Override
     public void open(Attempt opened) {
-        flow = opened;
-        // A close of the client may have arrived and not have been read yet.
-        front.receiveAvailable();
-        if (machine.stage() == ConnectionStateMachine.Stage.ANSWERED) {
-            // The client has gone; the core has just been notified, and abandons the attempt.
+        attempt = opened;
+        // The client's CONNECTION_CLOSE may have arrived and not have been read yet.
+        context.receiveAvailable().run();
+        if (machine.stage() == ConnectionStage.CLOSED) {
+            // The core has just been notified that the client has gone, and abandons the attempt.
             return;
         }
-        ClientPath path = current;
-        UpstreamFlow side = UpstreamFlow.open(front, opened, d -> fromMember(path, d));
-        path.side(side);
-        if (side == null) {
+        ClientPath path = paths.current();
+        UpstreamFlow flow = UpstreamFlow.openFirst(context, opened, received -> fromEndpoint(path, received));
+        path.replaceFlow(flow);
+        if (flow == null) {
             return;
         }
-        double nowMs = front.clock.nowMs();
-        machine.first().forEach(d -> side.send(d, nowMs));
-        front.core.attemptForwarded();
+        double nowMs = context.clock().nowMs();
+        machine.firstDatagrams().forEach(datagram -> flow.send(datagram, nowMs));
+        context.core().attemptForwarded();
     }
 
     @Override
-    public void abandon(Attempt given) {
-        if (flow == given) {
-            closeSides();
+    public void abandon(Attempt abandoned) {
+        if (attempt == abandoned) {
+            paths.closeFlows();
         }
     }
 
@@ -311,131 +203,87 @@
         return true;
     }
 
-    // ---- What the member sends ----
-
-    private void fromMember(ClientPath path, byte[] datagram) {
+    private void fromEndpoint(ClientPath path, byte[] datagram) {
         List<Packet> packets;
         try {
             packets = Packet.read(datagram, machine.clientIdLength());
         } catch (MalformedPacketException e) {
             return;
         }
-        ConnectionStateMachine.Step step = machine.fromMember(packets, front.clock.nowMs());
-        if (step == ConnectionStateMachine.Step.DROP || path.side() == null) {
+        ConnectionAction action = machine.fromEndpoint(packets, context.clock().nowMs());
+        if (action == ConnectionAction.DROP || path.flow() == null) {
             return;
         }
-        path.side().answered();
-        switch (step) {
-            case REFUSED, FAILED -> {
-                closeSides();
-                front.core.attemptEnded(
-                        flow, step == ConnectionStateMachine.Step.REFUSED ? Outcome.FULL : Outcome.ERROR);
-                return;
+        path.flow().received();
+        switch (action) {
+            case ENDPOINT_REFUSED -> endAttempt(Outcome.FULL);
+            case ENDPOINT_FAILED -> endAttempt(Outcome.ERROR);
+            case FORWARD_RETRY -> {
+                Packet retry = packets.get(0);
+                paths.learn(retry.source(), path);
+                client.send(path, retry.datagram());
             }
-            case RETRIED -> {
-                learn(packets.get(0).source(), path);
-                toClient(path, packets.get(0).datagram());
-                return;
-            }
-            case BEGIN -> {
-                if (!front.core.attemptEstablished(flow)) {
-                    return;
+            case ESTABLISH -> {
+                if (context.core().attemptEstablished(attempt)) {
+                    machine.establish();
+                    admission.confirmed();
+                    forwardToClient(path, datagram, packets);
                 }
-                machine.stands();
-                settled();
             }
-            default -> {}
-        }
-        for (Packet p : packets) {
-            boolean fromServer = p.type() == Packet.Type.INITIAL || p.type() == Packet.Type.HANDSHAKE;
-            if (fromServer && !ids.has(p.source())) {
-                learn(p.source(), path);
-                number(p.source(), flow.endpoint().id());
-            }
-        }
-        toClient(path, datagram);
-        if (packets.get(0).type() == Packet.Type.SHORT && ids.resets(datagram, front.resets())) {
-            // The server has lost its state. The client has the reset; what it still sends is answered here.
-            front.counted.count(Figure.RESETS_PASSED);
-            end();
-            front.core.attemptEnded(flow, Outcome.RESET);
+            default -> forwardToClient(path, datagram, packets);
         }
     }
 
-    /** Whether it stands at that member. */
-    boolean standsAt(String member) {
-        return machine.stage() == ConnectionStateMachine.Stage.STANDING
-                && flow.endpoint().id().equals(member);
-    }
-
-    /** Its flow; for tests. */
-    Attempt flow() {
-        return flow;
-    }
-
-    /** Places that its paths have at the member; for tests. */
-    int places() {
-        return (int) paths.stream().filter(p -> p.side() != null).count();
-    }
-
-    /** The server's number of it, or -1 where its ids tell none. */
-    long number() {
-        return number;
+    private void endAttempt(Outcome outcome) {
+        paths.closeFlows();
+        context.core().attemptEnded(attempt, outcome);
     }
 
-    /** One more id that leads here, by that path. */
-    void learn(ConnectionId id, ClientPath path) {
-        if (id.length() == 0 || !front.table.learn(id, path)) {
-            return;
-        }
-        ids.add(id);
-        if (ids.count() > front.limits.quic().maxIdsPerConnection()) {
-            front.table.forget(ids.poll(), this);
+    private void forwardToClient(ClientPath path, byte[] datagram, List<Packet> packets) {
+        paths.learnFromEndpoint(packets, path, attempt.endpoint().id());
+        client.send(path, datagram);
+        if (packets.get(0).type() == Packet.Type.SHORT && paths.isStatelessReset(datagram)) {
+            // The server has lost its state, and the client has its reset; datagrams to come are answered here.
+            context.metrics().count(QuicCounter.RESETS_FORWARDED);
+            end();
+            context.core().attemptEnded(attempt, Outcome.RESET);
         }
     }
 
-    /** An id that the server at that member chose may tell how it numbers the connection. */
-    private void number(ConnectionId id, String member) {
-        ConnectionIdConfigurations.Place place = number < 0 ? front.place(id) : null;
-        if (place != null && place.connection() >= 0 && place.member().equals(member)) {
-            number = place.connection();
-            numberedAt = member;
-            front.table.number(member, number, this);
-        }
+    /** Whether the connection is established at this endpoint. */
+    boolean isEstablishedAt(String endpointId) {
+        return machine.stage() == ConnectionStage.ESTABLISHED
+                && attempt.endpoint().id().equals(endpointId);
     }
 
-    // ---- Age ----
+    /** The attempt; for tests. */
+    Attempt attempt() {
+        return attempt;
+    }
 
-    void lookAtAge(double nowMs) {
-        for (ClientPath p : paths) {
-            if (p != current
-                    && p.side() != null
-                    && nowMs - p.heardMs() > front.limits.quic().pathIdleTimeoutMs()) {
-                p.side(null);
-            }
-        }
-        UpstreamFlow side = current.side();
-        switch (machine.tick(nowMs, side != null && side.silent(nowMs))) {
-            case FORGET -> forget();
-            case NEVER_WHOLE -> {
-                front.waits(-1);
-                neverWhole();
+    /** Ends what has exceeded its timeout. */
+    void checkTimeouts(double nowMs) {
+        paths.closeIdleFlows(nowMs);
+        UpstreamFlow flow = paths.current().flow();
+        switch (machine.checkTimeouts(nowMs, flow != null && flow.isUnresponsive(nowMs))) {
+            case REMOVE -> remove();
+            case REFUSE_INCOMPLETE -> {
+                admission.clientHelloEnded();
+                refuseIncompleteClientHello();
             }
-            case SILENT -> front.core.endpointUnresponsive(flow);
-            case IDLE -> {
-                // How it ended cannot be seen: its last packets could not be read.
-                front.core.attemptEnded(flow, Outcome.OK);
+            case ENDPOINT_UNRESPONSIVE -> context.core().endpointUnresponsive(attempt);
+            case IDLE_TIMEOUT -> {
+                // How the connection ended is unknown, as its last packets cannot be read.
+                context.core().attemptEnded(attempt, Outcome.OK);
                 end();
-                forget();
+                remove();
             }
             default -> {}
         }
     }
 
-    private void forget() {
-        ids.all().forEach(id -> front.table.forget(id, this));
-        paths.forEach(p -> front.table.leaves(p.way(), p));
-        front.table.forgetNumber(numberedAt, number, this);
-        front.closed(this);
+    private void remove() {
+        paths.removeFromTable();
+        context.table().remove(this);
     }
 }
--- a/node/src/main/java/tulipshed/quic/RetryPolicy.java
+++ b/node/src/main/java/tulipshed/quic/RetryPolicy.java
@@ -1,36 +1,38 @@
 package tulipshed.quic;
 
 /**
- * When first packets must prove their address: from a number of connections on that have not, until they are few again
- * and a while has passed. Without I/O; times in milliseconds of one clock.
+ * Decides when clients must validate their addresses with a Retry (RFC 9000 section 8.1.2): from a number of connections with
+ * unvalidated addresses on, until there are few again and a minimum time has passed. Without I/O; times in milliseconds.
  */
 final class RetryPolicy {
-    private final int on;
-    private final int off;
-    private final double stayMs;
-    private boolean asking;
-    private double sinceMs;
+    private final int startThreshold;
+    private final int stopThreshold;
+    private final double minDurationMs;
+    private boolean isRetryRequired;
+    private double changedMs;
     private long changes;
 
-    /** Off is below on, so that a number that swings by less than their distance changes nothing. */
-    RetryPolicy(int on, int off, double stayMs) {
-        this.on = on;
-        this.off = off;
-        this.stayMs = stayMs;
+    /** The stop threshold is below the start threshold, so that a number between them changes nothing (hysteresis). */
+    RetryPolicy(int startThreshold, int stopThreshold, double minDurationMs) {
+        this.startThreshold = startThreshold;
+        this.stopThreshold = stopThreshold;
+        this.minDurationMs = minDurationMs;
     }
 
-    /** Whether proof is asked for, with so many connections that have given none. */
-    boolean asks(int unproven, double nowMs) {
-        boolean change = asking ? unproven <= off && nowMs - sinceMs >= stayMs : unproven >= on;
-        if (change) {
-            asking = !asking;
-            sinceMs = nowMs;
+    /** Whether a Retry is required, with this many connections with unvalidated addresses. */
+    boolean isRetryRequired(int unvalidatedAddresses, double nowMs) {
+        boolean isChange = isRetryRequired
+                ? unvalidatedAddresses <= stopThreshold && nowMs - changedMs >= minDurationMs
+                : unvalidatedAddresses >= startThreshold;
+        if (isChange) {
+            isRetryRequired = !isRetryRequired;
+            changedMs = nowMs;
             changes++;
         }
-        return asking;
+        return isRetryRequired;
     }
 
-    /** How often it has changed. */
+    /** How often the requirement has changed; for tests. */
     long changes() {
         return changes;
     }
--- a/node/src/main/java/tulipshed/quic/UpstreamFlow.java
+++ b/node/src/main/java/tulipshed/quic/UpstreamFlow.java
@@ -4,64 +4,68 @@
 import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.Attempt;
 
-/** One path's place on a socket towards its member, and whether anything comes back there. */
+/** The datagrams between one client path and the endpoint of its attempt, on an upstream socket. */
 final class UpstreamFlow {
-    private final QuicFrontend front;
-    private final Attempt flow;
-    private UpstreamSocketPool.Seat seat;
-    private double unansweredSinceMs = Double.NaN;
-    private int unanswered;
+    private final QuicContext context;
+    private final Attempt attempt;
+    private final SocketBinding binding;
+    private int datagramsWithoutReply;
 
-    private UpstreamFlow(QuicFrontend front, Attempt attempt) {
-        this.front = front;
-        this.flow = attempt;
+    /** When the first of the datagrams without a reply was sent. */
+    private double withoutReplySinceMs = Double.NaN;
+
+    private UpstreamFlow(QuicContext context, Attempt attempt, SocketBinding binding) {
+        this.context = context;
+        this.attempt = attempt;
+        this.binding = binding;
     }
 
-    /** Opens a flow's first; null, and the core told why, where it may not be sent to or there is no socket for it. */
-    static UpstreamFlow open(QuicFrontend front, Attempt attempt, Consumer<byte[]> heard) {
-        if (!front.core.mayForward(attempt)) {
-            front.core.attemptEnded(attempt, Outcome.CONNECT_FAILED);
+    /** Opens the first flow of an attempt; null, and the attempt has ended, where that is not possible. */
+    static UpstreamFlow openFirst(QuicContext context, Attempt attempt, Consumer<byte[]> receiver) {
+        if (!context.core().mayForward(attempt)) {
+            context.core().attemptEnded(attempt, Outcome.CONNECT_FAILED);
             return null;
         }
-        UpstreamFlow side = further(front, attempt, heard);
-        if (side == null) {
-            // A shortage of this machine; it says nothing of the member.
-            front.core.attemptEnded(attempt, Outcome.UNUSED);
+        UpstreamFlow flow = openFurther(context, attempt, receiver);
+        if (flow == null) {
+            // A shortage of this machine, which is no fault of the endpoint.
+            context.core().attemptEnded(attempt, Outcome.UNUSED);
         }
-        return side;
+        return flow;
     }
 
-    /** Opens one more of a flow that stands, for another path of its client; null where there is no socket for it. */
-    static UpstreamFlow further(QuicFrontend front, Attempt attempt, Consumer<byte[]> heard) {
-        UpstreamFlow side = new UpstreamFlow(front, attempt);
-        side.seat = front.sockets.seat(attempt.endpoint().address(), front.clock.nowMs(), heard);
-        return side.seat == null ? null : side;
+    /** Opens a flow for another path of an established connection; null where there is no socket for it. */
+    static UpstreamFlow openFurther(QuicContext context, Attempt attempt, Consumer<byte[]> receiver) {
+        SocketBinding binding = context.sockets()
+                .bind(attempt.endpoint().address(), context.clock().nowMs(), receiver);
+        return binding == null ? null : new UpstreamFlow(context, attempt, binding);
     }
 
-    /** The member has sent what is a packet of QUIC. */
-    void answered() {
-        unanswered = 0;
-        unansweredSinceMs = Double.NaN;
+    /** The endpoint has sent a QUIC packet. */
+    void received() {
+        datagramsWithoutReply = 0;
+        withoutReplySinceMs = Double.NaN;
     }
 
-    /** Every datagram is a sending of its own: from the news of a drain on, none goes there any more. */
+    /** Sends a datagram, unless the endpoint is not serving any more. */
     void send(byte[] datagram, double nowMs) {
-        if (flow.endpoint().isServing()) {
-            if (unanswered == 0) {
-                unansweredSinceMs = nowMs;
+        if (attempt.endpoint().isServing()) {
+            if (datagramsWithoutReply == 0) {
+                withoutReplySinceMs = nowMs;
             }
-            unanswered++;
-            seat.send(datagram);
+            datagramsWithoutReply++;
+            binding.send(datagram);
         }
     }
 
-    /** Whether that many datagrams have gone out for longer than a member may be silent, and nothing came back. */
-    boolean silent(double nowMs) {
-        return unanswered >= front.limits.quic().unresponsiveAfterDatagrams()
-                && nowMs - unansweredSinceMs > front.limits.quic().unresponsiveTimeoutMs();
+    /** Whether too many datagrams are without a reply for too long. */
+    boolean isUnresponsive(double nowMs) {
+        return datagramsWithoutReply >= context.limits().quic().unresponsiveAfterDatagrams()
+                && nowMs - withoutReplySinceMs > context.limits().quic().unresponsiveTimeoutMs();
     }
 
+    /** Releases the flow's socket. */
     void close() {
-        seat.leave(front.clock.nowMs());
+        binding.release(context.clock().nowMs());
     }
 }
--- a/node/src/main/java/tulipshed/quic/UpstreamPortAllocator.java
+++ b/node/src/main/java/tulipshed/quic/UpstreamPortAllocator.java
@@ -1,7 +1,8 @@
 package tulipshed.quic;
 
-import java.util.ArrayDeque;
+import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
@@ -9,121 +10,100 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Which of the node's sockets towards members a flow uses. A socket serves one flow of each member, so that what comes back on
- * it is known by the member's address alone, as in a translator of addresses, and every flow has a port of its own at its
- * member. So many sockets are needed as flows stand at the fullest member. Without I/O; times in milliseconds.
+ * Assigns upstream sockets to flows, as a NAT assigns ports (RFC 4787 section 4.2): a socket serves one flow of each endpoint,
+ * so that a datagram received on it belongs to the flow of the address that sent it. As many sockets are needed as the endpoint
+ * with the most flows has. Sockets have indexes from 0. Without I/O; times in milliseconds.
  */
 final class UpstreamPortAllocator {
-    /** What is left of a member besides what is used there: flows that come and go quickly must not take ever more sockets. */
-    private static final int MOST_LEFT = 64;
+    private static final int INITIAL_CAPACITY = 16;
 
-    /** A slot that a flow has left. */
-    private record Left(int slot, double atMs) {}
+    private final double reuseDelayMs;
+    private final Map<InetSocketAddress, EndpointSocketUse> endpoints = new HashMap<>();
+    private final BitSet openSockets = new BitSet();
 
-    /** What one member has of the slots. */
-    private static final class Member {
-        /** In use, or left but a short while ago. */
-        private final BitSet known = new BitSet();
+    /** The flows on each socket. */
+    private int[] flowCounts = new int[INITIAL_CAPACITY];
 
-        private final ArrayDeque<Left> left = new ArrayDeque<>();
-        private int used;
-    }
-
-    private final double quietMs;
-    private final Map<Object, Member> members = new HashMap<>();
-    private final BitSet open = new BitSet();
-    private int[] users = new int[16];
-    private double[] leftMs = new double[16];
+    /** When a flow last released each socket. */
+    private double[] releasedMs = new double[INITIAL_CAPACITY];
 
-    /** What is left is not used again for so long: its member may still be sending to who was there. */
-    UpstreamPortAllocator(double quietMs) {
-        this.quietMs = quietMs;
+    /** A released socket is not assigned to the same endpoint for this long, as the endpoint may send to the flow before. */
+    UpstreamPortAllocator(double reuseDelayMs) {
+        this.reuseDelayMs = reuseDelayMs;
     }
 
     /**
-     * A slot for one more flow to that member, or -1. A new one is only taken where {@code room} allows another socket; where
-     * it does not, one that was left a short while ago will do.
+     * Assigns a socket to one more flow of an endpoint.
+     *
+     * @param mayOpenSocket whether another socket may be opened; where not, one that was released too recently is assigned
+     * @return the index of the socket, or -1
      */
-    int take(Object member, double nowMs, BooleanSupplier room) {
-        Member m = members.computeIfAbsent(member, k -> new Member());
-        int slot = slot(m, nowMs, room);
-        if (slot < 0) {
-            drop(member, m);
+    int acquire(InetSocketAddress endpoint, double nowMs, BooleanSupplier mayOpenSocket) {
+        EndpointSocketUse use = endpoints.computeIfAbsent(endpoint, address -> new EndpointSocketUse());
+        int socket = findSocket(use, nowMs, mayOpenSocket);
+        if (socket < 0) {
+            if (use.isEmpty()) {
+                endpoints.remove(endpoint);
+            }
             return -1;
         }
-        m.known.set(slot);
-        m.used++;
-        open.set(slot);
-        if (slot >= users.length) {
-            users = java.util.Arrays.copyOf(users, 2 * slot);
-            leftMs = java.util.Arrays.copyOf(leftMs, 2 * slot);
+        use.acquire(socket);
+        openSockets.set(socket);
+        if (socket >= flowCounts.length) {
+            flowCounts = Arrays.copyOf(flowCounts, 2 * socket);
+            releasedMs = Arrays.copyOf(releasedMs, 2 * socket);
         }
-        users[slot]++;
-        return slot;
+        flowCounts[socket]++;
+        return socket;
     }
 
-    private int slot(Member m, double nowMs, BooleanSupplier room) {
-        if (!m.left.isEmpty() && (nowMs - m.left.peek().atMs >= quietMs || m.left.size() > m.used + MOST_LEFT)) {
-            return m.left.poll().slot;
+    private int findSocket(EndpointSocketUse use, double nowMs, BooleanSupplier mayOpenSocket) {
+        if (use.hasReusable(nowMs, reuseDelayMs)) {
+            return use.pollReleased();
         }
-        for (int slot = open.nextSetBit(0); slot >= 0; slot = open.nextSetBit(slot + 1)) {
-            if (!m.known.get(slot)) {
-                return slot;
+        for (int socket = openSockets.nextSetBit(0); socket >= 0; socket = openSockets.nextSetBit(socket + 1)) {
+            if (use.isAvailable(socket)) {
+                return socket;
             }
         }
-        if (room.getAsBoolean()) {
-            return open.nextClearBit(0);
+        if (mayOpenSocket.getAsBoolean()) {
+            return openSockets.nextClearBit(0);
         }
-        return m.left.isEmpty() ? -1 : m.left.poll().slot;
+        return use.hasReleased() ? use.pollReleased() : -1;
     }
 
-    /** A flow to that member leaves its slot. */
-    void leave(Object member, int slot, double nowMs) {
-        Member m = members.get(member);
-        m.left.add(new Left(slot, nowMs));
-        m.used--;
-        users[slot]--;
-        leftMs[slot] = nowMs;
+    /** Releases the socket of a flow. */
+    void release(InetSocketAddress endpoint, int socket, double nowMs) {
+        endpoints.get(endpoint).release(socket, nowMs);
+        flowCounts[socket]--;
+        releasedMs[socket] = nowMs;
     }
 
-    /** Slots that nobody uses or has used for a while, all but the first; their sockets are to be closed. */
-    List<Integer> close(double nowMs) {
+    /** Counts sockets without flows as closed, except the first, once the reuse delay is over; returns their indexes. */
+    List<Integer> closeUnused(double nowMs) {
         List<Integer> closed = new ArrayList<>();
-        for (int slot = open.nextSetBit(1); slot >= 0; slot = open.nextSetBit(slot + 1)) {
-            if (users[slot] == 0 && nowMs - leftMs[slot] >= quietMs) {
-                closed.add(slot);
+        for (int socket = openSockets.nextSetBit(1); socket >= 0; socket = openSockets.nextSetBit(socket + 1)) {
+            if (flowCounts[socket] == 0 && nowMs - releasedMs[socket] >= reuseDelayMs) {
+                closed.add(socket);
             }
         }
-        for (int slot : closed) {
-            open.clear(slot);
+        for (int socket : closed) {
+            openSockets.clear(socket);
         }
-        members.entrySet().removeIf(e -> {
-            Member m = e.getValue();
-            m.left.removeIf(l -> {
-                boolean gone = !open.get(l.slot);
-                if (gone) {
-                    m.known.clear(l.slot);
-                }
-                return gone;
-            });
-            return m.used == 0 && (m.left.isEmpty() || nowMs - m.left.peekLast().atMs >= quietMs);
+        endpoints.values().removeIf(use -> {
+            use.removeClosed(openSockets);
+            return use.isUnused(nowMs, reuseDelayMs);
         });
         return closed;
     }
 
-    private void drop(Object member, Member m) {
-        if (m.used == 0 && m.left.isEmpty()) {
-            members.remove(member);
-        }
-    }
-
-    /** Sockets in use or kept. */
-    int sockets() {
-        return open.cardinality();
+    /** How many sockets are open. */
+    int socketCount() {
+        return openSockets.cardinality();
     }
 
-    /** Members of which something is kept. */
-    int members() {
-        return members.size();
+    /** For how many endpoints the use of sockets is remembered. */
+    int endpointCount() {
+        return endpoints.size();
     }
 }
--- a/node/src/test/java/tulipshed/quic/AddressTest.java
+++ b/node/src/test/java/tulipshed/quic/AddressTest.java
@@ -144,17 +144,17 @@
     void proofIsAskedForInBlocks(@ForAll long seed) {
         Random random = new Random(seed);
         RetryPolicy policy = new RetryPolicy(60, 40, 1000);
-        boolean asking = false;
+        boolean isRetryRequired = false;
         double now = 0;
         for (int i = 0; i < 2000; i++) {
             now += 10;
             int unproven = 50 + random.nextInt(19) - 9;
-            asking = policy.asks(unproven, now);
+            isRetryRequired = policy.isRetryRequired(unproven, now);
         }
-        assertTrue(!asking && policy.changes() == 0, "between the bounds nothing changes");
+        assertTrue(!isRetryRequired && policy.changes() == 0, "between the bounds nothing changes");
         for (int i = 0; i < 2000; i++) {
             now += 10;
-            policy.asks(30 + random.nextInt(41), now);
+            policy.isRetryRequired(30 + random.nextInt(41), now);
         }
         assertTrue(
                 policy.changes() >= 2 && policy.changes() <= 2 * 20 + 2,
@@ -171,14 +171,14 @@
                 .with(six, Map.of("0000000000000001", "b"));
         ConnectionId a = zero.id(new byte[] {0, 0, 1}, new byte[4]);
         ConnectionId b = six.id(new byte[] {0, 0, 0, 0, 0, 0, 0, 1}, new byte[8]);
-        assertEquals("a", ids.place(a).member());
-        assertEquals("b", ids.place(b).member());
+        assertEquals("a", ids.route(a).endpointId());
+        assertEquals("b", ids.route(b).endpointId());
         assertEquals(8, ids.length(a.bytes()[0] & 0xFF));
         assertEquals(17, ids.length(b.bytes()[0] & 0xFF));
         assertEquals(10, ids.length(0xE0 | 9));
         assertEquals(5, ids.length(0x20 | 4), "a configuration that is not known");
-        assertNull(ids.place(new ConnectionId(HEX.parseHex("e9000001000000000000"))));
-        assertNull(ids.place(new ConnectionId(new byte[0])));
+        assertNull(ids.route(new ConnectionId(HEX.parseHex("e9000001000000000000"))));
+        assertNull(ids.route(new ConnectionId(new byte[0])));
         byte[] shortPacket = StandIns.shortPacket(b, 1);
         assertArrayEquals(
                 b.bytes(),
--- a/node/src/test/java/tulipshed/quic/ConnectionStateMachineTest.java
+++ b/node/src/test/java/tulipshed/quic/ConnectionStateMachineTest.java
@@ -13,8 +13,6 @@
 import tulipshed.connectionid.ConnectionId;
 import tulipshed.limits.Limits;
 import tulipshed.limits.QuicLimits;
-import tulipshed.quic.ConnectionStateMachine.Stage;
-import tulipshed.quic.ConnectionStateMachine.Step;
 
 /** One connection, packet by packet. */
 class ConnectionStateMachineTest {
@@ -39,12 +37,12 @@
         return ConnectionStateMachine.opens(limits, FIRST, CLIENT, datagram, opening, false, nowMs);
     }
 
-    private Step client(ConnectionStateMachine m, byte[] datagram) {
+    private ConnectionAction client(ConnectionStateMachine m, byte[] datagram) {
         return m.fromClient(datagram, Packet.read(datagram, 8), nowMs);
     }
 
-    private Step member(ConnectionStateMachine m, byte[] datagram) {
-        return m.fromMember(Packet.read(datagram, CLIENT.length()), nowMs);
+    private ConnectionAction member(ConnectionStateMachine m, byte[] datagram) {
+        return m.fromEndpoint(Packet.read(datagram, CLIENT.length()), nowMs);
     }
 
     private static byte[] served(ConnectionId to) {
@@ -58,36 +56,38 @@
     @Test
     void aHelloInThreePartsArrivesOnceAndStands() {
         ConnectionStateMachine m = opens(hello(0, 1000));
-        assertEquals(Stage.OPENING, m.stage());
-        assertEquals(Step.HOLD, client(m, hello(2000, 3000)));
-        assertEquals(Step.HOLD, client(m, hello(2000, 3000)));
-        assertEquals(Step.ARRIVE, client(m, hello(1000, 2000)));
-        assertEquals("a.example", m.takeOpening().hello().serverName());
-        assertEquals(4, m.first().size(), "all of it goes to the member, in the order in which it came");
+        assertEquals(ConnectionStage.AWAITING_CLIENT_HELLO, m.stage());
+        assertEquals(ConnectionAction.AWAIT_CLIENT_HELLO, client(m, hello(2000, 3000)));
+        assertEquals(ConnectionAction.AWAIT_CLIENT_HELLO, client(m, hello(2000, 3000)));
+        assertEquals(ConnectionAction.START_REQUEST, client(m, hello(1000, 2000)));
+        assertEquals("a.example", m.takeClientHello().hello().serverName());
+        assertEquals(4, m.firstDatagrams().size(), "all of it goes to the member, in the order in which it came");
         assertEquals(
-                Step.DROP,
+                ConnectionAction.DROP,
                 member(m, served(new ConnectionId(new byte[] {8, 8}))),
                 "what is meant for who had the place before");
-        assertEquals(Step.BEGIN, member(m, served(CLIENT)));
-        m.stands();
-        assertEquals(List.of(), m.first());
-        assertEquals(Step.PASS, client(m, StandIns.shortPacket(SERVER, 1)));
-        assertTrue(m.proven());
-        assertFalse(m.readsInitials());
+        assertEquals(ConnectionAction.ESTABLISH, member(m, served(CLIENT)));
+        m.establish();
+        assertEquals(List.of(), m.firstDatagrams());
+        assertEquals(ConnectionAction.FORWARD, client(m, StandIns.shortPacket(SERVER, 1)));
+        assertTrue(m.isAddressValidated());
+        assertFalse(m.canReadInitial());
     }
 
     @Test
     void everyWayThatAMemberCanTakeAnInitial() {
-        assertEquals(Step.REFUSED, member(opens(whole()), closed(InitialFrames.CONNECTION_REFUSED)));
-        assertEquals(Step.FAILED, member(opens(whole()), closed(0x128)));
+        assertEquals(
+                ConnectionAction.ENDPOINT_REFUSED, member(opens(whole()), closed(InitialFrames.CONNECTION_REFUSED)));
+        assertEquals(ConnectionAction.ENDPOINT_FAILED, member(opens(whole()), closed(0x128)));
         byte[] spoilt = served(CLIENT);
         spoilt[60] ^= 1;
-        assertEquals(Step.DROP, member(opens(whole()), spoilt), "who has no keys of it makes nothing of it");
+        assertEquals(
+                ConnectionAction.DROP, member(opens(whole()), spoilt), "who has no keys of it makes nothing of it");
         ConnectionStateMachine m = opens(whole());
         byte[] retry = RetryPacket.make(Version.V1, CLIENT, SERVER, FIRST, new byte[10], 3);
-        assertEquals(Step.RETRIED, member(m, retry));
-        assertEquals(SERVER, m.keyedBy());
-        assertEquals(Step.DROP, member(m, served(CLIENT)), "what was sealed under the id before");
+        assertEquals(ConnectionAction.FORWARD_RETRY, member(m, retry));
+        assertEquals(SERVER, m.initialKeyId());
+        assertEquals(ConnectionAction.DROP, member(m, served(CLIENT)), "what was sealed under the id before");
     }
 
     private static byte[] whole() {
@@ -97,26 +97,30 @@
     @Test
     void timeEndsEachStage() {
         ConnectionStateMachine m = opens(hello(0, 1000));
-        assertEquals(Step.DROP, m.tick(nowMs + limits.clientHelloTimeoutMs(), false));
-        assertEquals(Step.NEVER_WHOLE, m.tick(nowMs + limits.clientHelloTimeoutMs() + 1, false));
-        m.answered(nowMs);
-        assertEquals(Step.REPEAT, client(m, hello(0, 1000)));
-        assertEquals(Step.DROP, member(m, served(CLIENT)));
-        assertEquals(Step.DROP, m.tick(nowMs + limits.finalResponseRepeatMs(), false));
-        assertEquals(Step.FORGET, m.tick(nowMs + limits.finalResponseRepeatMs() + 1, false));
+        assertEquals(ConnectionAction.DROP, m.checkTimeouts(nowMs + limits.clientHelloTimeoutMs(), false));
+        assertEquals(
+                ConnectionAction.REFUSE_INCOMPLETE, m.checkTimeouts(nowMs + limits.clientHelloTimeoutMs() + 1, false));
+        m.close(nowMs);
+        assertEquals(ConnectionAction.REPEAT_ANSWER, client(m, hello(0, 1000)));
+        assertEquals(ConnectionAction.DROP, member(m, served(CLIENT)));
+        assertEquals(ConnectionAction.DROP, m.checkTimeouts(nowMs + limits.finalResponseRepeatMs(), false));
+        assertEquals(ConnectionAction.REMOVE, m.checkTimeouts(nowMs + limits.finalResponseRepeatMs() + 1, false));
         ConnectionStateMachine standing = opens(whole());
-        assertEquals(Step.DROP, standing.tick(nowMs + 1e9, true), "while an answer is owed the core keeps the time");
-        standing.stands();
-        assertEquals(Step.SILENT, standing.tick(nowMs, true));
-        assertEquals(Step.DROP, standing.tick(nowMs + limits.idleTimeoutMs(), false));
-        assertEquals(Step.IDLE, standing.tick(nowMs + limits.idleTimeoutMs() + 1, false));
+        assertEquals(
+                ConnectionAction.DROP,
+                standing.checkTimeouts(nowMs + 1e9, true),
+                "while an answer is owed the core keeps the time");
+        standing.establish();
+        assertEquals(ConnectionAction.ENDPOINT_UNRESPONSIVE, standing.checkTimeouts(nowMs, true));
+        assertEquals(ConnectionAction.DROP, standing.checkTimeouts(nowMs + limits.idleTimeoutMs(), false));
+        assertEquals(ConnectionAction.IDLE_TIMEOUT, standing.checkTimeouts(nowMs + limits.idleTimeoutMs() + 1, false));
     }
 
     @Test
     void aWishTakenBackIsKnownBeforeAndAfterTheHelloIsWhole() {
         byte[] close = initial(InitialFrames.close(0, "never mind"));
-        assertEquals(Step.TAKEN_BACK, client(opens(hello(0, 1000)), close));
-        assertEquals(Step.TAKEN_BACK, client(opens(whole()), close));
+        assertEquals(ConnectionAction.CLIENT_CLOSED, client(opens(hello(0, 1000)), close));
+        assertEquals(ConnectionAction.CLIENT_CLOSED, client(opens(whole()), close));
     }
 
     /** A close behind another packet of its datagram, and one under the keys that the client had before it saw a Retry. */
@@ -127,15 +131,16 @@
                 InitialKeys.client(Version.V1, FIRST).seal(FIRST, CLIENT, 1, new byte[] {2, 0, 0, 0, 0});
         byte[] both = Arrays.copyOf(acknowledgement, acknowledgement.length + close.length);
         System.arraycopy(close, 0, both, acknowledgement.length, close.length);
-        assertEquals(Step.PASS, client(opens(whole()), acknowledgement));
-        assertEquals(Step.TAKEN_BACK, client(opens(whole()), both));
+        assertEquals(ConnectionAction.FORWARD, client(opens(whole()), acknowledgement));
+        assertEquals(ConnectionAction.CLIENT_CLOSED, client(opens(whole()), both));
         ConnectionStateMachine retried = opens(whole());
         assertEquals(
-                Step.RETRIED, member(retried, RetryPacket.make(Version.V1, CLIENT, SERVER, FIRST, new byte[10], 3)));
+                ConnectionAction.FORWARD_RETRY,
+                member(retried, RetryPacket.make(Version.V1, CLIENT, SERVER, FIRST, new byte[10], 3)));
         byte[] laterClose = InitialKeys.client(Version.V1, SERVER)
                 .seal(SERVER, CLIENT, 1, Arrays.copyOf(InitialFrames.close(0, ""), 1160));
-        assertEquals(Step.TAKEN_BACK, client(retried, laterClose));
-        assertEquals(Step.TAKEN_BACK, client(retried, close), "sent before the Retry arrived");
+        assertEquals(ConnectionAction.CLIENT_CLOSED, client(retried, laterClose));
+        assertEquals(ConnectionAction.CLIENT_CLOSED, client(retried, close), "sent before the Retry arrived");
     }
 
     /**
@@ -147,12 +152,12 @@
         Random random = new Random(seed);
         byte[] begun = random.nextBoolean() ? whole() : hello(0, 1000);
         ConnectionStateMachine m = opens(begun);
-        int arrivals = m.stage() == Stage.OWED ? 1 : 0;
+        int arrivals = m.stage() == ConnectionStage.PENDING ? 1 : 0;
         long received = begun.length;
         long sent = 0;
         for (int i = 0; i < 40; i++) {
             nowMs += random.nextInt(30);
-            boolean answered = m.stage() == Stage.ANSWERED;
+            boolean answered = m.stage() == ConnectionStage.CLOSED;
             byte[] in = switch (random.nextInt(5)) {
                 case 0 -> hello(1000, 2000);
                 case 1 -> hello(2000, 3000);
@@ -160,37 +165,42 @@
                 case 3 -> StandIns.shortPacket(random.nextInt(4) == 0 ? SERVER : FIRST, i);
                 default -> random.nextInt(6) == 0 ? initial(InitialFrames.close(0, "")) : hello(500, 900);
             };
-            boolean provenBefore = m.proven();
-            Step step = null;
+            boolean provenBefore = m.isAddressValidated();
+            ConnectionAction step = null;
             switch (random.nextInt(3)) {
                 case 0 -> {
                     step = client(m, in);
                     received += in.length;
-                    arrivals += step == Step.ARRIVE ? 1 : 0;
-                    if (step == Step.BAD_HELLO || step == Step.TAKEN_BACK || step == Step.NEVER_WHOLE) {
-                        m.answered(nowMs);
+                    arrivals += step == ConnectionAction.START_REQUEST ? 1 : 0;
+                    if (step == ConnectionAction.REFUSE_MALFORMED
+                            || step == ConnectionAction.CLIENT_CLOSED
+                            || step == ConnectionAction.REFUSE_INCOMPLETE) {
+                        m.close(nowMs);
                     }
                 }
                 case 1 -> {
                     step = member(m, random.nextInt(4) == 0 ? closed(random.nextInt(3)) : served(CLIENT));
-                    if (step == Step.BEGIN && random.nextBoolean()) {
-                        m.stands();
-                    } else if (step == Step.REFUSED) {
-                        m.answered(nowMs);
+                    if (step == ConnectionAction.ESTABLISH && random.nextBoolean()) {
+                        m.establish();
+                    } else if (step == ConnectionAction.ENDPOINT_REFUSED) {
+                        m.close(nowMs);
                     }
                 }
-                default -> step = m.tick(nowMs, random.nextInt(10) == 0);
+                default -> step = m.checkTimeouts(nowMs, random.nextInt(10) == 0);
             }
             if (answered) {
                 assertTrue(
-                        step == Step.REPEAT || step == Step.DROP || step == Step.FORGET, "after its answer: " + step);
-                assertEquals(Stage.ANSWERED, m.stage());
+                        step == ConnectionAction.REPEAT_ANSWER
+                                || step == ConnectionAction.DROP
+                                || step == ConnectionAction.REMOVE,
+                        "after its answer: " + step);
+                assertEquals(ConnectionStage.CLOSED, m.stage());
             }
             int bytes = 40 + random.nextInt(1400);
-            if (m.maySend(bytes) && !m.proven()) {
+            if (m.maySend(bytes) && !m.isAddressValidated()) {
                 sent += bytes;
             }
-            assertTrue(provenBefore || m.proven() || sent <= 3 * received, sent + " for " + received);
+            assertTrue(provenBefore || m.isAddressValidated() || sent <= 3 * received, sent + " for " + received);
         }
         assertTrue(arrivals <= 1);
     }
--- a/node/src/test/java/tulipshed/quic/EndsTest.java
+++ b/node/src/test/java/tulipshed/quic/EndsTest.java
@@ -15,7 +15,6 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.connectionid.ConnectionId;
 import tulipshed.decision.api.Outcome;
-import tulipshed.quic.QuicMetrics.Figure;
 import tulipshed.quic.StandIns.Client;
 import tulipshed.quic.StandIns.Client.Heard;
 import tulipshed.quic.StandIns.Server;
@@ -39,7 +38,7 @@
             assertEquals("reset", number(client, 6).what());
         }
         assertEquals(0, (int) onLoop(() -> core.metrics().activeRequests()));
-        assertEquals(10, counted(Figure.RESETS_PASSED));
+        assertEquals(10, counted(QuicCounter.RESETS_FORWARDED));
         int heard = servers.get(0).numbers.size();
         for (Client client : clients) {
             assertEquals("reset", number(client, 7).what(), "what it still sends is answered by the node");
@@ -69,8 +68,11 @@
                 stranger.send(new DatagramPacket(reset, reset.length, conn.active));
             }
             assertEquals(new Heard("number", 3), number(client, 3));
-            assertEquals(0, counted(Figure.RESETS_PASSED));
-            assertEquals(50, counted(Figure.DROPPED_STRAY), "what is not from a member is not read any further");
+            assertEquals(0, counted(QuicCounter.RESETS_FORWARDED));
+            assertEquals(
+                    50,
+                    counted(QuicCounter.DROPPED_UNKNOWN_SOURCE),
+                    "what is not from a member is not read any further");
         }
     }
 
@@ -87,10 +89,11 @@
             first.send(InitialKeys.client(Version.V1, first.first)
                     .seal(first.first, first.own, 1, Arrays.copyOf(InitialFrames.close(0, "never mind"), 1180)));
             assertEquals("served", open(first).what());
-            QuicSession session = onLoop(() -> front.table.path(first.server).session());
+            QuicSession session =
+                    onLoop(() -> front.context().table().path(first.server).session());
             onLoop(() -> {
-                core.attemptEnded(core.metrics().activeRequests() > 0 ? session.flow() : null, Outcome.RESET);
-                session.abandon(session.flow());
+                core.attemptEnded(core.metrics().activeRequests() > 0 ? session.attempt() : null, Outcome.RESET);
+                session.abandon(session.attempt());
                 return null;
             });
             servers.get(0).manner = Manner.SILENT;
@@ -98,7 +101,7 @@
             while (servers.get(0).conns.size() < 2) {
                 Thread.onSpinWait();
             }
-            assertEquals(1, (int) onLoop(front.sockets::count), "it has the place of the first");
+            assertEquals(1, (int) onLoop(front.context().sockets()::count), "it has the place of the first");
             for (int i = 0; i < 5; i++) {
                 servers.get(0).push(old, i);
             }
@@ -122,7 +125,7 @@
                 byte[] big = Arrays.copyOf(StandIns.shortPacket(conn.clientId, i), 1400);
                 servers.get(0).socket.send(new DatagramPacket(big, big.length, conn.active));
             }
-            while (counted(Figure.DROPPED_AMPLIFICATION) < 38) {
+            while (counted(QuicCounter.DROPPED_AMPLIFICATION) < 38) {
                 Thread.onSpinWait();
             }
             assertEquals(new Heard("number", 0), client.hear());
@@ -187,14 +190,13 @@
             assertEquals(new Heard("number", 7), known.hear());
             assertEquals(1, servers.get(0).initialsBefore, "its own");
             taken(42);
-            while (counted(Figure.OPENED_V1) < 41) {
+            while (counted(QuicCounter.OPENED_V1) < 41) {
                 Thread.onSpinWait();
             }
         }
         UnknownDatagramQueue few = new UnknownDatagramQueue(2);
-        UnknownDatagramQueue.Datagram[] d = {
-            new UnknownDatagramQueue.Datagram(null, null, null, null, null),
-            new UnknownDatagramQueue.Datagram(null, null, new byte[1], null, null)
+        UnknownDatagram[] d = {
+            new UnknownDatagram(null, null, null, null, null), new UnknownDatagram(null, null, new byte[1], null, null)
         };
         assertTrue(few.offer(d[0]) && few.offer(d[1]) && !few.offer(d[0]));
         assertEquals(d[0], few.poll());
@@ -221,8 +223,8 @@
                 forger.sendNumber(i);
                 taken(3 + i);
             }
-            assertEquals(1 + 10, (int) onLoop(front::sessionCount));
-            assertTrue(counted(Figure.GAVE_WAY) >= 180, "a port may come twice");
+            assertEquals(1 + 10, (int) onLoop(front.context().table()::sessionCount));
+            assertTrue(counted(QuicCounter.UNCONFIRMED_EVICTED) >= 180, "a port may come twice");
             assertEquals(11, (int) onLoop(() -> core.metrics().activeRequests()));
             servers.get(0).manner = Manner.SERVES;
             try (Client late = new Client(front.address(), 3)) {
@@ -271,15 +273,16 @@
                 assertEquals(new Heard("number", i), heard);
             }
         }
-        assertTrue(onLoop(front::sessionCount) <= 60);
-        assertTrue(onLoop(front::idCount) <= 60 * 8);
-        assertTrue(onLoop(front.table::others) <= 60 * 2);
-        assertTrue(onLoop(front.sockets::count) <= 60);
+        assertTrue(onLoop(front.context().table()::sessionCount) <= 60);
+        assertTrue(onLoop(front.context().table()::idCount) <= 60 * 8);
+        assertTrue(onLoop(front.context().table()::addressAndNumberCount) <= 60 * 2);
+        assertTrue(onLoop(front.context().sockets()::count) <= 60);
         assertTrue(
-                counted(Figure.DROPPED_REPLAYED) > 300,
+                counted(QuicCounter.DROPPED_REPLAYED) > 300,
                 "without this the first client's packets would go to the flood");
         assertTrue(
-                counted(Figure.DROPPED_UNKNOWN_ID) + counted(Figure.DROPPED_MALFORMED) > 100, "of what names nobody");
+                counted(QuicCounter.DROPPED_UNKNOWN_ID) + counted(QuicCounter.DROPPED_MALFORMED) > 100,
+                "of what names nobody");
         for (Client client : standing) {
             client.drain();
             assertEquals(new Heard("number", 1), number(client, 1));
@@ -297,8 +300,8 @@
     private void openAndCloseInOneTurn(Client client) {
         onLoop(() -> {
             client.send(client.initial());
-            long read = front.counted.get(Figure.DATAGRAMS);
-            while (front.counted.get(Figure.DATAGRAMS) == read) {
+            long read = front.context().metrics().get(QuicCounter.DATAGRAMS);
+            while (front.context().metrics().get(QuicCounter.DATAGRAMS) == read) {
                 front.receiveAvailable();
             }
             client.send(close(client));
@@ -333,9 +336,9 @@
             onLoop(() -> {
                 client.send(close(client));
                 // Its attempt fails in the turn in which the close is still unread.
-                QuicSession session = front.table.path(client.first).session();
-                core.attemptEnded(session.flow(), Outcome.FULL);
-                session.abandon(session.flow());
+                QuicSession session = front.context().table().path(client.first).session();
+                core.attemptEnded(session.attempt(), Outcome.FULL);
+                session.abandon(session.attempt());
                 return null;
             });
             taken(2);
--- a/node/src/test/java/tulipshed/quic/FrontSetup.java
+++ b/node/src/test/java/tulipshed/quic/FrontSetup.java
@@ -68,8 +68,8 @@
         return onLoop(loop, task);
     }
 
-    long counted(QuicMetrics.Figure figure) {
-        return onLoop(() -> front.counted.get(figure));
+    long counted(QuicCounter figure) {
+        return onLoop(() -> front.context().metrics().get(figure));
     }
 
     private Limits limits() {
@@ -182,7 +182,7 @@
 
     /** Waits until the loop has read so many datagrams of clients: what was sent may still be in the kernel. */
     void taken(long datagrams) {
-        while (counted(QuicMetrics.Figure.DATAGRAMS) < datagrams) {
+        while (counted(QuicCounter.DATAGRAMS) < datagrams) {
             Thread.onSpinWait();
         }
     }
--- a/node/src/test/java/tulipshed/quic/KwikTest.java
+++ b/node/src/test/java/tulipshed/quic/KwikTest.java
@@ -296,8 +296,8 @@
         large.connect();
         echoes(large, 5, 2);
         large.close();
-        assertEquals(2, (long) onLoop(() -> front.counted.get(QuicMetrics.Figure.OPENED_V1)));
-        assertEquals(1, (long) onLoop(() -> front.counted.get(QuicMetrics.Figure.OPENED_V2)));
+        assertEquals(2, (long) onLoop(() -> front.context().metrics().get(QuicCounter.OPENED_V1)));
+        assertEquals(1, (long) onLoop(() -> front.context().metrics().get(QuicCounter.OPENED_V2)));
         assertEquals(3, (long)
                 onLoop(() -> core.metrics().responses().get("gate-status").established()));
     }
@@ -321,8 +321,8 @@
         }
         echoes(connection, 10, 7);
         System.out.println(echoed + 10 + " of " + (echoed + 10) + " echoes over " + rebinds + " rebinds");
-        assertTrue(onLoop(() -> front.counted.get(QuicMetrics.Figure.REBINDS)) >= rebinds);
-        assertEquals(1, (int) onLoop(front::sessionCount));
+        assertTrue(onLoop(() -> front.context().metrics().get(QuicCounter.REBINDS)) >= rebinds);
+        assertEquals(1, (int) onLoop(front.context().table()::sessionCount));
         assertEquals(1, (int) onLoop(() -> core.metrics().activeRequests()));
         connection.close();
     }
--- a/node/src/test/java/tulipshed/quic/MigrationTest.java
+++ b/node/src/test/java/tulipshed/quic/MigrationTest.java
@@ -10,7 +10,6 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.connectionid.ConnectionId;
 import tulipshed.decision.api.EndpointStatus;
-import tulipshed.quic.QuicMetrics.Figure;
 import tulipshed.quic.StandIns.Client;
 import tulipshed.quic.StandIns.Client.Heard;
 import tulipshed.quic.StandIns.Server;
@@ -37,10 +36,10 @@
                 assertEquals(new Heard("number", i), number(client, i));
                 assertEquals(new Heard("number", i), number(other, i));
             }
-            assertEquals(2, (int) onLoop(front::sessionCount));
+            assertEquals(2, (int) onLoop(front.context().table()::sessionCount));
             assertEquals(2, (int) onLoop(() -> core.metrics().activeRequests()), "the module counts each once");
-            assertEquals(20, counted(Figure.IDS_JOINED));
-            assertEquals(0, counted(Figure.CARRIED_ON));
+            assertEquals(20, counted(QuicCounter.IDS_JOINED));
+            assertEquals(0, counted(QuicCounter.RESUMED));
             assertTrue(
                     server.addresses.size() > 2, "the server sees that its client took another path, and can prove it");
         }
@@ -66,16 +65,16 @@
             servers.get(0).push(conn, 51);
             assertEquals(new Heard("number", 51), second.hear());
             assertEquals(new Heard("number", 52), number(client, 52), "and may come back");
-            assertEquals(1, (int) onLoop(front::sessionCount));
-            assertEquals(1, counted(Figure.PATHS_OPENED));
+            assertEquals(1, (int) onLoop(front.context().table()::sessionCount));
+            assertEquals(1, counted(QuicCounter.PATHS_OPENED));
             assertEquals(2, servers.get(0).addresses.size());
             // The path that says no more gives its place at the member back, and takes one again when it is needed.
             int places = 2;
             for (int i = 100; places > 1; i++) {
                 assertEquals(new Heard("number", i), number(client, i));
                 QuicSession session =
-                        onLoop(() -> front.table.path(client.server).session());
-                places = onLoop(session::places);
+                        onLoop(() -> front.context().table().path(client.server).session());
+                places = onLoop(session.paths()::flowCount);
             }
             assertEquals(new Heard("number", 9), number(second, 9));
         }
@@ -95,12 +94,14 @@
                 other.server = conn.ids.next();
                 assertEquals(new Heard("number", i), number(other, i));
             }
-            QuicSession session =
-                    onLoop(() -> front.table.path(others.get(19).server).session());
-            assertTrue(onLoop(session::places) <= 4);
-            assertTrue(onLoop(front.table::others) <= 4 + 1, "addresses of four paths, and the server's number");
+            QuicSession session = onLoop(
+                    () -> front.context().table().path(others.get(19).server).session());
+            assertTrue(onLoop(session.paths()::flowCount) <= 4);
+            assertTrue(
+                    onLoop(front.context().table()::addressAndNumberCount) <= 4 + 1,
+                    "addresses of four paths, and the server's number");
             assertEquals(new Heard("number", 77), number(client, 77), "the first comes back under its old id");
-            assertEquals(1, (int) onLoop(front::sessionCount));
+            assertEquals(1, (int) onLoop(front.context().table()::sessionCount));
             others.forEach(Client::close);
         }
     }
@@ -114,17 +115,17 @@
             Server.Conn conn = conn(client);
             ConnectionId first = client.server;
             client.server = conn.ids.next();
-            client.node = front.preferred();
+            client.node = front.preferredAddress();
             assertEquals(new Heard("number", StandIns.PROBE + 1), number(client, StandIns.PROBE + 1));
             servers.get(holderOf(conn)).push(conn, 8);
             assertEquals(front.address(), heardFrom(client, 8), "until it has gone over, the first listener goes on");
             assertEquals(new Heard("number", 9), number(client, 9));
             servers.get(holderOf(conn)).push(conn, 10);
-            assertEquals(front.preferred(), heardFrom(client, 10));
+            assertEquals(front.preferredAddress(), heardFrom(client, 10));
             client.server = first;
             client.node = front.address();
             assertEquals(new Heard("number", 11), number(client, 11));
-            assertEquals(1, (int) onLoop(front::sessionCount));
+            assertEquals(1, (int) onLoop(front.context().table()::sessionCount));
         }
     }
 
@@ -153,7 +154,7 @@
             two.server = b.ids.next();
             assertEquals(new Heard("number", 1), number(one, 1));
             assertEquals(new Heard("number", 2), number(two, 2));
-            assertEquals(2, (int) onLoop(front::sessionCount));
+            assertEquals(2, (int) onLoop(front.context().table()::sessionCount));
             assertNotEquals(a.active, b.active, "each has a path of its own at the server");
         }
     }
@@ -173,9 +174,9 @@
             assertEquals(new Heard("number", 4), number(client, 4));
             stranger.sendNumber(5);
             taken(3);
-            assertEquals(1, counted(Figure.DROPPED_UNKNOWN_ID), "from elsewhere it leads nowhere");
+            assertEquals(1, counted(QuicCounter.DROPPED_UNKNOWN_ID), "from elsewhere it leads nowhere");
             assertEquals(List.of(4), servers.get(0).numbers);
-            assertEquals(0, counted(Figure.IDS_JOINED), "and it is not learnt, so it holds nothing");
+            assertEquals(0, counted(QuicCounter.IDS_JOINED), "and it is not learnt, so it holds nothing");
         }
     }
 
@@ -199,8 +200,8 @@
                 assertEquals(new Heard("number", round), number(client, round));
             }
         }
-        assertEquals(12, (int) onLoop(front::sessionCount));
-        assertEquals(12, (int) onLoop(second.loop(), second.front()::sessionCount));
+        assertEquals(12, (int) onLoop(front.context().table()::sessionCount));
+        assertEquals(12, (int) onLoop(second.loop(), second.front().context().table()::sessionCount));
         assertEquals(
                 12, (int) onLoop(second.loop(), () -> second.core().metrics().activeRequests()));
         // A node that has just started knows no id at all.
@@ -209,7 +210,7 @@
             client.node = fresh.front().address();
             assertEquals(new Heard("number", 9), number(client, 9));
         }
-        assertEquals(12, (int) onLoop(fresh.loop(), fresh.front()::sessionCount));
+        assertEquals(12, (int) onLoop(fresh.loop(), fresh.front().context().table()::sessionCount));
         clients.forEach(Client::close);
     }
 
@@ -247,12 +248,12 @@
                 }
             }
         }
-        assertTrue(counted(Figure.REBINDS) > 1900, "a client may be given its old port again");
-        assertEquals(200, (int) onLoop(front::sessionCount));
+        assertTrue(counted(QuicCounter.REBINDS) > 1900, "a client may be given its old port again");
+        assertEquals(200, (int) onLoop(front.context().table()::sessionCount));
         int fullest = servers.stream().mapToInt(s -> s.conns.size()).max().orElseThrow();
         assertEquals(
                 fullest,
-                (int) onLoop(front.sockets::count),
+                (int) onLoop(front.context().sockets()::count),
                 "a socket for each connection of the fullest server, no more");
         clients.forEach(Client::close);
     }
--- a/node/src/test/java/tulipshed/quic/QuicFrontendTest.java
+++ b/node/src/test/java/tulipshed/quic/QuicFrontendTest.java
@@ -112,10 +112,10 @@
                 client.send(parts.get(1));
                 client.send(parts.get(1));
                 taken(4 * i + 3);
-                assertEquals(1, (int) onLoop(front::openings));
+                assertEquals(1, (int) onLoop(front.context().admission()::pendingClientHellos));
                 client.send(parts.get(2));
                 assertEquals("served", client.hear().what());
-                assertEquals(0, (int) onLoop(front::openings));
+                assertEquals(0, (int) onLoop(front.context().admission()::pendingClientHellos));
             }
         }
         assertEquals(0, servers.get(0).initials.get());
@@ -138,11 +138,11 @@
                         new Heard("closed", InitialFrames.CONNECTION_REFUSED), client.hear(), "there is room for four");
             }
         }
-        assertEquals(4, (int) onLoop(front::openings));
+        assertEquals(4, (int) onLoop(front.context().admission()::pendingClientHellos));
         for (Client client : clients.subList(0, 4)) {
             assertEquals(new Heard("closed", InitialFrames.CONNECTION_REFUSED), client.hear(), "after its time");
         }
-        assertEquals(0, (int) onLoop(front::openings));
+        assertEquals(0, (int) onLoop(front.context().admission()::pendingClientHellos));
         try (Client client = new Client(front.address(), 70)) {
             client.send(spread(client, StandIns.hello("a.example", "slots", 2000), 2)
                     .get(0));
@@ -151,7 +151,7 @@
                     .seal(client.first, client.own, 5, Arrays.copyOf(other, 1160)));
             assertEquals(new Heard("closed", InitialFrames.PROTOCOL_VIOLATION), client.hear(), "it says two things");
         }
-        while (onLoop(front::sessionCount) > 0) {
+        while (onLoop(front.context().table()::sessionCount) > 0) {
             Thread.onSpinWait();
         }
         assertEquals(0, servers.get(0).initials.get());
@@ -178,7 +178,7 @@
                 c.send(c.initial());
                 assertEquals(i < 3 ? "served" : "RETRY", c.hear().what(), "number " + i);
             }
-            assertEquals(4, (int) onLoop(front::sessionCount), "57 that gave no proof are not kept");
+            assertEquals(4, (int) onLoop(front.context().table()::sessionCount), "57 that gave no proof are not kept");
             Client honest = flood.get(30);
             honest.send(honest.initial());
             assertEquals("served", honest.hear().what(), "with its token it is taken");
@@ -190,8 +190,8 @@
             assertEquals("RETRY", thief.hear().what(), "another's token is as none");
             standing.sendNumber(2);
             assertEquals(new Heard("number", 2), standing.hear(), "who stood before goes on");
-            assertEquals(58L, (long) onLoop(() -> front.counted.get(QuicMetrics.Figure.RETRY_SENT)));
-            assertEquals(1L, (long) onLoop(() -> front.counted.get(QuicMetrics.Figure.RETRY_ACCEPTED)));
+            assertEquals(58L, (long) onLoop(() -> front.context().metrics().get(QuicCounter.RETRY_SENT)));
+            assertEquals(1L, (long) onLoop(() -> front.context().metrics().get(QuicCounter.RETRY_ACCEPTED)));
             for (Client c : flood) {
                 c.close();
             }
@@ -215,7 +215,10 @@
             client.server = next.id(new byte[] {0, 0, 0, 0, 1}, new byte[] {1, 2, 3, 4, 5, 6});
             client.sendNumber(1);
             assertEquals(new Heard("number", 1), client.hear(), "an id of the new configuration, never seen");
-            assertEquals(1, (int) onLoop(front::sessionCount), "the same connection, so the module counts one");
+            assertEquals(
+                    1,
+                    (int) onLoop(front.context().table()::sessionCount),
+                    "the same connection, so the module counts one");
             assertEquals(1, (int) onLoop(() -> core.metrics().activeRequests()));
             configure(new ConnectionIdConfigurations().with(next, members));
             client.server = before;
@@ -224,7 +227,7 @@
             later.server = StandIns.IDS.id(servers.get(0).id, new byte[] {4, 4, 4, 4});
             later.sendNumber(3);
             taken(4);
-            long unknown = onLoop(() -> front.counted.get(QuicMetrics.Figure.DROPPED_UNKNOWN_ID));
+            long unknown = onLoop(() -> front.context().metrics().get(QuicCounter.DROPPED_UNKNOWN_ID));
             assertEquals(1, unknown, "the old configuration leads nowhere any more");
             assertEquals(List.of(1, 2), servers.get(0).numbers);
         }
@@ -304,7 +307,7 @@
             }
             assertEquals(List.of(0, 1, 2), servers.get(1).numbers);
             assertEquals(List.of(), servers.get(0).numbers);
-            assertEquals(1, (int) onLoop(front::sessionCount));
+            assertEquals(1, (int) onLoop(front.context().table()::sessionCount));
         }
     }
 
@@ -321,7 +324,7 @@
             assertEquals(
                     attempts,
                     servers.get(0).initials.get() + servers.get(1).initials.get());
-            assertEquals(1, (int) onLoop(front::sessionCount));
+            assertEquals(1, (int) onLoop(front.context().table()::sessionCount));
         }
     }
 
@@ -351,7 +354,7 @@
             });
             assertEquals(new Heard("closed", InitialFrames.INTERNAL_ERROR), open(late));
             assertEquals(1, servers.get(0).initials.get());
-            assertEquals(1, (int) onLoop(front::sessionCount));
+            assertEquals(1, (int) onLoop(front.context().table()::sessionCount));
         }
     }
 
@@ -363,7 +366,7 @@
         tell(0, EndpointStatus.DRAINING);
         try (Client client = new Client(front.address(), 17)) {
             client.send(client.initial());
-            while (onLoop(front::sessionCount) == 0) {
+            while (onLoop(front.context().table()::sessionCount) == 0) {
                 Thread.onSpinWait();
             }
             List<UdpSocket> ports = new ArrayList<>();
@@ -410,14 +413,14 @@
             client.send(new byte[] {0});
             client.send(new byte[1300]);
             taken(4);
-            assertEquals(0, (int) onLoop(front::sessionCount));
+            assertEquals(0, (int) onLoop(front.context().table()::sessionCount));
             byte[] otherVersion = initial.clone();
             otherVersion[1] = 0x5a;
             client.send(otherVersion);
             assertEquals("VERSION_NEGOTIATION", client.hear().what());
             assertEquals("served", open(client).what());
             assertNotEquals(null, client.server);
-            assertTrue(onLoop(front::idCount) >= 2);
+            assertTrue(onLoop(front.context().table()::idCount) >= 2);
         }
     }
 
@@ -454,8 +457,8 @@
             client.first = new ConnectionId(new byte[7]);
             client.send(client.initial());
             taken(1);
-            assertEquals(0, (int) onLoop(front::sessionCount));
-            assertEquals(1, counted(QuicMetrics.Figure.DROPPED_SMALL));
+            assertEquals(0, (int) onLoop(front.context().table()::sessionCount));
+            assertEquals(1, counted(QuicCounter.DROPPED_SMALL));
             client.first = new ConnectionId(new byte[8]);
             assertEquals("served", open(client).what());
         }
@@ -473,10 +476,10 @@
         }
         try (Client client = new Client(front.address(), 30)) {
             assertEquals(new Heard("closed", InitialFrames.CONNECTION_REFUSED), open(client), "no room for a third");
-            while (onLoop(front::sessionCount) > 0) {
+            while (onLoop(front.context().table()::sessionCount) > 0) {
                 Thread.onSpinWait();
             }
-            assertEquals(0, (int) onLoop(front::idCount));
+            assertEquals(0, (int) onLoop(front.context().table()::idCount));
             assertEquals("served", open(client).what());
         }
     }
@@ -490,7 +493,7 @@
             assertEquals("served", open(client).what());
             client.sendNumber(3);
             assertEquals(new Heard("number", 3), client.hear());
-            assertEquals(1, (int) onLoop(front::sessionCount));
+            assertEquals(1, (int) onLoop(front.context().table()::sessionCount));
             assertEquals(1, servers.get(0).addresses.size());
         }
     }
@@ -525,7 +528,10 @@
                     .seal(client.first, client.own, 1, Arrays.copyOf(InitialFrames.close(0, "never mind"), 1160)));
             client.send(client.initial());
             taken(3);
-            assertEquals(1, (int) onLoop(front::sessionCount), "no second transaction from its first packet");
+            assertEquals(
+                    1,
+                    (int) onLoop(front.context().table()::sessionCount),
+                    "no second transaction from its first packet");
             assertEquals(1, servers.get(0).initials.get());
         }
     }
--- a/node/src/test/java/tulipshed/quic/QuicLabProcess.java
+++ b/node/src/test/java/tulipshed/quic/QuicLabProcess.java
@@ -150,13 +150,15 @@
             System.gc();
             Runtime r = Runtime.getRuntime();
             long heap = r.totalMemory() - r.freeMemory();
-            System.out.println(heap + " " + FrontSetup.onLoop(loop, front::sessionCount) + " "
-                    + FrontSetup.onLoop(loop, front::idCount) + " " + FrontSetup.onLoop(loop, front.sockets::count));
+            System.out.println(
+                    heap + " " + FrontSetup.onLoop(loop, front.context().table()::sessionCount) + " "
+                            + FrontSetup.onLoop(loop, front.context().table()::idCount) + " "
+                            + FrontSetup.onLoop(loop, front.context().sockets()::count));
             System.err.println(FrontSetup.onLoop(
                     loop,
-                    () -> java.util.Arrays.stream(QuicMetrics.Figure.values())
-                            .filter(f -> front.counted.get(f) > 0)
-                            .map(f -> f + "=" + front.counted.get(f))
+                    () -> java.util.Arrays.stream(QuicCounter.values())
+                            .filter(f -> front.context().metrics().get(f) > 0)
+                            .map(f -> f + "=" + front.context().metrics().get(f))
                             .toList()));
         }
     }
--- a/node/src/test/java/tulipshed/quic/SocketShortageTest.java
+++ b/node/src/test/java/tulipshed/quic/SocketShortageTest.java
@@ -17,7 +17,7 @@
     /** Opening a socket fails so many times, and then succeeds. */
     private void failToOpen(int times) {
         onLoop(() -> {
-            front.sockets.opener((address, scratch, receiver) -> {
+            front.context().sockets().setOpener((address, scratch, receiver) -> {
                 if (tries.incrementAndGet() <= times) {
                     throw new SocketException("Too many open files");
                 }
@@ -30,10 +30,10 @@
     @Test
     void momentaryFailureIsRepeatedAtOnceForTheSameAttempt() throws IOException {
         front(Manner.SERVES);
-        failToOpen(UpstreamSocketPool.OPEN_TRIES - 1);
+        failToOpen(UpstreamSocketPool.MAX_OPEN_ATTEMPTS - 1);
         try (Client client = new Client(front.address(), 1)) {
             assertEquals("served", open(client).what());
-            assertEquals(UpstreamSocketPool.OPEN_TRIES, tries.get());
+            assertEquals(UpstreamSocketPool.MAX_OPEN_ATTEMPTS, tries.get());
             assertEquals(1L, (long) onLoop(() -> core.metrics().forwardedAttempts()));
         }
     }
@@ -42,16 +42,16 @@
     void lastingFailureIsBoundedAndHoldsNothingAgainstTheEndpoint() throws IOException {
         int clients = 20;
         front(Manner.SERVES);
-        failToOpen(clients * UpstreamSocketPool.OPEN_TRIES);
+        failToOpen(clients * UpstreamSocketPool.MAX_OPEN_ATTEMPTS);
         for (int i = 0; i < clients; i++) {
             try (Client client = new Client(front.address(), 1 + i)) {
                 assertEquals(new Heard("closed", InitialFrames.CONNECTION_REFUSED), open(client));
             }
-            assertEquals((1 + i) * UpstreamSocketPool.OPEN_TRIES, tries.get());
+            assertEquals((1 + i) * UpstreamSocketPool.MAX_OPEN_ATTEMPTS, tries.get());
         }
         assertEquals(0, (int) onLoop(core::ineligibleEndpoints));
         assertEquals(0, (int) onLoop(() -> core.metrics().activeRequests()));
-        assertEquals(0, (int) onLoop(front.sockets::count));
+        assertEquals(0, (int) onLoop(front.context().sockets()::count));
         try (Client client = new Client(front.address(), 100)) {
             assertEquals("served", open(client).what());
             assertEquals(new Heard("number", 7), number(client, 7));
@@ -67,13 +67,13 @@
                 Client second = new Client(front.address(), 1)) {
             assertEquals("served", open(client).what());
             assertEquals(new Heard("number", 1), number(client, 1));
-            failToOpen(datagrams * UpstreamSocketPool.OPEN_TRIES);
+            failToOpen(datagrams * UpstreamSocketPool.MAX_OPEN_ATTEMPTS);
             second.server = servers.get(0).conns.get(client.server).ids.next();
             for (int i = 1; i <= datagrams; i++) {
                 second.sendNumber(10 + i);
                 taken(2 + i);
             }
-            assertEquals(datagrams * UpstreamSocketPool.OPEN_TRIES, (int) onLoop(tries::get));
+            assertEquals(datagrams * UpstreamSocketPool.MAX_OPEN_ATTEMPTS, (int) onLoop(tries::get));
             assertEquals(new Heard("number", 2), number(client, 2));
             assertEquals(new Heard("number", 20), number(second, 20), "the first that it hears");
             assertEquals(1, (int) onLoop(() -> core.metrics().activeRequests()));
