--- a/node/src/main/java/tulipshed/expression/TypeChecker.java
+++ b/node/src/main/java/tulipshed/expression/TypeChecker.java
@@ -281,7 +281,7 @@
 
     /** Suggests a name that is visible. Skipped once further errors are only counted, because the search is slow. */
     private String suggestion(String name, Collection<String> candidates) {
-        if (diagnostics.count() >= Diagnostics.MOST) {
+        if (diagnostics.count() >= Diagnostics.MAX_REPORTED) {
             return "";
         }
         Set<String> visible = new LinkedHashSet<>(candidates);
--- a/node/src/main/java/tulipshed/operators/SectionReader.java
+++ b/node/src/main/java/tulipshed/operators/SectionReader.java
@@ -156,7 +156,7 @@
         TypeChecker ofTransactions = checker(transactions, twice);
         TypeChecker ofMembers = checker(members, twice);
         for (String name : all) {
-            if (problems.count() > Diagnostics.MOST) {
+            if (problems.count() > Diagnostics.MAX_REPORTED) {
                 // Enough to tell; what is nearest to a misspelt name is dear to find.
                 return;
             }
--- a/node/src/main/java/tulipshed/sexpr/Diagnostic.java
+++ b/node/src/main/java/tulipshed/sexpr/Diagnostic.java
@@ -1,6 +1,6 @@
 package tulipshed.sexpr;
 
-/** One thing that is wrong with a file. */
+/** An error in a file, at a position. */
 public record Diagnostic(String file, SourcePosition place, String message) {
     @Override
     public String toString() {
--- a/node/src/main/java/tulipshed/sexpr/Diagnostics.java
+++ b/node/src/main/java/tulipshed/sexpr/Diagnostics.java
@@ -2,68 +2,65 @@
 
 import java.util.ArrayList;
 import java.util.Collections;
+import java.util.Comparator;
 import java.util.List;
 
-/** What is wrong with one file, told at once: the first twenty, and how many more there are. */
+/** The errors of one file, reported together: the first ones, and how many more there are. */
 public final class Diagnostics {
-    /** Told at most. */
-    public static final int MOST = 20;
+    /** The number of errors that are reported; further ones are counted. */
+    public static final int MAX_REPORTED = 20;
+
+    private static final Comparator<Diagnostic> BY_PLACE = Comparator.<Diagnostic>comparingInt(
+                    diagnostic -> diagnostic.place().line())
+            .thenComparingInt(diagnostic -> diagnostic.place().column());
 
     private final String file;
-    private final List<Diagnostic> first = new ArrayList<>();
+    private final List<Diagnostic> reported = new ArrayList<>();
     private int count;
 
-    /** No problems yet of the file with this name. */
+    /** Creates the empty diagnostics of the file with this name. */
     public Diagnostics(String file) {
         this.file = file;
     }
 
-    /** Notes one; the same at the same place counts once, as a define may be used in many rules. */
+    /** Adds an error; the same at the same place counts once, because a definition may be checked at many uses. */
     public void add(SourcePosition place, String message) {
-        Diagnostic problem = new Diagnostic(file, place, message);
-        if (!first.contains(problem) && count++ < MOST) {
-            first.add(problem);
+        Diagnostic diagnostic = new Diagnostic(file, place, message);
+        if (!reported.contains(diagnostic) && count++ < MAX_REPORTED) {
+            reported.add(diagnostic);
         }
     }
 
-    /** Notes all that another noted of the same file. */
+    /** Adds all reported errors of the same file. */
     public void addAll(Diagnostics other) {
-        other.first.forEach(p -> add(p.place(), p.message()));
+        other.reported.forEach(diagnostic -> add(diagnostic.place(), diagnostic.message()));
     }
 
-    /** Whether there are none. */
+    /** Whether there are no errors. */
     public boolean none() {
         return count == 0;
     }
 
-    /** How many there are, told or not. */
+    /** Returns how many errors there are, reported or not. */
     public int count() {
         return count;
     }
 
-    /** The first of them, in the order of their places. */
+    /** Returns the reported errors by position. */
     public List<Diagnostic> list() {
-        List<Diagnostic> sorted = new ArrayList<>(first);
-        sorted.sort((a, b) -> a.place().line() != b.place().line()
-                ? Integer.compare(a.place().line(), b.place().line())
-                : Integer.compare(a.place().column(), b.place().column()));
+        List<Diagnostic> sorted = new ArrayList<>(reported);
+        sorted.sort(BY_PLACE);
         return Collections.unmodifiableList(sorted);
     }
 
-    /** One line a problem, and a last one where there are more than are told. */
+    /** Returns a line for each reported error, and a last one where there are more. */
     @Override
     public String toString() {
-        StringBuilder out = new StringBuilder();
-        for (Diagnostic p : list()) {
-            out.append(out.length() == 0 ? "" : "\n").append(p);
+        List<String> lines = new ArrayList<>();
+        list().forEach(diagnostic -> lines.add(diagnostic.toString()));
+        if (count > MAX_REPORTED) {
+            lines.add(file + ": and " + (count - MAX_REPORTED) + " more");
         }
-        return count > MOST
-                ? out.append("\n")
-                        .append(file)
-                        .append(": and ")
-                        .append(count - MOST)
-                        .append(" more")
-                        .toString()
-                : out.toString();
+        return String.join("\n", lines);
     }
 }
--- a/node/src/main/java/tulipshed/sexpr/Form.java
+++ b/node/src/main/java/tulipshed/sexpr/Form.java
@@ -2,31 +2,31 @@
 
 import java.util.List;
 
-/** What an S-expression is made of: words, texts, numbers and sequences of them. Every form knows its place. */
+/** An S-expression: an atom, which is a symbol, a string or a number, or a sequence of forms. */
 public sealed interface Form {
-    /** Where its first character stands. */
+    /** Returns the position of the first character. */
     SourcePosition place();
 
-    /** What it is, for errors: never longer than a few words. */
+    /** Returns a description of a few words for diagnostics. */
     String describe();
 
     /** A name or an operator. */
     record Word(String name, SourcePosition place) implements Form {
         @Override
         public String describe() {
-            return "the word " + Form.shorten(name);
+            return "the word " + Form.abridge(name);
         }
     }
 
-    /** A text in double quotes, its escapes undone. */
+    /** A string in double quotes, with its escapes replaced. */
     record Text(String value, SourcePosition place) implements Form {
         @Override
         public String describe() {
-            return "the text \"" + Form.shorten(value) + "\"";
+            return "the text \"" + Form.abridge(value) + "\"";
         }
     }
 
-    /** A whole number of 64 bits. */
+    /** An integer of 64 bits. */
     record Whole(long value, SourcePosition place) implements Form {
         @Override
         public String describe() {
@@ -42,24 +42,26 @@
         }
     }
 
-    /** Forms in round brackets, or in square ones, which hold literals. */
+    /** Forms in round brackets, or literals in square ones. */
     record Sequence(List<Form> items, boolean square, SourcePosition place) implements Form {
         @Override
         public String describe() {
-            return square
-                    ? "a list in square brackets"
-                    : items.isEmpty()
-                            ? "()"
-                            : items.get(0) instanceof Word w ? "(" + Form.shorten(w.name()) + " ...)" : "a list";
+            if (square) {
+                return "a list in square brackets";
+            }
+            if (items.isEmpty()) {
+                return "()";
+            }
+            return head() == null ? "a list" : "(" + Form.abridge(head()) + " ...)";
         }
 
-        /** The word that it begins with, or null. */
+        /** Returns the symbol that a sequence in round brackets begins with, or null. */
         public String head() {
-            return !square && !items.isEmpty() && items.get(0) instanceof Word w ? w.name() : null;
+            return !square && !items.isEmpty() && items.get(0) instanceof Word word ? word.name() : null;
         }
     }
 
-    private static String shorten(String text) {
+    private static String abridge(String text) {
         return text.length() <= 40 ? text : text.substring(0, 37) + "...";
     }
 }
--- a/node/src/main/java/tulipshed/sexpr/NameSuggestions.java
+++ b/node/src/main/java/tulipshed/sexpr/NameSuggestions.java
@@ -2,44 +2,55 @@
 
 import java.util.Collection;
 
-/** Finds the name that was probably meant. */
+/** Suggests the known name that a misspelt one probably means. */
 public final class NameSuggestions {
-    private static final int LONGEST = 64;
+    private static final int MAX_NAME_LENGTH = 64; // characters; longer names are not compared
+    private static final int MAX_DISTANCE = 3;
+    private static final int CHARACTERS_PER_EDIT = 3;
 
     private NameSuggestions() {}
 
-    /** {@code "; did you mean X?"} for the nearest of the known names, or nothing where none is near. */
+    /** Returns {@code "; did you mean X?"} for the nearest known name, or an empty string where none is near. */
     public static String hint(String name, Collection<String> known) {
-        String best = null;
-        int least = Math.min(3, name.length() / 3) + 1;
-        if (name.length() <= LONGEST) {
-            for (String k : known) {
-                int d = k.length() > LONGEST ? LONGEST : distance(name, k);
-                if (d < least || (d == least && best != null && k.compareTo(best) < 0)) {
-                    least = d;
-                    best = k;
-                }
+        if (name.length() > MAX_NAME_LENGTH) {
+            return "";
+        }
+        String nearest = null;
+        int least = Math.min(MAX_DISTANCE, name.length() / CHARACTERS_PER_EDIT) + 1;
+        for (String candidate : known) {
+            int distance = candidate.length() > MAX_NAME_LENGTH ? MAX_NAME_LENGTH : distance(name, candidate);
+            boolean firstOfEquals = distance == least && nearest != null && candidate.compareTo(nearest) < 0;
+            if (distance < least || firstOfEquals) {
+                least = distance;
+                nearest = candidate;
             }
         }
-        return best == null ? "" : "; did you mean " + best + "?";
+        return nearest == null ? "" : "; did you mean " + nearest + "?";
     }
 
-    /** Letters to add, leave out, change or swap with the next, at least. */
-    static int distance(String a, String b) {
-        int[][] d = new int[a.length() + 1][b.length() + 1];
-        for (int i = 0; i <= a.length(); i++) {
-            for (int j = 0; j <= b.length(); j++) {
-                if (i == 0 || j == 0) {
-                    d[i][j] = i + j;
-                    continue;
-                }
-                int change = a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1;
-                d[i][j] = Math.min(d[i - 1][j - 1] + change, Math.min(d[i - 1][j], d[i][j - 1]) + 1);
-                if (i > 1 && j > 1 && a.charAt(i - 1) == b.charAt(j - 2) && a.charAt(i - 2) == b.charAt(j - 1)) {
-                    d[i][j] = Math.min(d[i][j], d[i - 2][j - 2] + 1);
-                }
+    /**
+     * Returns the optimal string alignment distance (Damerau 1964): the least number of insertions, deletions,
+     * substitutions and transpositions of neighbours.
+     */
+    static int distance(String first, String second) {
+        int[][] distances = new int[first.length() + 1][second.length() + 1];
+        for (int i = 0; i <= first.length(); i++) {
+            for (int j = 0; j <= second.length(); j++) {
+                distances[i][j] = i == 0 || j == 0 ? i + j : distance(first, second, i, j, distances);
             }
         }
-        return d[a.length()][b.length()];
+        return distances[first.length()][second.length()];
+    }
+
+    /** Returns the distance of the first {@code i} and {@code j} characters from those of shorter prefixes. */
+    private static int distance(String first, String second, int i, int j, int[][] distances) {
+        int substitution = first.charAt(i - 1) == second.charAt(j - 1) ? 0 : 1;
+        int insertionOrDeletion = Math.min(distances[i - 1][j], distances[i][j - 1]) + 1;
+        int least = Math.min(distances[i - 1][j - 1] + substitution, insertionOrDeletion);
+        boolean transposed = i > 1
+                && j > 1
+                && first.charAt(i - 1) == second.charAt(j - 2)
+                && first.charAt(i - 2) == second.charAt(j - 1);
+        return transposed ? Math.min(least, distances[i - 2][j - 2] + 1) : least;
     }
 }
--- a/node/src/main/java/tulipshed/sexpr/SourcePosition.java
+++ b/node/src/main/java/tulipshed/sexpr/SourcePosition.java
@@ -1,8 +1,8 @@
 package tulipshed.sexpr;
 
-/** A place in a file: line and column, both counted from 1, columns in characters. */
+/** A position in a file: line and column, both from 1, columns in UTF-16 code units. */
 public record SourcePosition(int line, int column) {
-    /** Where a file as a whole is meant. */
+    /** The start of a file, for errors of the file as a whole. */
     public static final SourcePosition START = new SourcePosition(1, 1);
 
     @Override
--- a/node/src/main/java/tulipshed/sexpr/package-info.java
+++ b/node/src/main/java/tulipshed/sexpr/package-info.java
@@ -1,2 +1,2 @@
-/** S-expressions with the place of each form, problems reported together, and the nearest known name. */
+/** S-expressions with the position of each form, diagnostics of a file, and suggestions for misspelt names. */
 package tulipshed.sexpr;
