--- a/node/src/main/java/tulipshed/operators/CostCheck.java
+++ b/node/src/main/java/tulipshed/operators/CostCheck.java
@@ -5,46 +5,46 @@
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.SourcePosition;
 
-/** Holds expressions to the file's max-cost. */
+/** Reports expressions whose cost may exceed the limit of the file. */
 final class CostCheck {
-    private final long most;
-    private final Diagnostics problems;
-    private final CostModel cost = new CostModel();
-    private long dearest;
-    private String dearestName = "";
+    private final long maxCost;
+    private final Diagnostics diagnostics;
+    private final CostModel costModel = new CostModel();
+    private long highestBound;
+    private String nameOfHighest = "";
 
-    CostCheck(long most, Diagnostics problems) {
-        this.most = most;
-        this.problems = problems;
+    CostCheck(long maxCost, Diagnostics diagnostics) {
+        this.maxCost = maxCost;
+        this.diagnostics = diagnostics;
     }
 
-    CostModel cost() {
-        return cost;
+    CostModel costModel() {
+        return costModel;
     }
 
-    /** The bound of one expression; where it is over the most, the part that adds most is noted. */
-    long check(String name, Expression e) {
-        long bound = cost.bound(e);
-        if (bound > dearest) {
-            dearest = bound;
-            dearestName = name;
+    /** Returns the bound of one expression; an excess is reported at the part that costs most. */
+    long check(String name, Expression expression) {
+        long bound = costModel.bound(expression);
+        if (bound > highestBound) {
+            highestBound = bound;
+            nameOfHighest = name;
         }
-        if (bound > most) {
-            Expression part = CostModel.mostExpensivePart(e);
-            problems.add(
+        if (bound > maxCost) {
+            Expression part = CostModel.mostExpensivePart(expression);
+            diagnostics.add(
                     part.place(),
-                    "this may cost " + bound + " in all, over the max-cost of " + most + "; most of it is " + part);
+                    "this may cost " + bound + " in all, over the max-cost of " + maxCost + "; most of it is " + part);
         }
         return bound;
     }
 
-    /** What all of it together costs a transaction. */
-    void total(String what, long bound, SourcePosition place) {
-        if (bound > most && dearest <= most) {
-            problems.add(
+    /** Checks the bound of a whole section; its excess is not reported besides that of a single expression. */
+    void checkTotal(String section, long bound, SourcePosition place) {
+        if (bound > maxCost && highestBound <= maxCost) {
+            diagnostics.add(
                     place,
-                    what + " may cost a transaction " + bound + ", over the max-cost of " + most + "; the dearest is "
-                            + dearestName + " with " + dearest);
+                    section + " may cost a transaction " + bound + ", over the max-cost of " + maxCost
+                            + "; the dearest is " + nameOfHighest + " with " + highestBound);
         }
     }
 }
--- a/node/src/main/java/tulipshed/operators/Explanation.java
+++ b/node/src/main/java/tulipshed/operators/Explanation.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What was understood of an operators' file, in lines for people. */
+/** What was read from an operators' file, described in lines for operators. */
 public final class Explanation {
     private final List<String> lines = new ArrayList<>();
 
@@ -11,11 +11,11 @@
         lines.add(line);
     }
 
-    void addAll(String indent, List<String> more) {
-        more.forEach(l -> lines.add(indent + l));
+    void addAll(String indent, List<String> added) {
+        added.forEach(line -> lines.add(indent + line));
     }
 
-    /** The lines. */
+    /** Returns the lines. */
     public List<String> lines() {
         return List.copyOf(lines);
     }
--- /dev/null
+++ b/node/src/main/java/tulipshed/operators/FormValues.java
@@ -0,0 +1,50 @@
+package tulipshed.operators;
+
+import java.util.HexFormat;
+import tulipshed.sexpr.Diagnostics;
+import tulipshed.sexpr.Form;
+import tulipshed.sexpr.SourcePosition;
+
+/** Reads values from single forms; a form of the wrong kind is reported. */
+final class FormValues {
+    private FormValues() {}
+
+    /** Returns a name, which is a symbol or a string that is not empty; null, reported, for other forms. */
+    static String name(Form form, Diagnostics diagnostics) {
+        if (form instanceof Form.Word word) {
+            return word.name();
+        } else if (form instanceof Form.Text string && !string.value().isEmpty()) {
+            return string.value();
+        }
+        diagnostics.add(form.place(), "expected a name, found " + form.describe());
+        return null;
+    }
+
+    /** Returns a share from 0 to 1; NaN, reported, for other forms. */
+    static double share(Form form, Diagnostics diagnostics) {
+        double value = number(form);
+        if (value >= 0 && value <= 1) {
+            return value;
+        }
+        diagnostics.add(form.place(), "expected a share from 0.0 to 1.0, found " + form.describe());
+        return Double.NaN;
+    }
+
+    /** Returns a number, or NaN for other forms. */
+    static double number(Form form) {
+        if (form instanceof Form.Fraction decimal) {
+            return decimal.value();
+        }
+        return form instanceof Form.Whole integer ? integer.value() : Double.NaN;
+    }
+
+    /** Returns the bytes of a string of hexadecimal digits; null, reported, for another string. */
+    static byte[] bytes(String hexadecimal, SourcePosition place, Diagnostics diagnostics) {
+        try {
+            return HexFormat.of().parseHex(hexadecimal);
+        } catch (IllegalArgumentException e) {
+            diagnostics.add(place, "expected hexadecimal digits, two for a byte");
+            return null;
+        }
+    }
+}
--- a/node/src/main/java/tulipshed/operators/InvalidOperatorsFileException.java
+++ b/node/src/main/java/tulipshed/operators/InvalidOperatorsFileException.java
@@ -3,19 +3,19 @@
 import tulipshed.config.MalformedInputException;
 import tulipshed.sexpr.Diagnostics;
 
-/** An operators' file that is not taken; it carries all that is wrong with it. */
+/** An operators' file, or a table of cases, that has errors. */
 public final class InvalidOperatorsFileException extends MalformedInputException {
     private static final long serialVersionUID = 1L;
-    private final transient Diagnostics problems;
+    private final transient Diagnostics diagnostics;
 
-    InvalidOperatorsFileException(Diagnostics problems) {
-        // At a start all of it stands on one line.
-        super(problems.toString().replace("\n", "; "));
-        this.problems = problems;
+    InvalidOperatorsFileException(Diagnostics diagnostics) {
+        // The message of a failed start is a single line.
+        super(diagnostics.toString().replace("\n", "; "));
+        this.diagnostics = diagnostics;
     }
 
-    /** All that is wrong, a line each. */
+    /** Returns the errors, a line each. */
     public String lines() {
-        return problems.toString();
+        return diagnostics.toString();
     }
 }
--- a/node/src/main/java/tulipshed/operators/OperatorsFile.java
+++ b/node/src/main/java/tulipshed/operators/OperatorsFile.java
@@ -12,20 +12,26 @@
 import tulipshed.sexpr.SexprReader;
 
 /**
- * The operators' own file, read and compiled: rules for transactions, pools and routes, and the second front. An empty
- * file, or none, changes nothing.
+ * The operators' file, compiled: classification rules, pools and routes, and the QUIC frontend. An empty file changes
+ * nothing.
  *
  * @param router null where the file has no rules
- * @param quic null where the second front is off
+ * @param quic null where there is no QUIC frontend
+ * @param explanation what was read, for operators
  */
 public record OperatorsFile(Router router, QuicSection quic, Explanation explanation) {
-    /** What a file may be at most: bytes, brackets inside each other, forms. */
+    /** The limits of a file. */
     public static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(2 * 1024 * 1024, 200, 200_000);
 
-    /** What no file says. */
+    /** The content of an empty file. */
     public static final OperatorsFile EMPTY = new OperatorsFile(null, null, new Explanation());
 
-    /** Reads a file against the names of the settings; {@link InvalidOperatorsFileException} tells all that is wrong with it. */
+    /**
+     * Reads a file against the names of the settings.
+     *
+     * @throws InvalidOperatorsFileException if the file has errors
+     * @throws MalformedInputException if the file is too large or cannot be read
+     */
     public static OperatorsFile load(Path file, NameIndex names) {
         byte[] bytes;
         try {
@@ -41,13 +47,17 @@
         return read(file.toString(), bytes, names);
     }
 
-    /** Reads the bytes of a file that errors call by that name. */
+    /**
+     * Reads the content of a file that diagnostics call by that name.
+     *
+     * @throws InvalidOperatorsFileException if the content has errors
+     */
     public static OperatorsFile read(String name, byte[] bytes, NameIndex names) {
-        Diagnostics problems = new Diagnostics(name);
-        List<Form> forms = SexprReader.read(bytes, BOUNDS, problems);
-        OperatorsFile file = problems.none() ? new SectionReader(names, problems).read(forms) : null;
-        if (!problems.none()) {
-            throw new InvalidOperatorsFileException(problems);
+        Diagnostics diagnostics = new Diagnostics(name);
+        List<Form> forms = SexprReader.read(bytes, BOUNDS, diagnostics);
+        OperatorsFile file = diagnostics.none() ? OperatorsFileReader.read(forms, names, diagnostics) : null;
+        if (!diagnostics.none()) {
+            throw new InvalidOperatorsFileException(diagnostics);
         }
         return file;
     }
--- /dev/null
+++ b/node/src/main/java/tulipshed/operators/ParsedRoute.java
@@ -0,0 +1,47 @@
+package tulipshed.operators;
+
+import java.util.List;
+import java.util.StringJoiner;
+import tulipshed.expression.Expression;
+import tulipshed.routing.PoolTarget;
+
+/**
+ * A route before its expressions are compiled.
+ *
+ * @param splitPoint the expression that selects a branch of a split; null for a single branch
+ * @param weights the weight of each branch
+ * @param branches the pools of each branch, in order of preference
+ */
+record ParsedRoute(
+        String name,
+        Expression condition,
+        Expression splitPoint,
+        List<Integer> weights,
+        List<List<PoolTarget>> branches) {
+
+    /** Describes the route for operators, with the bound of the condition's cost. */
+    String describe(long conditionBound) {
+        return "route " + name + ": when " + condition + " (boolean, cost at most " + conditionBound + ")"
+                + (splitPoint == null ? ", to " : ", split by " + splitPoint + ": ") + describeBranches();
+    }
+
+    private String describeBranches() {
+        StringJoiner description = new StringJoiner("; ");
+        for (int i = 0; i < branches.size(); i++) {
+            String weight = splitPoint == null ? "" : weights.get(i) + " ";
+            description.add(weight + describeTargets(branches.get(i)));
+        }
+        return description.toString();
+    }
+
+    private static String describeTargets(List<PoolTarget> targets) {
+        StringJoiner description = new StringJoiner(", else ");
+        for (PoolTarget target : targets) {
+            String shares = target.restoreAt() > 0
+                    ? " (passed over below " + target.spillBelow() + ", back at " + target.restoreAt() + ")"
+                    : "";
+            description.add(target.pool() + shares);
+        }
+        return description.toString();
+    }
+}
--- a/node/src/main/java/tulipshed/operators/PoolReader.java
+++ b/node/src/main/java/tulipshed/operators/PoolReader.java
@@ -15,59 +15,72 @@
 
 /** Reads {@code (pool NAME (where EXPR))}, of which there may be many. */
 final class PoolReader {
-    private static final int MOST_POOLS = 64;
+    private static final int MAX_POOLS = 64;
+    private static final Set<String> FIELDS = Set.of(FieldNames.WHERE);
+
+    /** The attribute of endpoints whose value changes without a change of the endpoint list. */
+    private static final String AGE_ATTRIBUTE = "member.age-ms";
 
     private final EndpointSchema schema;
     private final TypeChecker checker;
-    private final CostCheck costs;
-    private final Diagnostics problems;
-    private final Explanation explanation;
-    private final Map<String, Expression> conditions = new LinkedHashMap<>();
+    private final ReaderContext context;
+    private final Diagnostics diagnostics;
+
+    /** The conditions by name of the pool; null for a condition that has errors. */
+    private final Map<String, Expression> conditionByPool = new LinkedHashMap<>();
 
-    PoolReader(
-            EndpointSchema schema, TypeChecker checker, long maxCost, Diagnostics problems, Explanation explanation) {
+    PoolReader(EndpointSchema schema, TypeChecker checker, ReaderContext context) {
         this.schema = schema;
         this.checker = checker;
-        this.problems = problems;
-        this.explanation = explanation;
-        costs = new CostCheck(maxCost, problems);
+        this.context = context;
+        this.diagnostics = context.diagnostics();
     }
 
-    /** The names of the pools, also of those in which something is wrong. */
+    /** Returns the names of the pools, also of those that have errors. */
     Set<String> names() {
-        return conditions.keySet();
+        return conditionByPool.keySet();
     }
 
+    /** Returns the pools; null, with errors reported, where one is wrong. */
     PoolMembership read(List<Form.Sequence> sections) {
-        int before = problems.count();
-        sections.forEach(this::pool);
-        if (conditions.size() > MOST_POOLS) {
-            problems.add(sections.get(MOST_POOLS).place(), "more than " + MOST_POOLS + " pools");
+        int errorsBefore = diagnostics.count();
+        sections.forEach(this::readPool);
+        if (conditionByPool.size() > MAX_POOLS) {
+            diagnostics.add(sections.get(MAX_POOLS).place(), "more than " + MAX_POOLS + " pools");
         }
-        if (problems.count() > before) {
+        if (diagnostics.count() > errorsBefore) {
             return null;
         }
         Program.Builder builder = new Program.Builder(schema.schema());
-        Map<String, Program.Value> values = new LinkedHashMap<>();
-        conditions.forEach((name, e) -> values.put(name, builder.value(e)));
+        Map<String, Program.Value> compiled = new LinkedHashMap<>();
+        conditionByPool.forEach((name, condition) -> compiled.put(name, builder.value(condition)));
         Program program = builder.build();
-        conditions.forEach((name, e) -> explanation.add("pool " + name + ": where " + e + " (boolean, cost at most "
-                + costs.check(name, e) + " a member when the list changes)"));
-        boolean ages = conditions.values().stream().anyMatch(e -> e.references("member.age-ms"));
-        return problems.count() > before ? null : new PoolMembership(schema, values, ages, program);
+        explain();
+        boolean dependsOnAge =
+                conditionByPool.values().stream().anyMatch(condition -> condition.references(AGE_ATTRIBUTE));
+        return diagnostics.count() > errorsBefore ? null : new PoolMembership(schema, compiled, dependsOnAge, program);
     }
 
-    private void pool(Form.Sequence s) {
-        String name = s.items().size() < 2 ? null : SectionFields.name(s.items().get(1), problems);
+    private void readPool(Form.Sequence section) {
+        String name = section.items().size() < 2
+                ? null
+                : FormValues.name(section.items().get(1), diagnostics);
         if (name == null) {
-            problems.add(s.place(), "expected (pool NAME (where EXPRESSION))");
+            diagnostics.add(section.place(), "expected (pool NAME (where EXPRESSION))");
             return;
         }
-        if (conditions.containsKey(name)) {
-            problems.add(s.place(), "another pool is called " + name + " already");
+        if (conditionByPool.containsKey(name)) {
+            diagnostics.add(section.place(), "another pool is called " + name + " already");
         }
-        SectionFields f = new SectionFields(s, 2, Set.of("where"), problems);
-        Form where = f.value("where");
-        conditions.put(name, where == null ? null : checker.check(where, Type.BOOLEAN));
+        Form where = new SectionFields(section, 2, FIELDS, diagnostics).value(FieldNames.WHERE);
+        conditionByPool.put(name, where == null ? null : checker.check(where, Type.BOOLEAN));
+    }
+
+    /** Explains the pools, and reports those whose cost exceeds the limit. */
+    private void explain() {
+        CostCheck costs = context.newCostCheck();
+        conditionByPool.forEach((name, condition) -> context.explanation()
+                .add("pool " + name + ": where " + condition + " (boolean, cost at most " + costs.check(name, condition)
+                        + " a member when the list changes)"));
     }
 }
--- a/node/src/main/java/tulipshed/operators/SectionFields.java
+++ b/node/src/main/java/tulipshed/operators/SectionFields.java
@@ -1,7 +1,7 @@
 package tulipshed.operators;
 
 import java.net.InetSocketAddress;
-import java.util.HexFormat;
+import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -13,146 +13,149 @@
 import tulipshed.sexpr.NameSuggestions;
 import tulipshed.sexpr.SourcePosition;
 
-/** The named parts of a section, {@code (NAME VALUE ...)} each; what is unknown, twice or missing is noted. */
+/**
+ * The named fields of a section, each {@code (NAME VALUE ...)}. Unknown, repeated and missing fields, and values of the
+ * wrong kind, are reported.
+ */
 final class SectionFields {
     private final Form.Sequence section;
-    private final Diagnostics problems;
+    private final Diagnostics diagnostics;
     private final Map<String, Form.Sequence> byName = new LinkedHashMap<>();
 
-    /** Those of a section from its {@code first} item on. */
-    SectionFields(Form.Sequence section, int first, Set<String> allowed, Diagnostics problems) {
+    /** Reads the fields of a section from its item {@code firstField} on. */
+    SectionFields(Form.Sequence section, int firstField, Set<String> allowed, Diagnostics diagnostics) {
         this.section = section;
-        this.problems = problems;
-        for (Form f : section.items()
-                .subList(
-                        Math.min(first, section.items().size()), section.items().size())) {
-            if (!(f instanceof Form.Sequence s) || s.head() == null) {
-                problems.add(
-                        f.place(),
-                        "expected one of " + String.join(", ", allowed) + " in brackets, found " + f.describe());
-            } else if (!allowed.contains(s.head())) {
-                problems.add(
-                        s.place(),
-                        "expected one of " + String.join(", ", allowed) + ", found " + s.head()
-                                + NameSuggestions.hint(s.head(), allowed));
-            } else if (byName.putIfAbsent(s.head(), s) != null) {
-                problems.add(
-                        s.place(),
-                        s.head() + " stands twice; the first is at "
-                                + byName.get(s.head()).place());
+        this.diagnostics = diagnostics;
+        List<Form> items = section.items();
+        for (Form item : items.subList(Math.min(firstField, items.size()), items.size())) {
+            add(item, allowed);
+        }
+    }
+
+    private void add(Form item, Set<String> allowed) {
+        String allowedNames = "expected one of " + String.join(", ", allowed);
+        if (!(item instanceof Form.Sequence field) || field.head() == null) {
+            diagnostics.add(item.place(), allowedNames + " in brackets, found " + item.describe());
+            return;
+        }
+        String name = field.head();
+        if (!allowed.contains(name)) {
+            diagnostics.add(field.place(), allowedNames + ", found " + name + NameSuggestions.hint(name, allowed));
+        } else if (byName.putIfAbsent(name, field) != null) {
+            diagnostics.add(
+                    field.place(),
+                    name + " stands twice; the first is at " + byName.get(name).place());
+        }
+    }
+
+    /** Returns the fields of that name, of which a section may have several. */
+    static List<Form.Sequence> repeated(Form.Sequence section, String name) {
+        List<Form.Sequence> fields = new ArrayList<>();
+        for (Form item : section.items()) {
+            if (item instanceof Form.Sequence field && name.equals(field.head())) {
+                fields.add(field);
             }
         }
+        return fields;
+    }
+
+    /** Returns a section without the fields of that name. */
+    static Form.Sequence without(Form.Sequence section, String name) {
+        List<Form> others = new ArrayList<>();
+        for (Form item : section.items()) {
+            if (!(item instanceof Form.Sequence field) || !name.equals(field.head())) {
+                others.add(item);
+            }
+        }
+        return new Form.Sequence(others, false, section.place());
     }
 
     boolean has(String name) {
         return byName.containsKey(name);
     }
 
-    /** The part of that name, or null. */
+    /** Returns the field of that name, or null. */
     Form.Sequence get(String name) {
         return byName.get(name);
     }
 
+    /** Returns the position of a field, or of the section where the field is missing. */
     SourcePosition place(String name) {
         return has(name) ? byName.get(name).place() : section.place();
     }
 
-    /** The one value of a part; null, noted, where it is missing or there are more. */
+    /** Returns the values of a field; none where it is missing. */
+    List<Form> values(String name) {
+        return has(name) ? get(name).items().subList(1, get(name).items().size()) : List.of();
+    }
+
+    /** Returns the single value of a field; null, reported, where the field is missing or has not exactly one. */
     Form value(String name) {
-        Form.Sequence s = byName.get(name);
-        if (s == null) {
-            problems.add(section.place(), "expected (" + name + " ...) in " + section.describe());
+        Form.Sequence field = byName.get(name);
+        if (field == null) {
+            diagnostics.add(section.place(), "expected (" + name + " ...) in " + section.describe());
             return null;
         }
-        if (s.items().size() != 2) {
-            problems.add(
-                    s.place(),
-                    "expected one value of " + name + ", found " + (s.items().size() - 1));
+        int count = field.items().size() - 1;
+        if (count != 1) {
+            diagnostics.add(field.place(), "expected one value of " + name + ", found " + count);
             return null;
         }
-        return s.items().get(1);
+        return field.items().get(1);
     }
 
-    String text(String name) {
-        Form f = value(name);
-        if (f == null || f instanceof Form.Text) {
-            return f == null ? null : ((Form.Text) f).value();
+    /** Returns a string; null, reported, where there is none. */
+    String string(String name) {
+        Form value = value(name);
+        if (value instanceof Form.Text string) {
+            return string.value();
+        }
+        if (value != null) {
+            diagnostics.add(value.place(), "expected a text in quotes, found " + value.describe());
         }
-        problems.add(f.place(), "expected a text in quotes, found " + f.describe());
         return null;
     }
 
-    /** A whole number; {@code otherwise}, noted, where it is none or out of its bounds. */
-    long whole(String name, long least, long most, long otherwise) {
-        Form f = value(name);
-        if (f instanceof Form.Whole w && w.value() >= least && w.value() <= most) {
-            return w.value();
+    /** Returns an integer from {@code min} to {@code max}; {@code fallback}, reported, where there is none. */
+    long integer(String name, long min, long max, long fallback) {
+        Form value = value(name);
+        if (value instanceof Form.Whole integer && integer.value() >= min && integer.value() <= max) {
+            return integer.value();
         }
-        if (f != null) {
-            problems.add(
-                    f.place(), "expected a whole number from " + least + " to " + most + ", found " + f.describe());
+        if (value != null) {
+            diagnostics.add(
+                    value.place(),
+                    "expected a whole number from " + min + " to " + max + ", found " + value.describe());
         }
-        return otherwise;
+        return fallback;
     }
 
-    /** One of known names; null, noted with the nearest, where it is none. */
+    /** Returns one of the names of the settings; null, reported, where there is none. */
     String oneOf(String name, Set<String> known) {
-        String text = text(name);
-        if (text != null && !known.contains(text)) {
-            problems.add(
+        String string = string(name);
+        if (string != null && !known.contains(string)) {
+            diagnostics.add(
                     value(name).place(),
-                    "expected a " + name + " of the settings, found " + text + NameSuggestions.hint(text, known));
+                    "expected a " + name + " of the settings, found " + string + NameSuggestions.hint(string, known));
             return null;
         }
-        return text;
+        return string;
     }
 
-    byte[] hex(String name) {
-        String text = text(name);
-        return text == null ? null : hex(text, value(name).place(), problems);
-    }
-
-    static byte[] hex(String text, SourcePosition place, Diagnostics problems) {
-        try {
-            return HexFormat.of().parseHex(text);
-        } catch (IllegalArgumentException e) {
-            problems.add(place, "expected hexadecimal digits, two for a byte");
-            return null;
-        }
+    /** Returns bytes in hexadecimal digits; null, reported, where there are none. */
+    byte[] bytes(String name) {
+        String string = string(name);
+        return string == null ? null : FormValues.bytes(string, value(name).place(), diagnostics);
     }
 
+    /** Returns a numeric address with its port; null, reported, where there is none. */
     InetSocketAddress address(String name) {
-        String text = text(name);
+        String string = string(name);
         try {
-            return text == null ? null : NodeConfig.address(name, text);
+            return string == null ? null : NodeConfig.address(name, string);
         } catch (MalformedInputException e) {
-            problems.add(value(name).place(), "expected a numeric host:port, found " + text);
+            diagnostics.add(value(name).place(), "expected a numeric host:port, found " + string);
             return null;
         }
     }
-
-    /** A name: a word or a text; null, noted, where it is neither. */
-    static String name(Form f, Diagnostics problems) {
-        if (f instanceof Form.Word w) {
-            return w.name();
-        } else if (f instanceof Form.Text t && !t.value().isEmpty()) {
-            return t.value();
-        }
-        problems.add(f.place(), "expected a name, found " + f.describe());
-        return null;
-    }
-
-    /** A share from 0 to 1; NaN, noted, where it is none. */
-    static double share(Form f, Diagnostics problems) {
-        double value = f instanceof Form.Fraction x ? x.value() : f instanceof Form.Whole w ? w.value() : Double.NaN;
-        if (value >= 0 && value <= 1) {
-            return value;
-        }
-        problems.add(f.place(), "expected a share from 0.0 to 1.0, found " + f.describe());
-        return Double.NaN;
-    }
-
-    List<Form> items(String name) {
-        return has(name) ? get(name).items().subList(1, get(name).items().size()) : List.of();
-    }
 }
--- /dev/null
+++ b/node/src/main/java/tulipshed/operators/SectionNames.java
@@ -0,0 +1,41 @@
+package tulipshed.operators;
+
+import java.util.Collections;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+
+/** The names of the sections of an operators' file and of a table of cases: external names, which do not change. */
+final class SectionNames {
+    static final String ATTRIBUTES = "attributes";
+    static final String LONGEST = "longest";
+    static final String MAX_COST = "max-cost";
+    static final String DEFINE = "define";
+    static final String CLASSIFY = "classify";
+    static final String POOL = "pool";
+    static final String ROUTE = "route";
+    static final String QUIC = "quic";
+
+    /** The sections of an operators' file. */
+    static final Set<String> OF_OPERATORS_FILE =
+            ordered(ATTRIBUTES, LONGEST, MAX_COST, DEFINE, CLASSIFY, POOL, ROUTE, QUIC);
+
+    /** A rule within {@link #CLASSIFY}. */
+    static final String RULE = "rule";
+
+    /** A configuration of connection IDs within {@link #QUIC}. */
+    static final String IDS = "ids";
+
+    /** The endpoints of a table of cases. */
+    static final String MEMBERS = "members";
+
+    /** A case of a table of cases. */
+    static final String CASE = "case";
+
+    private SectionNames() {}
+
+    /** Returns a set that keeps the order, in which diagnostics list the names. */
+    static Set<String> ordered(String... names) {
+        return Collections.unmodifiableSet(new LinkedHashSet<>(List.of(names)));
+    }
+}
--- /dev/null
+++ b/node/src/main/java/tulipshed/operators/Sections.java
@@ -0,0 +1,72 @@
+package tulipshed.operators;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import tulipshed.sexpr.Diagnostics;
+import tulipshed.sexpr.Form;
+import tulipshed.sexpr.NameSuggestions;
+
+/** The sections of an operators' file by name. */
+final class Sections {
+    private final Diagnostics diagnostics;
+    private final List<Form.Sequence> definitions = new ArrayList<>();
+    private final List<Form.Sequence> pools = new ArrayList<>();
+    private final List<Form.Sequence> routes = new ArrayList<>();
+    private final Map<String, Form.Sequence> single = new HashMap<>();
+
+    /** Groups the forms of a file; what is no section, and a second one where one is allowed, is reported. */
+    Sections(List<Form> forms, Diagnostics diagnostics) {
+        this.diagnostics = diagnostics;
+        forms.forEach(this::add);
+    }
+
+    List<Form.Sequence> definitions() {
+        return definitions;
+    }
+
+    List<Form.Sequence> pools() {
+        return pools;
+    }
+
+    List<Form.Sequence> routes() {
+        return routes;
+    }
+
+    boolean has(String name) {
+        return single.containsKey(name);
+    }
+
+    /** Returns a section of which there is one at most, or null. */
+    Form.Sequence get(String name) {
+        return single.get(name);
+    }
+
+    private void add(Form form) {
+        if (!(form instanceof Form.Sequence section) || section.head() == null) {
+            diagnostics.add(form.place(), "expected a section such as (pool ...), found " + form.describe());
+            return;
+        }
+        switch (section.head()) {
+            case SectionNames.DEFINE -> definitions.add(section);
+            case SectionNames.POOL -> pools.add(section);
+            case SectionNames.ROUTE -> routes.add(section);
+            default -> addSingle(section);
+        }
+    }
+
+    private void addSingle(Form.Sequence section) {
+        String name = section.head();
+        if (!SectionNames.OF_OPERATORS_FILE.contains(name)) {
+            diagnostics.add(
+                    section.place(),
+                    "expected a section, one of " + String.join(", ", SectionNames.OF_OPERATORS_FILE) + ", found "
+                            + name + NameSuggestions.hint(name, SectionNames.OF_OPERATORS_FILE));
+        } else if (single.putIfAbsent(name, section) != null) {
+            diagnostics.add(
+                    section.place(),
+                    name + " stands twice; the first is at " + single.get(name).place());
+        }
+    }
+}
--- a/node/src/main/java/tulipshed/operators/package-info.java
+++ b/node/src/main/java/tulipshed/operators/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the operators' file and its table of cases; reports all errors together, each with its place. */
+/** Reads the operators' file and tables of cases for it; all errors are reported together, each with its position. */
 package tulipshed.operators;
--- a/node/src/main/java/tulipshed/quic/QuicConfig.java
+++ b/node/src/main/java/tulipshed/quic/QuicConfig.java
@@ -4,7 +4,9 @@
 import tulipshed.connectionid.ServerIds;
 import tulipshed.connectionid.StatelessReset;
 import tulipshed.limits.Limits;
+import tulipshed.operators.ConnectionIdSection;
 import tulipshed.operators.QuicSection;
+import tulipshed.operators.RetrySection;
 import tulipshed.time.WallClock;
 
 /**
@@ -27,12 +29,12 @@
     /** From what the operators' file says, which has been checked. */
     public static QuicConfig of(QuicSection s, Limits limits, WallClock wallClock) {
         ConnectionIdConfigurations ids = new ConnectionIdConfigurations();
-        for (QuicSection.Ids i : s.ids()) {
+        for (ConnectionIdSection i : s.ids()) {
             ids = ids.with(
                     new ServerIds(i.configuration(), i.serverIdBytes(), i.nonceBytes(), i.connectionBytes(), i.key()),
                     i.servers());
         }
-        QuicSection.Retry r = s.retry();
+        RetrySection r = s.retry();
         return new QuicConfig(
                 s.listen(),
                 s.preferred(),
