--- a/node/src/main/java/tulipshed/decision/ActiveSettings.java
+++ b/node/src/main/java/tulipshed/decision/ActiveSettings.java
@@ -10,7 +10,7 @@
     private double shortestMessageLatencyObjectiveMs;
     private double quotaPerS;
     private double quotaConnectionsPerNode;
-    /** Share of the balancer's allowances that this instance has, from 0 to 1. */
+    /** Share of the balancer's quotas that this instance has, from 0 to 1. */
     double quotaShare = 1;
 
     ActiveSettings(BalancerSettings settings) {
--- a/node/src/main/java/tulipshed/decision/AdmissionControl.java
+++ b/node/src/main/java/tulipshed/decision/AdmissionControl.java
@@ -10,8 +10,8 @@
     static final long ADMITTED = -1;
 
     private static final double CURVE_START_SHARES = 4; // equal shares of the quota at which the curve starts
-    private static final double DEFAULT_QUOTA_PER_S = 1; // of a tenant, where none is stated
-    private static final int EJECTION_CHECKS = 4; // random ejected endpoints a request: more than become ejected
+    private static final double DEFAULT_QUOTA_PER_S = 1; // new connections of a tenant whose quota is not stated
+    private static final int EJECTION_CHECKS_PER_REQUEST = 4; // faster than endpoints become ejected
     private static final String NO_TENANT = "";
 
     private final ActiveSettings settings;
@@ -35,7 +35,7 @@
         settingsChanged();
     }
 
-    /** Computes the depth curve anew; token buckets keep their tokens. */
+    /** Recomputes the depth curve; token buckets retain their tokens. */
     void settingsChanged() {
         int tenants = Math.max(1, settings.current().tenants().size());
         double perTenant = settings.quotaPerS() / settings.current().nodeCount() / tenants;
@@ -43,42 +43,43 @@
     }
 
     /** {@link #ADMITTED}, or the time in microseconds after which the rejected client may retry. */
-    long admit(long now, RequestState request) {
+    long admit(long nowUs, RequestState request) {
         if (request.arrival.exemptFromAdmission()) {
             return ADMITTED;
         }
         EndpointPool pool = request.pool;
-        double ratePerS = curve.rateAt(depth(now, pool)) * settings.quotaShare;
-        TokenBucket bucket = pool.buckets.computeIfAbsent(tenantName(request), name -> new TokenBucket(now));
-        boolean shed = request.arrival.reconnecting() && isShed(now, request);
-        if (!shed && bucket.tryTake(now, ratePerS)) {
+        double ratePerS = curve.rateAt(depth(nowUs, pool)) * settings.quotaShare;
+        TokenBucket bucket = pool.buckets.computeIfAbsent(tenantName(request), name -> new TokenBucket(nowUs));
+        boolean shed = request.arrival.reconnecting() && isShed(nowUs, request);
+        if (!shed && bucket.tryTake(nowUs, ratePerS)) {
             return ADMITTED;
         }
-        rejectionLog.rejected(now, pool);
+        rejectionLog.rejected(nowUs, pool);
         return shed ? OutlierEjection.LATE_EJECTION_US : bucket.untilTokenUs(ratePerS);
     }
 
-    /** Buckets are kept by name, as reconfiguration may change a tenant's index. */
+    /** Buckets are stored by name, as reconfiguration may change a tenant's index. */
     private String tenantName(RequestState request) {
         List<Tenant> tenants = settings.current().tenants();
         int tenant = request.arrival.tenant();
         return tenant >= 0 && tenant < tenants.size() ? tenants.get(tenant).name() : NO_TENANT;
     }
 
-    private boolean isShed(long now, RequestState request) {
-        double probability = loadShedder.rejectionProbability(now, allEndpoints.open, allEndpoints.ready.size());
+    private boolean isShed(long nowUs, RequestState request) {
+        double probability = loadShedder.rejectionProbability(nowUs, allEndpoints.open, allEndpoints.ready.size());
         return Hashing.uniform(request.randomHash, 0, 0) < probability;
     }
 
     /** Pending share, or ejected share if more: endpoints overloaded by established connections have none pending. */
-    private double depth(long now, EndpointPool pool) {
-        for (int i = 0; i < EJECTION_CHECKS && !pool.ejected.isEmpty(); i++) {
+    private double depth(long nowUs, EndpointPool pool) {
+        for (int i = 0; i < EJECTION_CHECKS_PER_REQUEST && !pool.ejected.isEmpty(); i++) {
             EndpointState endpoint = pool.ejected.get(random.nextInt(pool.ejected.size()));
-            if (now >= endpoint.ejectedUntilUs) {
+            if (nowUs >= endpoint.ejectedUntilUs) {
                 endpoint.clearEjection();
             }
         }
         double pending = pool.pendingLimits == 0 ? 0 : (double) pool.pending / pool.pendingLimits;
-        return Math.max(pending, pool.ejected.size() / (pool.known.size() + 2.0)); // 2 more, lest one known be all
+        // 2 more, so that one known endpoint is not all of them
+        return Math.max(pending, pool.ejected.size() / (pool.known.size() + 2.0));
     }
 }
--- a/node/src/main/java/tulipshed/decision/ConnectionGroup.java
+++ b/node/src/main/java/tulipshed/decision/ConnectionGroup.java
@@ -19,7 +19,7 @@
      * Creates an empty group.
      *
      * @param name name of the group, from which its preferred endpoints follow
-     * @param preferredCount how many preferred endpoints there is room for at first
+     * @param preferredCount initial capacity for preferred endpoints
      * @param memoryUs time constant of the count of arrivals, in microseconds
      */
     ConnectionGroup(String name, int preferredCount, double memoryUs) {
@@ -37,7 +37,7 @@
         return rank < preferred.length ? preferred[rank] : null;
     }
 
-    /** Keeps the preferred endpoint of this rank. */
+    /** Stores the preferred endpoint of this rank. */
     void setPreferred(int rank, EndpointState endpoint) {
         if (rank >= preferred.length) {
             preferred = Arrays.copyOf(preferred, Math.max(rank + 1, 2 * preferred.length));
--- a/node/src/main/java/tulipshed/decision/ConnectionReuse.java
+++ b/node/src/main/java/tulipshed/decision/ConnectionReuse.java
@@ -17,19 +17,19 @@
     }
 
     /** Keeps the connection of an attempt that has ended, if it can be reused. */
-    void recordEnded(long now, EndpointState endpoint, Outcome outcome, boolean established) {
+    void recordEnded(long nowUs, EndpointState endpoint, Outcome outcome, boolean established) {
         boolean reusable = outcome == Outcome.OK || (outcome == Outcome.CANCELLED && established);
         if (settings.current().prices().handshake() > 0 && reusable) {
-            while (!latestFirst.isEmpty() && latestFirst.peekLast().untilUs() <= now) {
+            while (!latestFirst.isEmpty() && latestFirst.peekLast().untilUs() <= nowUs) {
                 latestFirst.pollLast();
             }
-            long untilUs = now + settings.current().limits().connectionIdleUs();
+            long untilUs = nowUs + settings.current().limits().connectionIdleUs();
             latestFirst.addFirst(new IdleConnection(endpoint, untilUs));
         }
     }
 
     /** Takes the latest idle connection to a usable endpoint, the same zone first where crossing has a price; or null. */
-    EndpointState take(long now, RequestState request) {
+    EndpointState take(long nowUs, RequestState request) {
         double meanLoad = MAX_MEAN_LOADS * request.pool.load / request.pool.nonZeroWeight();
         boolean zoneMatters = settings.current().prices().crossZone() > 0;
         IdleConnection found = null;
@@ -40,8 +40,8 @@
                             && endpoint.isInSameZone()
                             && !found.endpoint().isInSameZone());
             if (nearer
-                    && now < candidate.untilUs()
-                    && evaluator.isUsable(now, request, endpoint)
+                    && nowUs < candidate.untilUs()
+                    && evaluator.isUsable(nowUs, request, endpoint)
                     && endpoint.openLoad <= meanLoad * endpoint.weight()) {
                 found = candidate;
             }
--- a/node/src/main/java/tulipshed/decision/DecayingCounter.java
+++ b/node/src/main/java/tulipshed/decision/DecayingCounter.java
@@ -12,16 +12,16 @@
     }
 
     /** The count at this time, in microseconds; at least 0. */
-    double at(long now) {
-        if (now > updatedAtUs) {
-            count *= Math.exp((updatedAtUs - now) / timeConstantUs);
-            updatedAtUs = now;
+    double at(long nowUs) {
+        if (nowUs > updatedAtUs) {
+            count *= Math.exp((updatedAtUs - nowUs) / timeConstantUs);
+            updatedAtUs = nowUs;
         }
         return count;
     }
 
     /** Counts one event. */
-    void add(long now) {
-        count = at(now) + 1;
+    void add(long nowUs) {
+        count = at(nowUs) + 1;
     }
 }
--- a/node/src/main/java/tulipshed/decision/DepthCurve.java
+++ b/node/src/main/java/tulipshed/decision/DepthCurve.java
@@ -3,7 +3,7 @@
 /** Refill rate of the token buckets by depth: unlimited while shallow, then falling to zero at depth 1. */
 final class DepthCurve {
     private static final int STEPS = 100;
-    private static final double UNLIMITED_BELOW_DEPTH = 0.25; // leaves room for any burst
+    private static final double UNLIMITED_BELOW_DEPTH = 0.25; // lets bursts pass
 
     private final double[] ratePerS = new double[STEPS + 1];
 
--- a/node/src/main/java/tulipshed/decision/DropRateLoadShedder.java
+++ b/node/src/main/java/tulipshed/decision/DropRateLoadShedder.java
@@ -5,20 +5,20 @@
  * its only sign of overload, and endpoints drop the heaviest connections first. Confined to the event-loop thread.
  */
 final class DropRateLoadShedder {
-    private static final double TIME_CONSTANT_US = 15e6; // an endpoint stays overloaded or warming for about as long
+    private static final double TIME_CONSTANT_US = 15e6; // about the duration of an overload or a slow start
     private static final double PROBABILITY_PER_DROPPED_SHARE = 8; // endpoints drop an eighth at a time
-    private static final double MAX_PROBABILITY = 0.9; // the clients admitted show when the overload is over
+    private static final double MAX_PROBABILITY = 0.9; // the clients still admitted show the end of the overload
 
     private final DecayingCounter dropped = new DecayingCounter(TIME_CONSTANT_US);
 
     /** Counts an established connection that a ready endpoint dropped. */
-    void recordDrop(long now) {
-        dropped.add(now);
+    void recordDrop(long nowUs) {
+        dropped.add(nowUs);
     }
 
     /** Probability of rejecting a reconnecting client; 0 with a connection per ready endpoint or more. */
-    double rejectionProbability(long now, int open, int ready) {
-        double recent = dropped.at(now);
+    double rejectionProbability(long nowUs, int open, int ready) {
+        double recent = dropped.at(nowUs);
         double probability = PROBABILITY_PER_DROPPED_SHARE * recent / (open + 1 + recent);
         return open < ready ? Math.min(MAX_PROBABILITY, probability) : 0;
     }
--- a/node/src/main/java/tulipshed/decision/EndpointEvaluator.java
+++ b/node/src/main/java/tulipshed/decision/EndpointEvaluator.java
@@ -3,15 +3,15 @@
 /** Whether an endpoint may be sent a request, and how loaded it would be with it. */
 record EndpointEvaluator(OutlierEjection outlierEjection, SlowStart slowStart) {
     /** Whether an endpoint is eligible and may be sent this request. */
-    boolean isUsable(long now, RequestState request, EndpointState endpoint) {
-        return outlierEjection.isEligible(now, request.pool, endpoint) && isPermitted(now, request, endpoint);
+    boolean isUsable(long nowUs, RequestState request, EndpointState endpoint) {
+        return outlierEjection.isEligible(nowUs, request.pool, endpoint) && isPermitted(nowUs, request, endpoint);
     }
 
     /** Whether an endpoint may be sent this request, be it ejected or not. */
-    boolean isPermitted(long now, RequestState request, EndpointState endpoint) {
+    boolean isPermitted(long nowUs, RequestState request, EndpointState endpoint) {
         return endpoint != request.previousEndpoint
                 && RetryPolicy.permitsEndpoint(request, endpoint)
-                && !slowStart.isLimitedBySlowStart(now, request, endpoint);
+                && !slowStart.isLimitedBySlowStart(nowUs, request, endpoint);
     }
 
     /** The endpoint that would be less loaded with the request; the first if both are equal. */
--- a/node/src/main/java/tulipshed/decision/EndpointPool.java
+++ b/node/src/main/java/tulipshed/decision/EndpointPool.java
@@ -33,8 +33,8 @@
     final Map<String, TokenBucket> buckets = new HashMap<>();
 
     final DecayingCounter groupArrivals;
-    /** Names of the endpoints that belong to a named pool; empty for the pool of all endpoints. */
-    Set<String> members = Set.of();
+    /** IDs of the endpoints that belong to a named pool; empty for the pool of all endpoints. */
+    Set<String> endpointIds = Set.of();
 
     double weight;
     double load;
@@ -50,7 +50,7 @@
     /**
      * Creates an empty pool.
      *
-     * @param id a number of its own, from 0 on
+     * @param id unique number of the pool, from 0 on
      * @param groupMemoryUs time constant of the counts of group arrivals, in microseconds
      */
     EndpointPool(int id, double groupMemoryUs) {
@@ -81,7 +81,7 @@
         addToSums(endpoint, 1);
     }
 
-    /** Removes an endpoint that is ready no more and is not ejected. */
+    /** Removes an endpoint that is no longer ready and is not ejected. */
     void removeReady(EndpointState endpoint) {
         ready.remove(endpoint);
         sameZone.remove(endpoint);
@@ -99,7 +99,7 @@
     }
 
     /** Adds an endpoint to this named pool, in the state that it has in the pool of all endpoints. */
-    void addMember(EndpointState endpoint) {
+    void addEndpoint(EndpointState endpoint) {
         EndpointPool allEndpoints = endpoint.pools.get(0);
         endpoint.pools.add(this);
         if (allEndpoints.ready.has(endpoint)) {
@@ -113,7 +113,7 @@
     }
 
     /** Removes an endpoint from this named pool. */
-    void removeMember(EndpointState endpoint) {
+    void removeEndpoint(EndpointState endpoint) {
         endpoint.pools.remove(this);
         if (ready.has(endpoint)) {
             failing -= endpoint.failing ? 1 : 0;
@@ -153,12 +153,12 @@
                 loadSum += endpoint.openLoad;
             }
         }
-        int[] kept = {open, pending, pendingLimits, failing, ready.size()};
-        boolean consistent =
-                Arrays.equals(counts, kept) && Math.abs(loadSum - load) < LOAD_TOLERANCE * (1 + Math.abs(loadSum));
+        int[] maintained = {open, pending, pendingLimits, failing, ready.size()};
+        boolean consistent = Arrays.equals(counts, maintained)
+                && Math.abs(loadSum - load) < LOAD_TOLERANCE * (1 + Math.abs(loadSum));
         return consistent
                 ? ""
-                : "pool " + id + ": " + Arrays.toString(kept) + " " + load + ", not " + Arrays.toString(counts) + " "
-                        + loadSum;
+                : "pool " + id + ": " + Arrays.toString(maintained) + " " + load + ", not " + Arrays.toString(counts)
+                        + " " + loadSum;
     }
 }
--- a/node/src/main/java/tulipshed/decision/EndpointPools.java
+++ b/node/src/main/java/tulipshed/decision/EndpointPools.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The pool of all endpoints and the named pools, with their members. Confined to the event-loop thread. */
+/** The pool of all endpoints and the named pools, with their endpoints. Confined to the event-loop thread. */
 final class EndpointPools {
     private static final int FIRST_NAMED_ID = 2;
 
@@ -26,24 +26,24 @@
         return name == null ? allEndpoints : namedPools.getOrDefault(name, emptyPool);
     }
 
-    /** Replaces the named pools; {@code endpoints} are moved to the pools they belong to. */
-    void setMembers(Map<String, Set<String>> members, Collection<EndpointState> endpoints) {
-        namedPools.forEach((name, pool) -> pool.members = members.getOrDefault(name, Set.of()));
-        members.forEach((name, names) ->
-                namedPools.computeIfAbsent(name, n -> new EndpointPool(lowestUnusedId(), groupMemoryUs)).members =
-                        names);
+    /** Replaces the named pools; {@code endpoints} are assigned to the pools that name them. */
+    void replacePools(Map<String, Set<String>> endpointIdsByPool, Collection<EndpointState> endpoints) {
+        namedPools.forEach((name, pool) -> pool.endpointIds = endpointIdsByPool.getOrDefault(name, Set.of()));
+        endpointIdsByPool.forEach((name, endpointIds) ->
+                namedPools.computeIfAbsent(name, n -> new EndpointPool(lowestUnusedId(), groupMemoryUs)).endpointIds =
+                        endpointIds);
         endpoints.forEach(this::assign);
-        namedPools.keySet().retainAll(members.keySet());
+        namedPools.keySet().retainAll(endpointIdsByPool.keySet());
     }
 
     /** Adds an endpoint to the named pools that name it, and removes it from the others. */
     void assign(EndpointState endpoint) {
         for (EndpointPool pool : namedPools.values()) {
-            boolean belongs = pool.members.contains(endpoint.name);
+            boolean belongs = pool.endpointIds.contains(endpoint.name);
             if (belongs && !endpoint.pools.contains(pool)) {
-                pool.addMember(endpoint);
+                pool.addEndpoint(endpoint);
             } else if (!belongs && endpoint.pools.contains(pool)) {
-                pool.removeMember(endpoint);
+                pool.removeEndpoint(endpoint);
             }
         }
     }
--- a/node/src/main/java/tulipshed/decision/EndpointState.java
+++ b/node/src/main/java/tulipshed/decision/EndpointState.java
@@ -8,7 +8,7 @@
  * One endpoint as one balancer sees it, with the pools it belongs to. Its mutators keep the sums and sets of all these
  * pools consistent; what to change is decided elsewhere. Confined to the event-loop thread.
  */
-final class EndpointState extends IndexedSet.Member {
+final class EndpointState extends IndexedSet.Item {
     private static final long NEVER_US = Long.MIN_VALUE / 2;
 
     final String name;
@@ -23,7 +23,7 @@
     double size;
     /** The latest entry of the endpoint list; null until it names this endpoint. */
     EndpointInfo info;
-    /** Whether the endpoint list names it no more; it is kept while connections are open. */
+    /** Whether it was removed from the endpoint list; it is retained while connections are open. */
     boolean removed;
 
     /** Attempts allowed to be pending at a time, at least 1. */
@@ -82,8 +82,8 @@
     }
 
     /** Time since the process started, in microseconds; {@code Long.MAX_VALUE} if it has run for long. */
-    long ageUs(long now) {
-        return info.startedUs() == 0 ? Long.MAX_VALUE : now - info.startedUs();
+    long ageUs(long nowUs) {
+        return info.startedUs() == 0 ? Long.MAX_VALUE : nowUs - info.startedUs();
     }
 
     /** Forgets what was observed of the process, and sets the pending limit. */
@@ -107,14 +107,14 @@
     }
 
     /** Takes a reported load, unless it is NaN. */
-    void setReportedLoad(long now, double load) {
+    void setReportedLoad(long nowUs, double load) {
         if (!Double.isNaN(load)) {
             reportedLoad = load;
-            loadReportedAtUs = now;
+            loadReportedAtUs = nowUs;
         }
     }
 
-    /** Takes another size and machine type and keeps the sizes of the ready endpoints right. */
+    /** Takes another size and machine type and updates the summed sizes of the ready endpoints. */
     void setCapacity(MachineType newMachineType, double newSize) {
         addReadySize(-1);
         machineType = newMachineType;
@@ -171,15 +171,15 @@
     }
 
     /** Records that slow start applies, without credit yet. */
-    void markWarming(long now) {
+    void markWarming(long nowUs) {
         slowStartCredit = 0;
-        slowStartCreditAtUs = now;
+        slowStartCreditAtUs = nowUs;
         for (EndpointPool pool : pools) {
             pool.warming.add(this);
         }
     }
 
-    /** Records that slow start applies no more. */
+    /** Records that slow start no longer applies. */
     void clearWarming() {
         for (EndpointPool pool : pools) {
             pool.warming.remove(this);
--- a/node/src/main/java/tulipshed/decision/EndpointTable.java
+++ b/node/src/main/java/tulipshed/decision/EndpointTable.java
@@ -24,7 +24,7 @@
     private double highestSpeed;
     private int listedCount;
 
-    /** Creates an empty table; {@code updater} decides what a list entry says of an endpoint. */
+    /** Creates an empty table; {@code updater} applies list entries to endpoints. */
     EndpointTable(EndpointPools pools, EndpointUpdater updater, int initialPendingLimit) {
         this.pools = pools;
         this.updater = updater;
@@ -76,26 +76,26 @@
     }
 
     /** Takes a complete list, or changes to it. */
-    void update(long now, EndpointListKind kind, List<EndpointInfo> entries) {
+    void update(long nowUs, EndpointListKind kind, List<EndpointInfo> entries) {
         if (kind != EndpointListKind.CHANGES) {
             removeAbsent(entries);
         }
         for (EndpointInfo entry : entries) {
             if (entry.status() != EndpointStatus.REMOVED) {
-                update(now, entry);
+                update(nowUs, entry);
             } else if (endpoints.containsKey(entry.id())) {
                 remove(endpoints.get(entry.id()));
             }
         }
     }
 
-    private void update(long now, EndpointInfo entry) {
+    private void update(long nowUs, EndpointInfo entry) {
         MachineType machineType = machineTypes.computeIfAbsent(entry.machineType(), name -> new MachineType());
         machineType.largestWeight = Math.max(machineType.largestWeight, entry.weight());
         largestWeight = Math.max(largestWeight, entry.weight());
         EndpointState endpoint = getOrCreate(entry.id());
         listedCount += endpoint.isListed() ? 0 : 1;
-        updater.update(now, endpoint, machineType, entry);
+        updater.update(nowUs, endpoint, machineType, entry);
     }
 
     private void removeAbsent(List<EndpointInfo> entries) {
--- a/node/src/main/java/tulipshed/decision/EndpointUpdater.java
+++ b/node/src/main/java/tulipshed/decision/EndpointUpdater.java
@@ -4,12 +4,12 @@
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.WeightSemantics;
 
-/** What an entry of the endpoint list says of an endpoint's readiness, capacity and process. */
+/** Updates an endpoint's readiness, capacity and process from its entry of the endpoint list. */
 record EndpointUpdater(ActiveSettings settings, SlowStart slowStart) {
     static final double MIN_SIZE = 1e-6;
 
-    /** Takes an entry; what was observed of a previous process says nothing of a new one. */
-    void update(long now, EndpointState endpoint, MachineType machineType, EndpointInfo info) {
+    /** Takes an entry; observations of a previous process do not apply to a new one. */
+    void update(long nowUs, EndpointState endpoint, MachineType machineType, EndpointInfo info) {
         boolean newProcess = endpoint.info == null || endpoint.info.startedUs() != info.startedUs();
         endpoint.info = info;
         endpoint.removed = false;
@@ -23,10 +23,10 @@
         }
         endpoint.markReady();
         endpoint.setSameZone(info.zone().equals(settings.current().zone()));
-        slowStart.beginIfRecentlyStarted(now, endpoint);
+        slowStart.beginIfRecentlyStarted(nowUs, endpoint);
     }
 
-    /** A live weight falls with the load, so there the largest weight seen of the machine type tells the size. */
+    /** A live weight falls with the load, so the largest weight seen of the machine type is taken as the size. */
     private double size(MachineType machineType, EndpointInfo info) {
         boolean live = settings.current().weightSemantics() == WeightSemantics.LIVE;
         return Math.max(MIN_SIZE, live ? machineType.largestWeight : info.weight());
--- a/node/src/main/java/tulipshed/decision/GroupAffinity.java
+++ b/node/src/main/java/tulipshed/decision/GroupAffinity.java
@@ -3,46 +3,46 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Keeps the connections of a group on few endpoints; {@code averageLoads} has reported loads by request class. */
+/** Places the connections of a group on few endpoints; {@code averageLoads} has reported loads by request class. */
 record GroupAffinity(
         ActiveSettings settings,
         OutlierEjection outlierEjection,
         EndpointEvaluator evaluator,
         MovingAverages averageLoads,
         SplittableRandom random) {
-    /** Time constant of the counts of group arrivals: the life of a connection or two. */
+    /** Time constant of the counts of group arrivals: about the duration of two connections. */
     static final double MEMORY_US = 60e6;
 
     private static final double PREFERRED_SHARE = 1; // preferred endpoints in proportion to the share of arrivals
-    private static final int MIN_PREFERRED = 2; // or there would be no less loaded one
+    private static final int MIN_PREFERRED = 2; // a choice by load needs two
     private static final double MAX_EVEN_LOADS = 2; // load up to which an endpoint attracts its groups
     private static final int MAX_GROUPS = 4096; // remembered before unused ones are forgotten
     private static final double MIN_ARRIVALS = 0.1; // of a group that is remembered
     private static final double LOG_BOUND = 1 - 1e-9; // -log(u) is at least 1 - u, but for its rounding
 
     /** The group of a request in its pool, or null if it has none. */
-    ConnectionGroup groupOf(long now, RequestState request) {
+    ConnectionGroup groupOf(long nowUs, RequestState request) {
         String name = request.arrival.group();
         if (!settings.current().groupAffinity() || name == null) {
             return null;
         }
         Map<String, ConnectionGroup> groups = request.pool.groups;
         if (groups.size() > MAX_GROUPS) {
-            groups.values().removeIf(group -> group.holders.isEmpty() && group.arrivals.at(now) < MIN_ARRIVALS);
+            groups.values().removeIf(group -> group.holders.isEmpty() && group.arrivals.at(nowUs) < MIN_ARRIVALS);
         }
         return groups.computeIfAbsent(name, n -> new ConnectionGroup(n, MIN_PREFERRED, MEMORY_US));
     }
 
     /** An endpoint that holds connections of the group and has capacity for more, or null. */
-    EndpointState chooseHolder(long now, RequestState request, ConnectionGroup group) {
+    EndpointState chooseHolder(long nowUs, RequestState request, ConnectionGroup group) {
         if (group == null || group.holders.isEmpty()) {
             return null;
         }
         EndpointState first = randomHolder(group);
         EndpointState second = averageLoads.isEmpty() ? first : randomHolder(group);
-        boolean comparesSecond = second != first && hasGroupCapacity(now, request, second);
+        boolean comparesSecond = second != first && hasGroupCapacity(nowUs, request, second);
         EndpointState chosen = comparesSecond ? EndpointEvaluator.lighter(request, first, second) : first;
-        return hasGroupCapacity(now, request, chosen) ? chosen : null;
+        return hasGroupCapacity(nowUs, request, chosen) ? chosen : null;
     }
 
     private EndpointState randomHolder(ConnectionGroup group) {
@@ -50,9 +50,9 @@
     }
 
     /** Where latencies are reported and loads are not, an endpoint attracts its groups until it is ejected. */
-    private boolean hasGroupCapacity(long now, RequestState request, EndpointState endpoint) {
-        return evaluator.isUsable(now, request, endpoint)
-                && now >= endpoint.ejectedUntilUs
+    private boolean hasGroupCapacity(long nowUs, RequestState request, EndpointState endpoint) {
+        return evaluator.isUsable(nowUs, request, endpoint)
+                && nowUs >= endpoint.ejectedUntilUs
                 && endpoint.pending < endpoint.pendingLimit
                 && ((outlierEjection.hasLatencyReports() && averageLoads.isEmpty())
                         || endpoint.openLoad + request.load <= MAX_EVEN_LOADS * evenLoad(request, endpoint));
@@ -65,8 +65,8 @@
     }
 
     /** Number of preferred endpoints by Laplace's estimate of the group's share, which is not 0 for an unseen group. */
-    int preferredCount(long now, EndpointPool pool, ConnectionGroup group) {
-        double share = (group.arrivals.at(now) + 1) / (pool.groupArrivals.at(now) + pool.groups.size());
+    int preferredCount(long nowUs, EndpointPool pool, ConnectionGroup group) {
+        double share = (group.arrivals.at(nowUs) + 1) / (pool.groupArrivals.at(nowUs) + pool.groups.size());
         int count = (int) Math.round(PREFERRED_SHARE * share * pool.ready.size());
         return Math.max(MIN_PREFERRED, Math.min(pool.ready.size(), count));
     }
--- a/node/src/main/java/tulipshed/decision/HealthCheckComparison.java
+++ b/node/src/main/java/tulipshed/decision/HealthCheckComparison.java
@@ -7,20 +7,20 @@
 /** Compares two candidates by fresh load reports where health checks are cheap. */
 record HealthCheckComparison(
         ActiveSettings settings, EndpointEvaluator evaluator, RequestTable requests, BalancerActions actions) {
-    /** Longest wait for the reports of two candidates. */
+    /** Longest wait for the load reports of two candidates, in microseconds. */
     static final long WAIT_US = 150_000;
 
     private static final long REPORT_VALID_US = 1_000_000;
     private static final double MAX_PRICE = 0.01; // of a health check, for each request
     private static final int MIN_WAITS_LEFT = 4; // until the deadline
 
-    /** Starts the comparison of two candidates, if it pays; returns whether it did. */
-    boolean start(long now, RequestState request, EndpointState first, EndpointState second) {
-        boolean inTime = request.deadlineUs - now > MIN_WAITS_LEFT * WAIT_US;
+    /** Starts the comparison of two candidates, if it is worth its price; returns whether it was started. */
+    boolean start(long nowUs, RequestState request, EndpointState first, EndpointState second) {
+        boolean inTime = request.deadlineUs - nowUs > MIN_WAITS_LEFT * WAIT_US;
         if (request.healthChecked || !inTime || !isEnabled()) {
             return false;
         }
-        request.awaitHealthChecks(first, second, check(now, first) + check(now, second));
+        request.awaitHealthChecks(first, second, check(nowUs, first) + check(nowUs, second));
         requests.addAwaiting(request);
         return true;
     }
@@ -32,8 +32,8 @@
                 && current.prices().healthCheck() < MAX_PRICE;
     }
 
-    private int check(long now, EndpointState endpoint) {
-        if (now - endpoint.loadReportedAtUs < REPORT_VALID_US) {
+    private int check(long nowUs, EndpointState endpoint) {
+        if (nowUs - endpoint.loadReportedAtUs < REPORT_VALID_US) {
             return 0;
         }
         actions.startHealthCheck(endpoint.name);
@@ -41,18 +41,18 @@
     }
 
     /** The less loaded candidate by the reports that arrived, or null if neither is usable any more. */
-    EndpointState finish(long now, RequestState request) {
+    EndpointState finish(long nowUs, RequestState request) {
         EndpointState first = request.firstCandidate;
         EndpointState second = request.secondCandidate;
         request.clearCandidates();
         requests.removeAwaiting(request);
-        if (!evaluator.isUsable(now, request, first)) {
-            return evaluator.isUsable(now, request, second) ? second : null;
-        } else if (!evaluator.isUsable(now, request, second)) {
+        if (!evaluator.isUsable(nowUs, request, first)) {
+            return evaluator.isUsable(nowUs, request, second) ? second : null;
+        } else if (!evaluator.isUsable(nowUs, request, second)) {
             return first;
         }
         long olderReportUs = Math.min(first.loadReportedAtUs, second.loadReportedAtUs);
-        if (now - olderReportUs >= REPORT_VALID_US + WAIT_US) {
+        if (nowUs - olderReportUs >= REPORT_VALID_US + WAIT_US) {
             return EndpointEvaluator.lighter(request, first, second);
         }
         return second.reportedLoad < first.reportedLoad ? second : first;
--- a/node/src/main/java/tulipshed/decision/IndexedSet.java
+++ b/node/src/main/java/tulipshed/decision/IndexedSet.java
@@ -8,18 +8,18 @@
  * A set of items in no particular order, in which adding, removing and indexed access take constant time. Confined to
  * the event-loop thread.
  */
-final class IndexedSet<T extends IndexedSet.Member> {
+final class IndexedSet<T extends IndexedSet.Item> {
     private static final int ABSENT = -1;
 
     private final int id;
     private final List<T> items = new ArrayList<>();
 
     /** Base class of the items: it keeps their index in each set. */
-    abstract static class Member {
+    abstract static class Item {
         private int[] indexBySet = new int[0];
     }
 
-    /** Creates an empty set with a unique number, best a small one: items keep an index for each up to their highest. */
+    /** Creates an empty set with a unique number; items store an index for each number up to their highest. */
     IndexedSet(int id) {
         this.id = id;
     }
@@ -32,13 +32,13 @@
     /** Adds an item at the end, unless the set has it. */
     void add(T item) {
         if (!has(item)) {
-            Member member = item;
-            int oldLength = member.indexBySet.length;
+            Item indexed = item;
+            int oldLength = indexed.indexBySet.length;
             if (id >= oldLength) {
-                member.indexBySet = Arrays.copyOf(member.indexBySet, id + 1);
-                Arrays.fill(member.indexBySet, oldLength, id + 1, ABSENT);
+                indexed.indexBySet = Arrays.copyOf(indexed.indexBySet, id + 1);
+                Arrays.fill(indexed.indexBySet, oldLength, id + 1, ABSENT);
             }
-            member.indexBySet[id] = items.size();
+            indexed.indexBySet[id] = items.size();
             items.add(item);
         }
     }
@@ -69,7 +69,7 @@
         return items.get(index);
     }
 
-    private static int[] indexBySet(Member item) {
+    private static int[] indexBySet(Item item) {
         return item.indexBySet;
     }
 }
--- a/node/src/main/java/tulipshed/decision/MachineType.java
+++ b/node/src/main/java/tulipshed/decision/MachineType.java
@@ -4,7 +4,7 @@
 import java.util.Collection;
 
 /**
- * One machine type and an estimate of its relative speed. Listed weights need not tell the speed, so it is estimated
+ * One machine type and an estimate of its relative speed. Listed weights need not reflect the speed, so it is estimated
  * from how adopted connections were spread over the types and from connection setup times. Confined to the event-loop
  * thread.
  */
--- a/node/src/main/java/tulipshed/decision/Migration.java
+++ b/node/src/main/java/tulipshed/decision/Migration.java
@@ -7,11 +7,11 @@
     private static final double MIGRATED_SHARE_PER_S = 0.3; // of a late endpoint's connections, over all balancers
 
     /** Takes a latency; migrates from the second late report in a row, as one may be a pause, and at random. */
-    boolean recordLatency(long now, EndpointState endpoint, double latencyMs) {
-        boolean wasLate = outlierEjection.isLate(now, endpoint);
-        outlierEjection.recordLatency(now, endpoint, latencyMs);
+    boolean recordLatency(long nowUs, EndpointState endpoint, double latencyMs) {
+        boolean wasLate = outlierEjection.isLate(nowUs, endpoint);
+        outlierEjection.recordLatency(nowUs, endpoint, latencyMs);
         return wasLate
-                && outlierEjection.isLate(now, endpoint)
+                && outlierEjection.isLate(nowUs, endpoint)
                 && random.nextDouble() < MIGRATED_SHARE_PER_S * endpoint.open;
     }
 }
--- a/node/src/main/java/tulipshed/decision/PendingLimit.java
+++ b/node/src/main/java/tulipshed/decision/PendingLimit.java
@@ -4,16 +4,16 @@
 
 /** How many attempts may be pending at an endpoint: additive increase, multiplicative decrease (AIMD). */
 final class PendingLimit {
-    /** Limit of an endpoint that nothing is known of; it doubles soon. */
+    /** Limit of an endpoint without observations. */
     static final int INITIAL = 4;
 
-    private static final int MAX = 64; // more acceptances in a row tell nothing more
+    private static final int MAX_PENDING = 64; // more acceptances in a row add no information
 
     private PendingLimit() {}
 
     /** Raises the limit by one, as the endpoint accepted an attempt. */
     static void increase(EndpointState endpoint) {
-        endpoint.setPendingLimit(Math.min(MAX, endpoint.pendingLimit + 1));
+        endpoint.setPendingLimit(Math.min(MAX_PENDING, endpoint.pendingLimit + 1));
     }
 
     /** Takes the outcome of an attempt and whether it was established before. */
--- a/node/src/main/java/tulipshed/decision/RejectionLog.java
+++ b/node/src/main/java/tulipshed/decision/RejectionLog.java
@@ -14,9 +14,9 @@
     }
 
     /** Logs the state of the pool whose request is rejected, unless the last line is recent. */
-    void rejected(long now, EndpointPool pool) {
-        if (now >= nextUs) {
-            nextUs = now + INTERVAL_US;
+    void rejected(long nowUs, EndpointPool pool) {
+        if (nowUs >= nextUs) {
+            nextUs = nowUs + INTERVAL_US;
             actions.log("rejecting requests: " + pool.ejected.size() + " of " + pool.known.size()
                     + " known endpoints ejected, " + pool.failing + " failing");
         }
--- a/node/src/main/java/tulipshed/decision/RequestState.java
+++ b/node/src/main/java/tulipshed/decision/RequestState.java
@@ -5,7 +5,7 @@
 import tulipshed.decision.api.Outcome;
 import tulipshed.decision.api.RequestClass;
 
-/** One request from its arrival until its final answer is given and its attempt has ended. Confined to the event loop. */
+/** One request from its arrival until its final response is given and its attempt has ended. Confined to the event loop. */
 final class RequestState {
     final NewRequest arrival;
     /** The class at arrival; a reconfiguration does not change it. */
@@ -29,18 +29,18 @@
     /** The group in which the established connection is counted; null if none. */
     ConnectionGroup group;
     /** When the current attempt started. */
-    long sentAtUs;
+    long attemptStartedUs;
     /** Whether the current attempt is established. */
     boolean established;
-    /** Whether the final answer was given or the client has left. */
+    /** Whether the final response was given or the client has left. */
     boolean concluded;
 
-    /** Whether an attempt may have taken effect. */
-    boolean mayHaveRun;
-    /** The endpoint of the first attempt that may have taken effect; null if none. */
-    EndpointInfo ranOn;
+    /** Whether an attempt may have executed. */
+    boolean mayHaveExecuted;
+    /** The endpoint of the first attempt that may have executed; null if none. */
+    EndpointInfo executedOn;
 
-    long ranAtUs;
+    long executedAtUs;
 
     /** The two endpoints that are compared by health checks; null while none are. */
     EndpointState firstCandidate;
@@ -55,29 +55,29 @@
             NewRequest arrival,
             RequestClass requestClass,
             EndpointPool pool,
-            long now,
+            long nowUs,
             long hashSeed,
             double averageLoad) {
         this.arrival = arrival;
         this.randomHash = Hashing.mix(arrival.id() ^ hashSeed);
         this.pool = pool;
         this.requestClass = requestClass;
-        this.deadlineUs = now + arrival.timeoutUs();
+        this.deadlineUs = nowUs + arrival.timeoutUs();
         this.load = arrival.loadHintUsPerS() > 0 ? arrival.loadHintUsPerS() : averageLoad;
     }
 
-    /** Whether an attempt was started that is neither established nor ended, and no final answer is given. */
+    /** Whether an attempt was started that is neither established nor ended, and no final response is given. */
     boolean isAttemptPending() {
         return endpoint != null && !established && !concluded;
     }
 
     /** Starts the next attempt at this endpoint. */
-    void startAttempt(long now, EndpointState chosen) {
+    void startAttempt(long nowUs, EndpointState chosen) {
         attempts++;
         endpoint = chosen;
         healthChecked = false;
         established = false;
-        sentAtUs = now;
+        attemptStartedUs = nowUs;
         chosen.slowStartCredit -= 1;
         chosen.adjustLoad(1, 1, load);
     }
@@ -99,12 +99,12 @@
     }
 
     /** Counts the established connection for a group, unless that is null. */
-    void joinGroup(long now, ConnectionGroup joined) {
+    void joinGroup(long nowUs, ConnectionGroup joined) {
         if (joined != null) {
             joined.holders.add(endpoint);
             group = joined;
-            joined.arrivals.add(now);
-            pool.groupArrivals.add(now);
+            joined.arrivals.add(nowUs);
+            pool.groupArrivals.add(nowUs);
         }
     }
 
@@ -124,10 +124,10 @@
             group.holders.remove(released);
             group = null;
         }
-        if (!outcome.neverRan && !mayHaveRun) {
-            mayHaveRun = true;
-            ranOn = released.info;
-            ranAtUs = sentAtUs;
+        if (!outcome.neverExecuted && !mayHaveExecuted) {
+            mayHaveExecuted = true;
+            executedOn = released.info;
+            executedAtUs = attemptStartedUs;
         }
         return released;
     }
--- a/node/src/main/java/tulipshed/decision/RequestTable.java
+++ b/node/src/main/java/tulipshed/decision/RequestTable.java
@@ -7,7 +7,7 @@
 import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.RequestClass;
 
-/** The requests that await a final answer or the end of an attempt, by ID. Confined to the event-loop thread. */
+/** The requests that await a final response or the end of an attempt, by ID. Confined to the event-loop thread. */
 final class RequestTable {
     private final long hashSeed;
     private final Map<Long, RequestState> requests = new HashMap<>();
@@ -24,8 +24,8 @@
      * @param pool the endpoints it may be sent to
      * @param averageLoad load of the connection where the arrival has no hint
      */
-    RequestState add(long now, NewRequest arrival, RequestClass requestClass, EndpointPool pool, double averageLoad) {
-        RequestState request = new RequestState(arrival, requestClass, pool, now, hashSeed, averageLoad);
+    RequestState add(long nowUs, NewRequest arrival, RequestClass requestClass, EndpointPool pool, double averageLoad) {
+        RequestState request = new RequestState(arrival, requestClass, pool, nowUs, hashSeed, averageLoad);
         requests.put(arrival.id(), request);
         return request;
     }
@@ -46,7 +46,7 @@
         requests.remove(id);
     }
 
-    /** Records that the final answer is given; removes the request unless the end of its attempt is awaited. */
+    /** Records that the final response is given; removes the request unless the end of its attempt is awaited. */
     void conclude(RequestState request) {
         request.concluded = true;
         awaitingHealthChecks.remove(request);
@@ -64,7 +64,7 @@
         awaitingHealthChecks.add(request);
     }
 
-    /** Removes a request that awaits health checks no more. */
+    /** Removes a request that no longer awaits health checks. */
     void removeAwaiting(RequestState request) {
         awaitingHealthChecks.remove(request);
     }
--- a/node/src/main/java/tulipshed/decision/RetryPolicy.java
+++ b/node/src/main/java/tulipshed/decision/RetryPolicy.java
@@ -5,52 +5,52 @@
 import tulipshed.decision.api.Outcome;
 import tulipshed.decision.api.SiteLimits;
 
-/** Whether, where and for how long a request is attempted again, so that its effect never happens twice. */
+/** Whether, where and for how long a request is attempted again, so that it never executes twice. */
 record RetryPolicy(ActiveSettings settings, SplittableRandom random) {
     static final long MIN_ATTEMPT_US = 60_000; // with less time left an attempt is not worth its cost
     private static final double MIN_JITTER = 0.75;
     private static final double JITTER_RANGE = 0.25;
 
     /** Whether attempts, time and idempotency permit another attempt now. */
-    boolean permitsAttempt(long now, RequestState request) {
+    boolean permitsAttempt(long nowUs, RequestState request) {
         return request.attempts < settings.current().limits().maxAttempts()
-                && request.deadlineUs - now > 0
-                && (!request.mayHaveRun || permitsRepeat(now, request));
+                && request.deadlineUs - nowUs > 0
+                && (!request.mayHaveExecuted || permitsRepeat(nowUs, request));
     }
 
-    private static boolean permitsRepeat(long now, RequestState request) {
+    private static boolean permitsRepeat(long nowUs, RequestState request) {
         return switch (request.requestClass.idempotency()) {
             case IDEMPOTENT -> true;
-            case WITH_KEY -> now < request.ranAtUs + request.requestClass.deduplicationWindowUs();
+            case WITH_KEY -> nowUs < request.executedAtUs + request.requestClass.deduplicationWindowUs();
             case NOT_IDEMPOTENT -> false;
         };
     }
 
     /** Whether another attempt is worth its cost after one with this outcome. */
-    boolean isRetryWorthwhile(long now, RequestState request, Outcome outcome) {
-        return outcome != Outcome.UNUSED && request.deadlineUs - now >= MIN_ATTEMPT_US;
+    boolean isRetryWorthwhile(long nowUs, RequestState request, Outcome outcome) {
+        return outcome != Outcome.UNUSED && request.deadlineUs - nowUs >= MIN_ATTEMPT_US;
     }
 
-    /** Whether the endpoint discards repeats of a request that may have run, as far as the request needs it. */
+    /** Whether the endpoint discards repeats of a request that may have executed, as far as the request needs it. */
     static boolean permitsEndpoint(RequestState request, EndpointState endpoint) {
-        if (!request.mayHaveRun || request.requestClass.idempotency() != Idempotency.WITH_KEY) {
+        if (!request.mayHaveExecuted || request.requestClass.idempotency() != Idempotency.WITH_KEY) {
             return true;
         }
         return switch (request.requestClass.deduplicationScope()) {
             case ALL -> true;
-            case ZONE -> endpoint.info.zone().equals(request.ranOn.zone());
-            case CELL -> endpoint.info.cell() == request.ranOn.cell();
+            case ZONE -> endpoint.info.zone().equals(request.executedOn.zone());
+            case CELL -> endpoint.info.cell() == request.executedOn.cell();
         };
     }
 
     /** Whether the client may repeat the request: a rejection promises that this is harmless. */
     static boolean permitsRejection(RequestState request) {
-        return !request.mayHaveRun || request.requestClass.isRepeatHarmless();
+        return !request.mayHaveExecuted || request.requestClass.isRepeatHarmless();
     }
 
     /** Time-out of the next attempt, which leaves time for another one; 0 for none. */
-    long attemptTimeoutUs(long now, RequestState request) {
-        long leftUs = request.deadlineUs - now;
+    long attemptTimeoutUs(long nowUs, RequestState request) {
+        long leftUs = request.deadlineUs - nowUs;
         boolean last = request.attempts + 1 >= settings.current().limits().maxAttempts();
         return last || leftUs < 2 * MIN_ATTEMPT_US ? 0 : Math.max(leftUs / 2, MIN_ATTEMPT_US);
     }
--- a/node/src/main/java/tulipshed/decision/TokenBucket.java
+++ b/node/src/main/java/tulipshed/decision/TokenBucket.java
@@ -1,22 +1,24 @@
 package tulipshed.decision;
 
-/** One tenant's allowance of new connections in one pool. Confined to the event-loop thread. */
+/** Token bucket for one tenant's new connections in one pool. Confined to the event-loop thread. */
 final class TokenBucket {
-    private static final double CAPACITY = 2; // tokens: a few clients that arrive together are no burst
+    private static final double CAPACITY_TOKENS = 2; // admits a few clients that arrive together
 
-    private double tokens = CAPACITY;
+    private double tokens = CAPACITY_TOKENS;
     private long refilledAtUs;
 
     /** Creates a full bucket. */
-    TokenBucket(long now) {
-        refilledAtUs = now;
+    TokenBucket(long nowUs) {
+        refilledAtUs = nowUs;
     }
 
     /** Refills the bucket at this rate, in tokens a second, and takes one token if there is one. */
-    boolean tryTake(long now, double ratePerS) {
+    boolean tryTake(long nowUs, double ratePerS) {
         boolean unlimited = ratePerS == Double.POSITIVE_INFINITY;
-        tokens = unlimited ? CAPACITY : Math.min(CAPACITY, tokens + ratePerS * (now - refilledAtUs) / 1e6);
-        refilledAtUs = now;
+        tokens = unlimited
+                ? CAPACITY_TOKENS
+                : Math.min(CAPACITY_TOKENS, tokens + ratePerS * (nowUs - refilledAtUs) / 1e6);
+        refilledAtUs = nowUs;
         boolean available = tokens >= 1;
         tokens -= available ? 1 : 0;
         return available;
--- a/node/src/main/java/tulipshed/decision/api/BalancerSettings.java
+++ b/node/src/main/java/tulipshed/decision/api/BalancerSettings.java
@@ -3,13 +3,21 @@
 import java.util.List;
 
 /**
- * BalancerSettings of one balancer.
+ * The settings of one balancer.
  *
- * @param nodeIndex number of this balancer in its tier, from 0 on
+ * @param nodeIndex index of this balancer in its tier, from 0 on
  * @param nodeCount number of balancers in the tier, at least 1
  * @param zone zone of this balancer
- * @param polledDiscovery whether the list must be polled or subscribed to, rather than being pushed
- * @param groupAffinity whether the connections of a group are kept together
+ * @param passThrough whether the node forwards packets and does not terminate connections
+ * @param polledDiscovery whether the endpoint list must be polled or subscribed to, rather than being pushed
+ * @param groupAffinity whether the connections of a group are placed on few endpoints
+ * @param weightSemantics meaning of the weights in the endpoint list
+ * @param loadReportSource where load reports come from
+ * @param limits what the site permits
+ * @param rules parameters of the protocol rules
+ * @param prices prices of costly operations
+ * @param classes the request classes, at least one; a request names its class by the index
+ * @param tenants the tenants, possibly none; a request names its tenant by the index
  */
 public record BalancerSettings(
         int nodeIndex,
--- a/node/src/main/java/tulipshed/decision/api/EndpointListKind.java
+++ b/node/src/main/java/tulipshed/decision/api/EndpointListKind.java
@@ -6,7 +6,7 @@
     CHANGES,
     /** Complete list: absent endpoints are removed. */
     COMPLETE,
-    /** Complete but possibly outdated list, kept from before a restart. */
+    /** Complete but possibly outdated list, cached before a restart. */
     CACHED,
     /** A poll failed or the subscription broke; the known list stays valid. */
     FAILED
--- a/node/src/main/java/tulipshed/decision/api/Idempotency.java
+++ b/node/src/main/java/tulipshed/decision/api/Idempotency.java
@@ -1,6 +1,6 @@
 package tulipshed.decision.api;
 
-/** Whether a request may be retried after it may have taken effect. */
+/** Whether a request may be retried after it may have executed. */
 public enum Idempotency {
     /** Always. */
     IDEMPOTENT,
--- a/node/src/main/java/tulipshed/decision/api/LoadReport.java
+++ b/node/src/main/java/tulipshed/decision/api/LoadReport.java
@@ -3,14 +3,14 @@
 /**
  * The load report of an endpoint; a value that was not reported is NaN.
  *
- * @param inflight requests in flight
- * @param queue requests queued
+ * @param inflight requests in flight, at least 0
+ * @param queue requests queued, at least 0
  * @param cpu CPU use, from 0 to 1
- * @param latencyMs latency in milliseconds
- * @param rps requests a second
- * @param errorRps failed requests a second
+ * @param latencyMs mean latency, in milliseconds
+ * @param rps requests completed a second
+ * @param errorRps requests failed a second
  * @param load load relative to capacity
- * @param backlogS time in seconds to work off the queue
+ * @param backlogS time to process the queue, in seconds
  */
 public record LoadReport(
         double inflight,
--- a/node/src/main/java/tulipshed/decision/api/NewRequest.java
+++ b/node/src/main/java/tulipshed/decision/api/NewRequest.java
@@ -3,14 +3,15 @@
 /**
  * A request for a connection.
  *
+ * @param id ID of the request, unique within the instance
  * @param requestClass index of the class in the settings
  * @param tenant index of the tenant in the settings, -1 for none
  * @param key idempotency key, or null
  * @param group name of the connection group, or null
- * @param timeoutUs time in microseconds after which the client gives up
+ * @param timeoutUs time from the event until the client gives up, in microseconds
  * @param loadHintUsPerS expected load in microseconds of work a second, 0 if unknown
  * @param retry whether the client repeats a rejected request
- * @param exemptFromAdmission whether it continues earlier work and needs no token
+ * @param exemptFromAdmission whether it continues earlier work and is admitted without a token
  * @param reconnecting whether the client had a connection that was closed or broke
  * @param pool name of the pool it is restricted to, or null for all endpoints
  */
--- a/node/src/main/java/tulipshed/decision/api/Outcome.java
+++ b/node/src/main/java/tulipshed/decision/api/Outcome.java
@@ -19,10 +19,10 @@
     /** Never sent, for a reason that says nothing of the endpoint. */
     UNUSED(true);
 
-    /** Whether this outcome proves that the attempt had no effect. */
-    public final boolean neverRan;
+    /** Whether this outcome proves that the request did not execute. */
+    public final boolean neverExecuted;
 
-    Outcome(boolean neverRan) {
-        this.neverRan = neverRan;
+    Outcome(boolean neverExecuted) {
+        this.neverExecuted = neverExecuted;
     }
 }
--- a/node/src/main/java/tulipshed/decision/api/ProtocolRules.java
+++ b/node/src/main/java/tulipshed/decision/api/ProtocolRules.java
@@ -1,14 +1,14 @@
 package tulipshed.decision.api;
 
 /**
- * Parameters of the protocol rules; times are in microseconds.
+ * Parameters of the protocol rules.
  *
- * @param drainGraceUs time that a draining endpoint leaves its connections
- * @param pollWithinUs time within which the list must be polled first
+ * @param drainGraceUs time that a draining endpoint leaves its connections, in microseconds
+ * @param pollWithinUs time from the start within which the endpoint list must be polled first, in microseconds
  * @param slowStartShare share of its capacity that an endpoint has at its start, from 0 to 1
- * @param slowStartUs time after which an endpoint has its full capacity
- * @param overloadFactor multiple of the mean load at which an endpoint is overloaded
- * @param overloadUs time for which it bears that
+ * @param slowStartUs time from its start after which an endpoint has its full capacity, in microseconds
+ * @param overloadFactor multiple of the mean load from which an endpoint is overloaded
+ * @param overloadUs time that an endpoint endures an overload before it drops connections, in microseconds
  */
 public record ProtocolRules(
         long drainGraceUs,
--- a/node/src/main/java/tulipshed/proxy/AttemptManager.java
+++ b/node/src/main/java/tulipshed/proxy/AttemptManager.java
@@ -76,7 +76,7 @@
                 && request.attemptCount() < settings.maxAttempts();
     }
 
-    /** Tells the decision module that an attempt which it decided on was not started. */
+    /** Notifies the decision module that an attempt which it decided on was not started. */
     private void reportUnused(Request request) {
         int number = request.attemptCount();
         events.add((balancer, nowMs, nowUs) -> balancer.attemptEnded(
@@ -140,7 +140,7 @@
         attempt.markEnded();
         Request request = attempt.request();
         request.closeAttempt();
-        if (!outcome.neverRan) {
+        if (!outcome.neverExecuted) {
             request.recordExecution(attempt.startedMs());
         }
         if (request.isEstablished()) {
--- a/node/src/main/java/tulipshed/proxy/RequestLifecycle.java
+++ b/node/src/main/java/tulipshed/proxy/RequestLifecycle.java
@@ -91,7 +91,7 @@
         cancel(request);
     }
 
-    /** Tells the decision module that nobody waits for a response any more, and ends the attempt if one is open. */
+    /** Notifies the decision module that nobody waits for a response any more, and ends the attempt if one is open. */
     private void cancel(Request request) {
         events.add((balancer, nowMs, nowUs) -> {
             events.defer(() -> forget(request));
--- a/node/src/test/java/tulipshed/decision/ManyEndpointsTest.java
+++ b/node/src/test/java/tulipshed/decision/ManyEndpointsTest.java
@@ -38,7 +38,7 @@
         for (int i = 0; i < EJECTED; i++) {
             balancer.parts.outlierEjection.recordOutcome(0, all.ready.get(i), Outcome.CONNECT_FAILED, 0);
         }
-        Field indexBySet = IndexedSet.Member.class.getDeclaredField("indexBySet");
+        Field indexBySet = IndexedSet.Item.class.getDeclaredField("indexBySet");
         indexBySet.setAccessible(true);
         for (int i = EJECTED; i < MANY; i++) {
             indexBySet.set(all.ready.get(i), null);
--- a/node/src/test/java/tulipshed/decision/RandomEventSequenceTest.java
+++ b/node/src/test/java/tulipshed/decision/RandomEventSequenceTest.java
@@ -172,7 +172,7 @@
             int attempt = outstanding.remove(id);
             boolean concluded = !open.contains(id) || outcome == Outcome.OK || established.get(id);
             open.removeAll(concluded ? Set.of(id) : Set.of());
-            if (!outcome.neverRan) {
+            if (!outcome.neverExecuted) {
                 mayHaveRun.put(id, true);
             }
             end(balancer, now, id, attempt, concluded, outcome);
