--- a/node/src/main/java/tulipshed/quic/ClientHelloAssembler.java
+++ b/node/src/main/java/tulipshed/quic/ClientHelloAssembler.java
@@ -3,60 +3,70 @@
 import java.util.List;
 import tulipshed.connectionid.ConnectionId;
 
-/** What a client has sent before its hello is whole. Without I/O. */
+/**
+ * Assembles the TLS ClientHello of a client from its Initial packets, of which it may need several (RFC 9000 section 7). Without
+ * I/O.
+ */
 final class ClientHelloAssembler {
-    private final ConnectionId keyedBy;
-    private final int most;
+    private final ConnectionId initialKeyId;
+    private final int maxBytes;
     private final CryptoStream stream;
     private ClientHello hello;
     private Version version;
     private boolean closes;
 
-    /** The first id that the client chose is what its keys follow from; its hello may have that many bytes. */
-    ClientHelloAssembler(ConnectionId keyedBy, int most) {
-        this.keyedBy = keyedBy;
-        this.most = most;
-        stream = new CryptoStream(most);
+    /**
+     * An assembler without data.
+     *
+     * @param initialKeyId the ID that the Initial keys follow from
+     * @param maxBytes the length of the longest ClientHello
+     */
+    ClientHelloAssembler(ConnectionId initialKeyId, int maxBytes) {
+        this.initialKeyId = initialKeyId;
+        this.maxBytes = maxBytes;
+        stream = new CryptoStream(maxBytes);
     }
 
     /**
-     * Takes the Initial packets of a datagram; others are passed over, and so is an Initial of other keys behind a sound
-     * one. Whether any was sound; a {@link MalformedPacketException} where the hello is none or what was said cannot be.
+     * Adds the Initial packets of a datagram. Packets of other types, and Initials protected with other keys, are ignored.
+     *
+     * @return whether at least one Initial was readable
+     * @throws MalformedPacketException if a readable Initial carries malformed frames or no ClientHello
      */
-    boolean take(List<Packet> packets) {
-        boolean sound = false;
-        for (Packet p : packets) {
-            if (p.type() == Packet.Type.INITIAL) {
-                Version of = Version.of(p.version());
+    boolean addInitials(List<Packet> packets) {
+        boolean isReadable = false;
+        for (Packet packet : packets) {
+            if (packet.type() == Packet.Type.INITIAL) {
+                Version packetVersion = Version.of(packet.version());
                 byte[] frames;
                 try {
-                    frames = InitialKeys.client(of, keyedBy).open(p);
+                    frames = InitialKeys.client(packetVersion, initialKeyId).open(packet);
                 } catch (MalformedPacketException e) {
                     continue;
                 }
-                version = of;
+                version = packetVersion;
                 InitialFrames read = InitialFrames.read(frames, stream);
-                sound = true;
+                isReadable = true;
                 closes |= read.closes();
             }
         }
-        if (sound && hello == null) {
-            hello = ClientHello.read(stream.whole(), most);
+        if (isReadable && hello == null) {
+            hello = ClientHello.read(stream.contiguous(), maxBytes);
         }
-        return sound;
+        return isReadable;
     }
 
-    /** The hello once it is whole, or null. */
+    /** The ClientHello; null while it is incomplete. */
     ClientHello hello() {
         return hello;
     }
 
-    /** The version that the client speaks; null before anything of it could be read. */
+    /** The version of the last readable Initial; null before the first. */
     Version version() {
         return version;
     }
 
-    /** Whether the client takes its wish back. */
+    /** Whether an Initial carried CONNECTION_CLOSE. */
     boolean closes() {
         return closes;
     }
--- a/node/src/main/java/tulipshed/quic/ConnectionOpener.java
+++ b/node/src/main/java/tulipshed/quic/ConnectionOpener.java
@@ -45,7 +45,7 @@
         ClientHelloAssembler clientHello = new ClientHelloAssembler(
                 initial.destination(), context.limits().quic().maxClientHelloBytes());
         try {
-            if (!clientHello.take(datagram.packets()) || clientHello.closes()) {
+            if (!clientHello.addInitials(datagram.packets()) || clientHello.closes()) {
                 context.metrics().count(QuicCounter.DROPPED_MALFORMED);
                 return;
             }
--- a/node/src/main/java/tulipshed/quic/ConnectionStateMachine.java
+++ b/node/src/main/java/tulipshed/quic/ConnectionStateMachine.java
@@ -132,7 +132,7 @@
 
     private ConnectionAction continueClientHello(byte[] datagram, List<Packet> packets) {
         try {
-            boolean isReadable = clientHello.take(packets);
+            boolean isReadable = clientHello.addInitials(packets);
             if (clientHello.closes()) {
                 return ConnectionAction.CLIENT_CLOSED;
             }
--- a/node/src/main/java/tulipshed/quic/CryptoStream.java
+++ b/node/src/main/java/tulipshed/quic/CryptoStream.java
@@ -5,42 +5,47 @@
 import java.util.BitSet;
 
 /**
- * What CRYPTO frames of Initial packets carry, put together in whatever order and however often it comes (RFC 9000
- * section 19.6). It holds no more than it is allowed, and bytes that come twice must come the same.
+ * Reassembles the data of CRYPTO frames (RFC 9000 section 19.6), which may arrive in any order and repeatedly. It is bounded,
+ * and repeated data must be the same.
  */
 final class CryptoStream {
-    private final int most;
+    private final int maxBytes;
     private byte[] bytes = new byte[0];
-    private final BitSet have = new BitSet();
-    private int prefix;
+    private final BitSet received = new BitSet();
+    private int contiguousBytes;
 
-    /** One that takes that many bytes at most. */
-    CryptoStream(int most) {
-        this.most = most;
+    /** An empty stream of at most {@code maxBytes}. */
+    CryptoStream(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** Takes the next {@code length} bytes of a buffer; a {@link MalformedPacketException} where they do not fit. */
+    /**
+     * Adds the next {@code length} bytes of a buffer.
+     *
+     * @throws MalformedPacketException if they exceed the bound, or differ from what was received before
+     */
     void add(long offset, ByteBuffer from, int length) {
-        if (offset > most - length) {
-            throw new MalformedPacketException("a hello of more than " + most + " bytes");
+        if (offset > maxBytes - length) {
+            throw new MalformedPacketException(PacketDefect.CRYPTO_BUFFER_EXCEEDED);
         }
-        int at = (int) offset;
-        if (at + length > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.min(most, Math.max(at + length, 2 * bytes.length)));
+        int start = (int) offset;
+        int end = start + length;
+        if (end > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.min(maxBytes, Math.max(end, 2 * bytes.length)));
         }
-        for (int i = at; i < at + length; i++) {
-            byte b = from.get();
-            if (have.get(i) && bytes[i] != b) {
-                throw new MalformedPacketException("a hello that says two things at one place");
+        for (int i = start; i < end; i++) {
+            byte next = from.get();
+            if (received.get(i) && bytes[i] != next) {
+                throw new MalformedPacketException(PacketDefect.CRYPTO_DATA_CHANGED);
             }
-            bytes[i] = b;
-            have.set(i);
+            bytes[i] = next;
+            received.set(i);
         }
-        prefix = have.nextClearBit(prefix);
+        contiguousBytes = received.nextClearBit(contiguousBytes);
     }
 
-    /** What has come without a gap from the beginning on. */
-    ByteBuffer whole() {
-        return ByteBuffer.wrap(bytes, 0, prefix).asReadOnlyBuffer();
+    /** The data from the beginning to the first gap. */
+    ByteBuffer contiguous() {
+        return ByteBuffer.wrap(bytes, 0, contiguousBytes).asReadOnlyBuffer();
     }
 }
--- a/node/src/main/java/tulipshed/quic/InitialFrames.java
+++ b/node/src/main/java/tulipshed/quic/InitialFrames.java
@@ -4,9 +4,15 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** What an Initial packet says: whether it carries on a handshake, or closes the connection and why. */
+/**
+ * The frames of an Initial packet (RFC 9000 section 17.2.2), as far as they matter here.
+ *
+ * @param handshake whether there is a CRYPTO frame
+ * @param closes whether there is a CONNECTION_CLOSE frame
+ * @param closeCode the error code of that frame; 0 where there is none
+ */
 record InitialFrames(boolean handshake, boolean closes, long closeCode) {
-    /** Error codes of the transport (RFC 9000 section 20.1). */
+    /** Transport error codes (RFC 9000 section 20.1). */
     static final int INTERNAL_ERROR = 0x01;
 
     static final int CONNECTION_REFUSED = 0x02;
@@ -19,18 +25,22 @@
     private static final int CLOSE = 0x1c;
     private static final int CLOSE_APPLICATION = 0x1d;
 
-    /** Reads frames; those that an Initial may not carry make it a {@link MalformedPacketException}. */
+    /**
+     * Reads frames.
+     *
+     * @throws MalformedPacketException if a frame is truncated, or an Initial must not carry it
+     */
     static InitialFrames read(byte[] frames) {
         return read(frames, null);
     }
 
-    /** The same, and what CRYPTO frames carry goes into a stream. */
+    /** The same, and adds the data of CRYPTO frames to a stream. */
     static InitialFrames read(byte[] frames, CryptoStream stream) {
         ByteBuffer in = ByteBuffer.wrap(frames);
         boolean handshake = false;
         try {
             while (in.hasRemaining()) {
-                int type = (int) Packet.number(in);
+                int type = (int) VariableLengthInteger.read(in);
                 switch (type) {
                     case PADDING, PING -> {}
                     case ACK, ACK_ECN -> ack(in, type == ACK_ECN);
@@ -39,45 +49,44 @@
                         handshake = true;
                     }
                     case CLOSE, CLOSE_APPLICATION -> {
-                        return new InitialFrames(handshake, true, Packet.number(in));
+                        return new InitialFrames(handshake, true, VariableLengthInteger.read(in));
                     }
-                    default ->
-                        throw new MalformedPacketException("a frame that does not belong into an Initial: " + type);
+                    default -> throw new MalformedPacketException(PacketDefect.FRAME_NOT_ALLOWED);
                 }
             }
         } catch (BufferUnderflowException e) {
-            throw new MalformedPacketException("a frame that is cut off");
+            throw new MalformedPacketException(PacketDefect.FRAME_TRUNCATED);
         }
         return new InitialFrames(handshake, false, 0);
     }
 
     private static void ack(ByteBuffer in, boolean ecn) {
-        Packet.number(in);
-        Packet.number(in);
-        long ranges = Packet.number(in);
-        Packet.number(in);
+        VariableLengthInteger.read(in);
+        VariableLengthInteger.read(in);
+        long ranges = VariableLengthInteger.read(in);
+        VariableLengthInteger.read(in);
         for (long i = 0; i < 2 * ranges + (ecn ? 3 : 0); i++) {
-            Packet.number(in);
+            VariableLengthInteger.read(in);
         }
     }
 
     private static void crypto(ByteBuffer in, CryptoStream stream) {
-        long offset = Packet.number(in);
+        long offset = VariableLengthInteger.read(in);
         if (stream == null) {
             skip(in);
             return;
         }
-        long length = Packet.number(in);
+        long length = VariableLengthInteger.read(in);
         if (length > in.remaining()) {
-            throw new MalformedPacketException("a frame past the end of its packet");
+            throw new MalformedPacketException(PacketDefect.FRAME_TRUNCATED);
         }
         stream.add(offset, in, (int) length);
     }
 
     private static void skip(ByteBuffer in) {
-        long length = Packet.number(in);
+        long length = VariableLengthInteger.read(in);
         if (length > in.remaining()) {
-            throw new MalformedPacketException("a frame past the end of its packet");
+            throw new MalformedPacketException(PacketDefect.FRAME_TRUNCATED);
         }
         in.position(in.position() + (int) length);
     }
@@ -87,7 +96,7 @@
         byte[] text = reason.getBytes(StandardCharsets.US_ASCII);
         ByteBuffer out = ByteBuffer.allocate(4 + 2 + text.length);
         out.put((byte) CLOSE).put((byte) code).put((byte) PADDING);
-        Packet.number(out, text.length);
+        VariableLengthInteger.writeTwoBytes(out, text.length);
         out.put(text);
         byte[] frame = new byte[out.position()];
         out.flip().get(frame);
--- a/node/src/main/java/tulipshed/quic/MalformedPacketException.java
+++ b/node/src/main/java/tulipshed/quic/MalformedPacketException.java
@@ -1,10 +1,19 @@
 package tulipshed.quic;
 
-/** A datagram that is not of QUIC, or not one for this node; it is dropped. */
+/** A datagram, packet, frame or TLS message cannot be read. Its sender is unauthenticated, so that nothing of it is shown. */
 final class MalformedPacketException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    MalformedPacketException(String message) {
-        super(message);
+    private final PacketDefect defect;
+
+    /** A packet with this defect. */
+    MalformedPacketException(PacketDefect defect) {
+        super(defect.description());
+        this.defect = defect;
+    }
+
+    /** Why the packet cannot be read. */
+    PacketDefect defect() {
+        return defect;
     }
 }
--- a/node/src/main/java/tulipshed/quic/Packet.java
+++ b/node/src/main/java/tulipshed/quic/Packet.java
@@ -9,8 +9,16 @@
 import tulipshed.connectionid.ConnectionId;
 
 /**
- * What can be read of a packet without keys (RFC 8999; RFC 9000 section 17 and RFC 9369 for the versions known here). A datagram may
- * hold several with long headers, one after the other.
+ * The header of a packet, as far as it is readable without keys (RFC 8999 section 5; RFC 9000 section 17 and RFC 9369 section 3
+ * for versions 1 and 2). Several packets with long headers may be coalesced into a datagram (RFC 9000 section 12.2).
+ *
+ * @param version 0 for a short header and for a Version Negotiation packet
+ * @param source the source connection ID; null for a short header, which has none
+ * @param datagram the whole datagram
+ * @param start the offset of the packet in the datagram
+ * @param packetNumberOffset the offset of the packet number in the datagram, or of what follows the readable header
+ * @param end the offset of the first byte after the packet in the datagram
+ * @param token the token of an Initial; empty for other types
  */
 record Packet(
         Type type,
@@ -18,15 +26,17 @@
         ConnectionId destination,
         ConnectionId source,
         byte[] datagram,
-        int from,
-        int packetNumberAt,
-        int to,
+        int start,
+        int packetNumberOffset,
+        int end,
         byte[] token) {
     private static final byte[] NO_TOKEN = {};
     private static final int LONG_FORM = 0x80;
     private static final int FIXED_BIT = 0x40;
+    private static final int TYPE_SHIFT = 4;
+    private static final int TYPE_MASK = 3;
 
-    /** The kinds of packet; {@code OTHER_VERSION} stands for any long header of a version not known here. */
+    /** The types of packets; {@code OTHER_VERSION} is any long header of a version other than 1 and 2. */
     enum Type {
         INITIAL,
         ZERO_RTT,
@@ -38,78 +48,103 @@
     }
 
     /**
-     * Reads all packets of a datagram; of one with a short header the destination id has the length given,
-     * as such a header does not tell it. A later packet that cannot be read ends the list.
+     * Reads all packets of a datagram. A packet that cannot be read ends the list.
+     *
+     * @param shortIdLength the length of the destination ID of a short header, which does not carry it
+     * @throws MalformedPacketException if the first packet cannot be read
      */
     static List<Packet> read(byte[] datagram, int shortIdLength) {
         return read(datagram, first -> shortIdLength);
     }
 
-    /** The same where the first byte of a short header's id tells how long it is. */
+    /** The same, where the first byte of a short header's ID determines the length of the ID. */
     static List<Packet> read(byte[] datagram, IntUnaryOperator shortIdLength) {
         List<Packet> packets = new ArrayList<>();
-        int from = 0;
-        while (from < datagram.length) {
+        int start = 0;
+        while (start < datagram.length) {
             try {
-                Packet p = one(datagram, from, shortIdLength);
-                packets.add(p);
-                from = p.to;
+                Packet packet = readOne(datagram, start, shortIdLength);
+                packets.add(packet);
+                start = packet.end;
             } catch (MalformedPacketException | BufferUnderflowException | IllegalArgumentException e) {
                 if (packets.isEmpty()) {
-                    throw new MalformedPacketException("not a packet of QUIC");
+                    throw new MalformedPacketException(PacketDefect.NOT_QUIC);
                 }
                 return packets;
             }
         }
         if (packets.isEmpty()) {
-            throw new MalformedPacketException("an empty datagram");
+            throw new MalformedPacketException(PacketDefect.EMPTY_DATAGRAM);
         }
         return packets;
     }
 
-    private static Packet one(byte[] datagram, int from, IntUnaryOperator shortIdLength) {
+    private static Packet readOne(byte[] datagram, int start, IntUnaryOperator shortIdLength) {
         ByteBuffer in = ByteBuffer.wrap(datagram);
-        in.position(from);
+        in.position(start);
         int first = in.get() & 0xFF;
         if ((first & LONG_FORM) == 0) {
-            ConnectionId id = id(in, shortIdLength.applyAsInt(in.hasRemaining() ? in.get(in.position()) & 0xFF : 0));
-            return new Packet(Type.SHORT, 0, id, null, datagram, from, in.position(), datagram.length, NO_TOKEN);
+            int firstIdByte = in.hasRemaining() ? in.get(in.position()) & 0xFF : 0;
+            ConnectionId destination = readId(in, shortIdLength.applyAsInt(firstIdByte));
+            return upToEnd(Type.SHORT, 0, destination, null, datagram, start, in.position());
         }
         long version = in.getInt() & 0xFFFFFFFFL;
-        ConnectionId destination = id(in, in.get() & 0xFF);
-        ConnectionId source = id(in, in.get() & 0xFF);
-        Version known = Version.of(version);
-        if (known == null) {
+        ConnectionId destination = readId(in, in.get() & 0xFF);
+        ConnectionId source = readId(in, in.get() & 0xFF);
+        Version supported = Version.of(version);
+        if (supported == null) {
             Type type = version == 0 ? Type.VERSION_NEGOTIATION : Type.OTHER_VERSION;
-            return new Packet(
-                    type, version, destination, source, datagram, from, in.position(), datagram.length, NO_TOKEN);
-        }
-        Type type = known.type(first >> 4 & 3);
-        if (type == Type.RETRY) {
-            return new Packet(
-                    type, version, destination, source, datagram, from, in.position(), datagram.length, NO_TOKEN);
+            return upToEnd(type, version, destination, source, datagram, start, in.position());
         }
+        Type type = supported.type(first >> TYPE_SHIFT & TYPE_MASK);
+        return type == Type.RETRY
+                ? upToEnd(type, version, destination, source, datagram, start, in.position())
+                : withLength(type, version, destination, source, datagram, start, in);
+    }
+
+    /** A packet that takes the rest of its datagram; its readable header ends at {@code headerEnd}. */
+    private static Packet upToEnd(
+            Type type,
+            long version,
+            ConnectionId destination,
+            ConnectionId source,
+            byte[] datagram,
+            int start,
+            int headerEnd) {
+        return new Packet(type, version, destination, source, datagram, start, headerEnd, datagram.length, NO_TOKEN);
+    }
+
+    /** A packet whose header carries its length; {@code in} is positioned after the connection IDs. */
+    private static Packet withLength(
+            Type type,
+            long version,
+            ConnectionId destination,
+            ConnectionId source,
+            byte[] datagram,
+            int start,
+            ByteBuffer in) {
         byte[] token = NO_TOKEN;
         if (type == Type.INITIAL) {
-            long length = number(in);
-            int at = in.position();
-            skip(in, length);
-            token = Arrays.copyOfRange(datagram, at, in.position());
+            long tokenLength = VariableLengthInteger.read(in);
+            int tokenOffset = in.position();
+            skip(in, tokenLength);
+            token = Arrays.copyOfRange(datagram, tokenOffset, in.position());
         }
-        long length = number(in);
-        int at = in.position();
+        long length = VariableLengthInteger.read(in);
+        int packetNumberOffset = in.position();
         skip(in, length);
-        return new Packet(type, version, destination, source, datagram, from, at, in.position(), token);
+        return new Packet(
+                type, version, destination, source, datagram, start, packetNumberOffset, in.position(), token);
     }
 
-    /** Whether the bit is set that both ends may agree to leave to chance (RFC 9287); a first packet has it. */
+    /** Whether the fixed bit is set, which first packets have; later both sides may agree to vary it (RFC 9287). */
     boolean fixedBit() {
-        return (datagram[from] & FIXED_BIT) != 0;
+        return (datagram[start] & FIXED_BIT) != 0;
     }
 
-    private static ConnectionId id(ByteBuffer in, int length) {
+    private static ConnectionId readId(ByteBuffer in, int length) {
         if (length > ConnectionId.LONGEST) {
-            throw new MalformedPacketException("a connection id of " + length + " bytes");
+            throw new MalformedPacketException(PacketDefect.CONNECTION_ID_TOO_LONG);
         }
         byte[] bytes = new byte[length];
         in.get(bytes);
@@ -118,23 +153,8 @@
 
     private static void skip(ByteBuffer in, long bytes) {
         if (bytes > in.remaining()) {
-            throw new MalformedPacketException("a length past the end of the datagram");
+            throw new MalformedPacketException(PacketDefect.LENGTH_EXCEEDS_DATAGRAM);
         }
         in.position(in.position() + (int) bytes);
     }
-
-    /** An integer of variable length (RFC 9000 section 16). */
-    static long number(ByteBuffer in) {
-        int first = in.get() & 0xFF;
-        long value = first & 0x3F;
-        for (int i = (1 << (first >> 6)) - 1; i > 0; i--) {
-            value = value << 8 | (in.get() & 0xFF);
-        }
-        return value;
-    }
-
-    /** Writes an integer below 2^14 in two bytes. */
-    static void number(ByteBuffer out, int value) {
-        out.putShort((short) (0x4000 | value));
-    }
 }
--- a/node/src/main/java/tulipshed/quic/RetryTokens.java
+++ b/node/src/main/java/tulipshed/quic/RetryTokens.java
@@ -16,49 +16,57 @@
 import tulipshed.time.WallTime;
 
 /**
- * Tokens that prove an address (RFC 9000 section 8.1.3): the number of a key, a nonce, and sealed under that key when the
- * token ends and which id the client chose first. The client's address and port and the id that Retry gave it are bound
- * in, so a token is worth nothing from elsewhere. Every node that has the key can read it, and so can servers, which need
- * the first id for their transport parameters (RFC 9000 section 7.3).
+ * The tokens of Retry packets, which validate a client's address (RFC 9000 sections 8.1.2 to 8.1.4). A token consists of the
+ * number of a key, a nonce and, encrypted under that key, the expiry time and the original destination ID. The client's address
+ * and port and the source ID of the Retry are authenticated with it, so that a token is invalid from another address. Every
+ * node that has the key can read it, and so can servers, which need the original destination ID for their transport parameters
+ * (RFC 9000 section 7.3).
  *
- * <p>A client accepts one Retry only, so a token that is refused without need costs it its connection; and the end that a
- * token tells is of the wall clock of the node that sealed it, which may step, or differ from that of the node that opens it.
- * So the age of a token of its own is told by the monotonic clock: its nonce, which only has to be unique, holds a tag of this
- * instance and the time of sealing. That of any other, also of one sealed before a reload, is told by its end and the wall
- * clock, and a token is accepted that is off by no more than a tolerance of hours. Until then somebody who was once heard at
- * an address can go on proving that address, with that one id, and no other: what a token is to prevent, that answers go to
- * an address which never asked, stays prevented. Confined to one thread.
+ * <p>A client accepts one Retry only, so a valid token that is rejected costs the client its connection. The expiry time is that
+ * of the wall clock of the node that created the token, which may step, or differ from the clock of the node that opens it.
+ * Therefore a node determines the age of its own tokens by its monotonic clock: their nonce, which only has to be unique,
+ * contains an identifier of this instance and the time of creation. The age of any other token, also of one created before a
+ * reload, follows from its expiry time and the wall clock, within a tolerance of hours. During that time a client that once
+ * received at an address can validate that address again, with the same ID; it can validate no other address. Confined to one
+ * thread.
  */
 final class RetryTokens {
-    private static final int NONCE = 12;
-    private static final int TAG = 16;
+    private static final int NONCE_BYTES = 12;
+    private static final int TAG_BYTES = 16;
+    private static final int ADDRESS_BYTES = 16;
+
+    /** Expiry time, and the length of the original destination ID. */
+    private static final int MIN_PLAIN_BYTES = Long.BYTES + 1;
+
     private static final int SEQUENCE_BITS = 20;
     private static final long SEQUENCE_MASK = (1L << SEQUENCE_BITS) - 1;
 
     private final Map<Integer, SecretKeySpec> keys = new TreeMap<>();
-    private final int use;
+    private final int currentKey;
     private final double lifeMs;
     private final double toleranceMs;
     private final WallClock wallClock;
-    /** By which this instance knows its own tokens. */
+    /** Marks the tokens of this instance. */
     private final int instance;
-    /** Hides the time of sealing, which would tell clients how long the node has run. */
+    /** Hides the time of creation, which would reveal how long the node has been running. */
     private final long mask;
 
     private long sequence;
 
-    /** What a token says: the id that the client chose first, which the server must repeat. */
-    record Proof(ConnectionId first) {}
+    /** The content of a valid token: the destination ID of the client's first Initial, which the server must repeat. */
+    record ValidToken(ConnectionId originalDestinationId) {}
 
     /**
-     * Keys of 16 bytes by their numbers from 0 to 255; those not in use still open what they sealed.
+     * Tokens under these keys.
      *
-     * @param lifeMs how long a token holds
+     * @param keys keys of 16 bytes by their numbers, from 0 to 255
+     * @param currentKey the number of the key for new tokens
+     * @param lifeMs how long a token is valid
      * @param toleranceMs how far the wall clocks of two nodes may differ
      */
-    RetryTokens(Map<Integer, byte[]> keys, int use, double lifeMs, double toleranceMs, WallClock wallClock) {
-        keys.forEach((n, k) -> this.keys.put(n, new SecretKeySpec(k, "AES")));
-        this.use = use;
+    RetryTokens(Map<Integer, byte[]> keys, int currentKey, double lifeMs, double toleranceMs, WallClock wallClock) {
+        keys.forEach((number, key) -> this.keys.put(number, new SecretKeySpec(key, "AES")));
+        this.currentKey = currentKey;
         this.lifeMs = lifeMs;
         this.toleranceMs = toleranceMs;
         this.wallClock = wallClock;
@@ -68,66 +76,67 @@
     }
 
     /**
-     * A token for that address.
+     * A token for an address.
      *
-     * @param given the id that the Retry tells the client to use
+     * @param retrySourceId the source ID of the Retry, which the client is to use
      * @param nowMs the present time of the monotonic clock
      */
-    byte[] seal(InetSocketAddress client, ConnectionId first, ConnectionId given, double nowMs) {
+    byte[] seal(
+            InetSocketAddress client, ConnectionId originalDestinationId, ConnectionId retrySourceId, double nowMs) {
         byte[] nonce = nonce(nowMs);
-        byte[] plain = ByteBuffer.allocate(9 + first.length())
+        byte[] plain = ByteBuffer.allocate(MIN_PLAIN_BYTES + originalDestinationId.length())
                 .putLong(wallClock.now().epochMs() + (long) lifeMs)
-                .put((byte) first.length())
-                .put(first.bytes())
+                .put((byte) originalDestinationId.length())
+                .put(originalDestinationId.bytes())
                 .array();
         try {
-            byte[] sealed =
-                    cipher(Cipher.ENCRYPT_MODE, use, nonce, client, given).doFinal(plain);
-            return ByteBuffer.allocate(1 + NONCE + sealed.length)
-                    .put((byte) use)
+            byte[] sealed = cipher(Cipher.ENCRYPT_MODE, currentKey, nonce, client, retrySourceId)
+                    .doFinal(plain);
+            return ByteBuffer.allocate(1 + NONCE_BYTES + sealed.length)
+                    .put((byte) currentKey)
                     .put(nonce)
                     .put(sealed)
                     .array();
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("this virtual machine lacks what QUIC needs", e);
+            throw new IllegalStateException("the virtual machine lacks an algorithm of QUIC", e);
         }
     }
 
-    /** Unique under any key: by the tag among instances, by time and sequence within this one. */
+    /** Unique under any key: by the identifier among instances, by time and sequence within this one. */
     private byte[] nonce(double nowMs) {
         sequence++;
         long moment = (long) Math.floor(nowMs) << SEQUENCE_BITS | (sequence & SEQUENCE_MASK);
-        return ByteBuffer.allocate(NONCE)
+        return ByteBuffer.allocate(NONCE_BYTES)
                 .putInt(instance)
                 .putLong(moment ^ mask)
                 .array();
     }
 
-    /** What a token proves of a client that uses it with that id; null where it is forged, expired or from elsewhere. */
-    Proof open(byte[] token, InetSocketAddress client, ConnectionId given, double nowMs) {
-        if (token.length < 1 + NONCE + 9 + TAG || !keys.containsKey(token[0] & 0xFF)) {
+    /** Opens a token of a client; null where it is forged, expired, or of another address or ID. */
+    ValidToken open(byte[] token, InetSocketAddress client, ConnectionId retrySourceId, double nowMs) {
+        if (token.length < 1 + NONCE_BYTES + MIN_PLAIN_BYTES + TAG_BYTES || !keys.containsKey(token[0] & 0xFF)) {
             return null;
         }
-        byte[] nonce = Arrays.copyOfRange(token, 1, 1 + NONCE);
+        byte[] nonce = Arrays.copyOfRange(token, 1, 1 + NONCE_BYTES);
         try {
-            Cipher c = cipher(Cipher.DECRYPT_MODE, token[0] & 0xFF, nonce, client, given);
-            ByteBuffer plain = ByteBuffer.wrap(c.doFinal(token, 1 + NONCE, token.length - 1 - NONCE));
+            Cipher cipher = cipher(Cipher.DECRYPT_MODE, token[0] & 0xFF, nonce, client, retrySourceId);
+            ByteBuffer plain = ByteBuffer.wrap(cipher.doFinal(token, 1 + NONCE_BYTES, token.length - 1 - NONCE_BYTES));
             long endEpochMs = plain.getLong();
-            byte[] first = new byte[plain.get() & 0xFF];
-            if (first.length != plain.remaining()
-                    || first.length > ConnectionId.LONGEST
-                    || !holds(ByteBuffer.wrap(nonce), endEpochMs, nowMs)) {
+            byte[] id = new byte[plain.get() & 0xFF];
+            if (id.length != plain.remaining()
+                    || id.length > ConnectionId.LONGEST
+                    || !isCurrent(ByteBuffer.wrap(nonce), endEpochMs, nowMs)) {
                 return null;
             }
-            plain.get(first);
-            return new Proof(new ConnectionId(first));
+            plain.get(id);
+            return new ValidToken(new ConnectionId(id));
         } catch (GeneralSecurityException e) {
             return null;
         }
     }
 
-    /** Whether its time is not over; the nonce is authentic, as the token opened with it. */
-    private boolean holds(ByteBuffer nonce, long endEpochMs, double nowMs) {
+    /** Whether the token has not expired; the nonce is authentic, as decryption succeeded with it. */
+    private boolean isCurrent(ByteBuffer nonce, long endEpochMs, double nowMs) {
         if (nonce.getInt() == instance) {
             long sealedMs = (nonce.getLong() ^ mask) >> SEQUENCE_BITS;
             return nowMs - sealedMs <= lifeMs;
@@ -136,18 +145,18 @@
         return ageMs >= -toleranceMs && ageMs <= lifeMs + toleranceMs;
     }
 
-    private Cipher cipher(int mode, int key, byte[] nonce, InetSocketAddress client, ConnectionId given)
+    private Cipher cipher(int mode, int key, byte[] nonce, InetSocketAddress client, ConnectionId retrySourceId)
             throws GeneralSecurityException {
-        Cipher c = Cipher.getInstance("AES/GCM/NoPadding");
-        c.init(mode, keys.get(key), new GCMParameterSpec(8 * TAG, nonce));
+        Cipher cipher = Cipher.getInstance("AES/GCM/NoPadding");
+        cipher.init(mode, keys.get(key), new GCMParameterSpec(8 * TAG_BYTES, nonce));
         byte[] address = client.getAddress().getAddress();
-        c.updateAAD(ByteBuffer.allocate(1 + 16 + 2 + given.length())
+        cipher.updateAAD(ByteBuffer.allocate(1 + ADDRESS_BYTES + Short.BYTES + retrySourceId.length())
                 .put((byte) key)
                 .putLong(Network.high(address))
                 .putLong(Network.low(address))
                 .putShort((short) client.getPort())
-                .put(given.bytes())
+                .put(retrySourceId.bytes())
                 .array());
-        return c;
+        return cipher;
     }
 }
--- a/node/src/main/java/tulipshed/quic/Version.java
+++ b/node/src/main/java/tulipshed/quic/Version.java
@@ -2,7 +2,7 @@
 
 import java.util.HexFormat;
 
-/** The versions whose long headers are read: 1 (RFC 9000, RFC 9001) and 2 (RFC 9369), which differ in words alone. */
+/** The supported versions: 1 (RFC 9000, RFC 9001) and 2 (RFC 9369), which differ in constants alone. */
 enum Version {
     V1(1, "38762cf7f55934b34d179ae6a4c80cadccbb7f0a", "quic ", new Packet.Type[] {
         Packet.Type.INITIAL, Packet.Type.ZERO_RTT, Packet.Type.HANDSHAKE, Packet.Type.RETRY
@@ -11,15 +11,15 @@
         Packet.Type.RETRY, Packet.Type.INITIAL, Packet.Type.ZERO_RTT, Packet.Type.HANDSHAKE
     });
 
-    /** A number of the form 0x?a?a?a?a, which no version ever has (RFC 9000 section 15). */
+    /** A reserved version, of the form 0x?a?a?a?a (RFC 9000 section 15). */
     static final long GREASE = 0x5a6a7a8aL;
 
-    /** As it stands in long headers. */
+    /** The version field of long headers. */
     final long number;
-    /** For the secret of Initial packets (RFC 9001 section 5.2, RFC 9369 section 3.3.1). */
+    /** The salt of the initial secret (RFC 9001 section 5.2, RFC 9369 section 3.3.1). */
     @SuppressWarnings("ImmutableEnumChecker") // private, and handed out as copies only
     private final byte[] salt;
-    /** What the labels of keys begin with (RFC 9369 section 3.3.2). */
+    /** The prefix of key derivation labels (RFC 9369 section 3.3.2). */
     final String label;
 
     @SuppressWarnings("ImmutableEnumChecker") // private, and never written
@@ -32,21 +32,22 @@
         this.types = types;
     }
 
+    /** A copy of the salt of the initial secret. */
     byte[] salt() {
         return salt.clone();
     }
 
-    /** The kind of packet that the two bits of a long header mean (RFC 9369 section 3.2). */
+    /** The packet type of the two type bits of a long header (RFC 9369 section 3.2). */
     Packet.Type type(int bits) {
         return types[bits];
     }
 
-    /** The two bits of that kind. */
+    /** The two type bits of a packet type. */
     int bits(Packet.Type type) {
         return java.util.Arrays.asList(types).indexOf(type);
     }
 
-    /** The version of that number, or null where it is none of these. */
+    /** The version with this number; null where it is not supported. */
     static Version of(long number) {
         return number == V1.number ? V1 : number == V2.number ? V2 : null;
     }
--- a/node/src/test/java/tulipshed/quic/AddressTest.java
+++ b/node/src/test/java/tulipshed/quic/AddressTest.java
@@ -57,7 +57,7 @@
     @Test
     void aTokenHoldsForItsAddressItsIdAndItsTime() {
         byte[] token = tokens.seal(CLIENT, FIRST, GIVEN, 1_000_000);
-        assertEquals(FIRST, tokens.open(token, CLIENT, GIVEN, 1_009_999).first());
+        assertEquals(FIRST, tokens.open(token, CLIENT, GIVEN, 1_009_999).originalDestinationId());
         assertNull(tokens.open(token, CLIENT, GIVEN, 1_010_001), "expired");
         assertNull(tokens.open(token, new InetSocketAddress("127.0.0.1", 4434), GIVEN, 1_000_001), "another port");
         assertNull(tokens.open(token, new InetSocketAddress("127.0.0.2", 4433), GIVEN, 1_000_001), "another address");
--- a/node/src/test/java/tulipshed/quic/ConnectionStateMachineTest.java
+++ b/node/src/test/java/tulipshed/quic/ConnectionStateMachineTest.java
@@ -33,7 +33,7 @@
 
     private ConnectionStateMachine opens(byte[] datagram) {
         ClientHelloAssembler opening = new ClientHelloAssembler(FIRST, limits.maxClientHelloBytes());
-        opening.take(Packet.read(datagram, 8));
+        opening.addInitials(Packet.read(datagram, 8));
         return ConnectionStateMachine.opens(limits, FIRST, CLIENT, datagram, opening, false, nowMs);
     }
 
--- a/node/src/test/java/tulipshed/quic/HelloTest.java
+++ b/node/src/test/java/tulipshed/quic/HelloTest.java
@@ -91,7 +91,7 @@
             both.writeBytes(frames.get(i));
             byte[] one = InitialKeys.client(v, ID)
                     .seal(ID, ID, i, Arrays.copyOf(both.toByteArray(), Math.max(60, both.size())));
-            assertTrue(opening.take(Packet.read(one, 8)));
+            assertTrue(opening.addInitials(Packet.read(one, 8)));
         }
         assertEquals(want, opening.hello());
         assertEquals(v, opening.version());
@@ -112,7 +112,7 @@
     void whatIsHeldOfAHelloIsBounded() {
         CryptoStream stream = new CryptoStream(100);
         stream.add(90, ByteBuffer.allocate(10), 10);
-        assertEquals(0, stream.whole().remaining(), "a gap at the front");
+        assertEquals(0, stream.contiguous().remaining(), "a gap at the front");
         assertThrows(MalformedPacketException.class, () -> stream.add(91, ByteBuffer.allocate(10), 10));
         assertThrows(MalformedPacketException.class, () -> stream.add(1L << 60, ByteBuffer.allocate(10), 10));
         assertThrows(
--- a/node/src/test/java/tulipshed/quic/QuicLabLoad.java
+++ b/node/src/test/java/tulipshed/quic/QuicLabLoad.java
@@ -61,7 +61,7 @@
             Packet p = Packet.read(datagram, 4).get(0);
             if (p.type() == Packet.Type.RETRY) {
                 first = p.source();
-                token = Arrays.copyOfRange(datagram, p.packetNumberAt(), datagram.length - 16);
+                token = Arrays.copyOfRange(datagram, p.packetNumberOffset(), datagram.length - 16);
                 sendInitial();
             } else if (p.type() == Packet.Type.INITIAL && server == null) {
                 if (InitialFrames.read(InitialKeys.server(Version.V1, first).open(p))
--- a/node/src/test/java/tulipshed/quic/QuicParserTest.java
+++ b/node/src/test/java/tulipshed/quic/QuicParserTest.java
@@ -85,7 +85,7 @@
         assertThrows(MalformedPacketException.class, () -> {
             Packet p = Packet.read(spoilt, 8).get(0);
             if (p.type() != Packet.Type.INITIAL) {
-                throw new MalformedPacketException("another kind now");
+                throw new MalformedPacketException(PacketDefect.NOT_QUIC);
             }
             InitialKeys.client(Version.V1, DESTINATION).open(p);
         });
@@ -95,8 +95,8 @@
     void garbageIsReadWithinItsBoundsOrCalledBad(@ForAll @Size(min = 1, max = 80) byte[] garbage) {
         try {
             for (Packet p : Packet.read(garbage, 8)) {
-                assertTrue(p.to() <= garbage.length && p.from() < p.to());
-                InitialFrames.read(Arrays.copyOfRange(garbage, p.from(), p.to()));
+                assertTrue(p.end() <= garbage.length && p.start() < p.end());
+                InitialFrames.read(Arrays.copyOfRange(garbage, p.start(), p.end()));
             }
         } catch (MalformedPacketException expected) {
             assertFalse(expected.getMessage().isEmpty());
--- a/node/src/test/java/tulipshed/quic/StandIns.java
+++ b/node/src/test/java/tulipshed/quic/StandIns.java
@@ -75,8 +75,8 @@
     /** A CRYPTO frame. */
     static byte[] crypto(int offset, byte[] bytes) {
         ByteBuffer out = ByteBuffer.allocate(5 + bytes.length).put((byte) 6);
-        Packet.number(out, offset);
-        Packet.number(out, bytes.length);
+        VariableLengthInteger.writeTwoBytes(out, offset);
+        VariableLengthInteger.writeTwoBytes(out, bytes.length);
         return out.put(bytes).array();
     }
 
@@ -231,7 +231,7 @@
 
         /** Answers on the path by which it was asked; only what is no probe moves the connection to another. */
         private byte[] later(Packet p, byte[] datagram, SocketAddress from) {
-            int number = ByteBuffer.wrap(datagram, p.packetNumberAt(), 4).getInt();
+            int number = ByteBuffer.wrap(datagram, p.packetNumberOffset(), 4).getInt();
             numbers.add(number);
             initialsBefore = initials.get();
             Conn conn = conn(p.destination());
@@ -336,11 +336,11 @@
             if (p.type() == Packet.Type.SHORT) {
                 return new Heard(
                         "number",
-                        ByteBuffer.wrap(datagram, p.packetNumberAt(), 4).getInt());
+                        ByteBuffer.wrap(datagram, p.packetNumberOffset(), 4).getInt());
             }
             if (p.type() == Packet.Type.RETRY) {
                 first = p.source();
-                token = Arrays.copyOfRange(datagram, p.packetNumberAt(), datagram.length - 16);
+                token = Arrays.copyOfRange(datagram, p.packetNumberOffset(), datagram.length - 16);
             }
             if (p.type() != Packet.Type.INITIAL) {
                 return new Heard(p.type().name(), 0);
