--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
@@ -5,21 +5,19 @@
 import java.util.List;
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
-import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.Outcome;
 import tulipshed.emulator.engine.Actor;
-import tulipshed.emulator.engine.Message;
 import tulipshed.emulator.invariants.SlowStartInvariant;
 import tulipshed.emulator.policy.EmulatedAttempt;
+import tulipshed.emulator.policy.GroundTruth;
 import tulipshed.emulator.policy.PolicyFactory;
-import tulipshed.emulator.policy.PolicyHost;
 import tulipshed.emulator.scenario.Scenario;
 
 /**
  * A pool member: set-ups wait for its cores in order of arrival; standing connections ask for work that goes on, and where
  * that is more than it can do, work piles up and messages take long (docs/emulator-design.md gives the model).
  */
-final class EmulatedEndpoint extends Actor implements PolicyHost.Truth {
+final class EmulatedEndpoint extends Actor<EndpointMessage> implements GroundTruth {
     private static final double TICK_MS = 150;
     private static final double NOTE_MS = 1000;
     private static final double SILENT_MS = 2000; // until a client gives up a member that says nothing
@@ -94,7 +92,7 @@
     /** The day begins with it running, warm where it has long run. */
     void begin(boolean running) {
         alive = running;
-        remind(TICK_MS * random.nextDouble(), Kinds.TICK, null, 0);
+        schedule(TICK_MS * random.nextDouble(), new EndpointMessage.Tick());
     }
 
     /** A connection that stands when the day begins. */
@@ -160,55 +158,58 @@
     }
 
     @Override
-    public double[] promised() {
+    public double[] committedLoad() {
         return promised;
     }
 
     @Override
-    public boolean holds(int group) {
+    public boolean holdsGroup(int group) {
         return standing.holds(group);
     }
 
     @Override
-    public PolicyHost.Truth at(double ms) {
+    public GroundTruth at(double ms) {
         return past == null ? this : past.at(ms, this);
     }
 
     @Override
-    protected void take(double nowMs, Message m) {
-        switch (m.kind) {
-            case Kinds.DIAL -> dial(nowMs, (EmulatedAttempt) m.what);
-            case Kinds.TAKEN -> taken(nowMs, (EmulatedAttempt) m.what, (int) m.value);
-            case Kinds.DROP -> drop(nowMs, (EmulatedAttempt) m.what);
-            case Kinds.LOAD -> standing.load((EmulatedAttempt) m.what, m.value);
-            case Kinds.TICK -> tick(nowMs);
-            case Kinds.DRAINED -> sendAway(nowMs);
-            case Kinds.DIES -> die(nowMs, m.value > 0);
-            case Kinds.RISES -> rise(nowMs);
-            case Kinds.SLOW -> slower = m.value;
-            case Kinds.PAUSE -> {
-                account(nowMs);
-                pausedUntilMs = Math.max(pausedUntilMs, nowMs + m.value);
-            }
-            case Kinds.CUT -> cut(nowMs);
-            case Kinds.FAULT -> faults.share((EndpointFaults.Fate) m.what, m.value);
-            case Kinds.NOTICED -> end(nowMs, (EmulatedAttempt) m.what, Outcome.RESET);
-            default -> throw new IllegalStateException("a member is sent " + m.kind);
-        }
+    protected void receive(double nowMs, EndpointMessage message) {
+        message.deliverTo(this, nowMs);
+    }
+
+    void onLoadChanged(EmulatedAttempt attempt, double cores) {
+        standing.load(attempt, cores);
+    }
+
+    void onSlowdown(double factor) {
+        slower = factor;
+    }
+
+    void onPause(double nowMs, double durationMs) {
+        account(nowMs);
+        pausedUntilMs = Math.max(pausedUntilMs, nowMs + durationMs);
+    }
+
+    void onFaultShare(EndpointFaults.Fate fate, double share) {
+        faults.share(fate, share);
+    }
+
+    void onSilenceNoticed(double nowMs, EmulatedAttempt attempt) {
+        end(nowMs, attempt, Outcome.RESET);
     }
 
     // ---- Connections ----
 
-    private void tell(double nowMs, EmulatedAttempt f, int kind, double value) {
-        NodeActor node = (NodeActor) f.from;
-        send(world.cuts.backMs(node.site, this, nowMs) + world.wayMs(site, node.site, random), node, kind, f, value);
+    private void tell(double nowMs, EmulatedAttempt f, NodeMessage message) {
+        NodeActor node = (NodeActor) f.source;
+        send(world.cuts.backMs(node.site, this, nowMs) + world.wayMs(site, node.site, random), node, message);
     }
 
     private void end(double nowMs, EmulatedAttempt f, Outcome outcome) {
-        tell(nowMs, f, Kinds.ENDED, outcome.ordinal());
+        tell(nowMs, f, new AttemptMessage.AttemptEnded(f, outcome));
     }
 
-    private void dial(double nowMs, EmulatedAttempt f) {
+    void onDial(double nowMs, EmulatedAttempt f) {
         if (!alive) {
             if (resets) {
                 end(nowMs, f, Outcome.CONNECT_FAILED);
@@ -241,10 +242,10 @@
         double start = Math.max(Math.max(nowMs + backlogMs, pausedUntilMs), freeAtMs[core]);
         freeAtMs[core] = start + work / each;
         tally().waitUs.recordValue(Math.round((start - nowMs) * 1000));
-        remind(freeAtMs[core], Kinds.TAKEN, f, generation);
+        schedule(freeAtMs[core], new EndpointMessage.SetupDone(f, generation));
     }
 
-    private void taken(double nowMs, EmulatedAttempt f, int of) {
+    void onSetupDone(double nowMs, EmulatedAttempt f, int of) {
         if (of != generation) {
             if (resets) {
                 end(nowMs, f, Outcome.RESET);
@@ -252,14 +253,14 @@
             return;
         }
         // Set up while nobody could hear of it, it stands once the way is back, if it is still wanted.
-        double until = Math.max(pausedUntilMs, world.cuts.backMs(((NodeActor) f.from).site, this, nowMs));
+        double until = Math.max(pausedUntilMs, world.cuts.backMs(((NodeActor) f.source).site, this, nowMs));
         if (nowMs < until) {
-            remind(until, Kinds.TAKEN, f, of);
+            schedule(until, new EndpointMessage.SetupDone(f, of));
             return;
         }
         pending--;
         promised[0] = Math.max(0, promised[0] - f.load);
-        if (f.dropped) {
+        if (f.cancelled) {
             return;
         }
         account(nowMs);
@@ -269,14 +270,14 @@
             case RESET -> end(nowMs, f, Outcome.RESET);
             default -> {
                 standing.add(f);
-                tell(nowMs, f, Kinds.UP, 0);
+                tell(nowMs, f, new AttemptMessage.AttemptUp(f));
             }
         }
     }
 
-    private void drop(double nowMs, EmulatedAttempt f) {
-        f.dropped = true;
-        if (f.place >= 0) {
+    void onHangup(double nowMs, EmulatedAttempt f) {
+        f.cancelled = true;
+        if (f.indexAtEndpoint >= 0) {
             account(nowMs);
             standing.remove(f);
         }
@@ -315,24 +316,19 @@
         // single
         // heavy one would push a member over that was sent two in as many seconds.
         double work = world.scenario.classes().get(from.requestClass).load();
-        cold.pushed(nowMs, work, able, from.believedStartMs >= startedMs - 1);
+        cold.pushed(nowMs, work, able, from.notifiedStartMs >= startedMs - 1);
         tally().strained(cold.strain(), cold.toldStrain());
         if (cold.falls()) {
             say(nowMs, "pushed over " + Math.round(nowMs - startedMs) + " ms after its start");
             tally().felt++;
             cold.fell(nowMs, tally().rules, nowMs - startedMs);
-            die(nowMs, true);
-            send(
-                    nowMs + world.wayToDiscovery(this),
-                    world.discovery,
-                    Kinds.FELL,
-                    new int[] {number, EndpointStatus.REMOVED.ordinal()},
-                    0);
+            onProcessEnds(nowMs, true);
+            send(nowMs + world.wayToDiscovery(this), world.discovery, new DiscoveryMessage.EndpointFailed(number));
         }
     }
 
-    private void tick(double nowMs) {
-        remind(nowMs + TICK_MS, Kinds.TICK, null, 0);
+    void onTick(double nowMs) {
+        schedule(nowMs + TICK_MS, new EndpointMessage.Tick());
         account(nowMs);
         double passed = nowMs - tickedMs;
         Counters t = tally();
@@ -375,15 +371,16 @@
             noted = delay > noteFromMs;
             noticed.clear();
             for (EmulatedAttempt f : standing.flows()) {
-                if (noticed.add(((NodeActor) f.from).number)) {
-                    tell(nowMs, f, Kinds.DELAY, delay);
+                if (noticed.add(((NodeActor) f.source).number)) {
+                    tell(nowMs, f, new AttemptMessage.MessageDelay(f, delay));
                 }
             }
         }
         if (backlogMs > model.resetBacklogMs()) {
             List<EmulatedAttempt> heaviest = new ArrayList<>(standing.flows());
-            heaviest.sort(
-                    (a, b) -> a.load != b.load ? Double.compare(b.load, a.load) : Integer.compare(a.place, b.place));
+            heaviest.sort((a, b) -> a.load != b.load
+                    ? Double.compare(b.load, a.load)
+                    : Integer.compare(a.indexAtEndpoint, b.indexAtEndpoint));
             int many = (int) Math.ceil(standing.size() * model.resetShare());
             heaviest.subList(0, Math.min(many, heaviest.size())).forEach(f -> reset(nowMs, f, Outcome.RESET));
             backlogMs *= 1 - model.resetShare();
@@ -400,11 +397,11 @@
     // ---- Processes and the network ----
 
     /** A part of the world is out of reach: what stood for it is served nothing, and its nodes notice by themselves. */
-    private void cut(double nowMs) {
+    void onPartitionBegan(double nowMs) {
         account(nowMs);
         for (int i = standing.size() - 1; i >= 0; i--) {
             EmulatedAttempt f = standing.get(i);
-            if (world.cuts.backMs(((NodeActor) f.from).site, this, nowMs) > nowMs) {
+            if (world.cuts.backMs(((NodeActor) f.source).site, this, nowMs) > nowMs) {
                 standing.remove(f);
                 tally().at(tally().resets, nowMs);
             }
@@ -412,17 +409,17 @@
     }
 
     /** A drain is over: its clients are sent away in good order, and the process ends. */
-    private void sendAway(double nowMs) {
+    void onDrainOver(double nowMs) {
         if (!alive) {
             return;
         }
         while (!standing.isEmpty()) {
             reset(nowMs, standing.get(standing.size() - 1), Outcome.OK);
         }
-        die(nowMs, true);
+        onProcessEnds(nowMs, true);
     }
 
-    private void die(double nowMs, boolean withReset) {
+    void onProcessEnds(double nowMs, boolean withReset) {
         if (!alive) {
             return;
         }
@@ -437,7 +434,7 @@
                 account(nowMs);
                 standing.remove(f);
                 tally().at(tally().resets, nowMs);
-                remind(nowMs + SILENT_MS * (0.5 + 0.5 * random.nextDouble()), Kinds.NOTICED, f, 0);
+                schedule(nowMs + SILENT_MS * (0.5 + 0.5 * random.nextDouble()), new EndpointMessage.SilenceNoticed(f));
             }
         }
         alive = false;
@@ -448,7 +445,7 @@
         java.util.Arrays.fill(freeAtMs, 0);
     }
 
-    private void rise(double nowMs) {
+    void onProcessStarts(double nowMs) {
         say(nowMs, "a new process");
         alive = true;
         resets = true;
--- a/node/src/main/java/tulipshed/routing/ClassificationRules.java
+++ b/node/src/main/java/tulipshed/routing/ClassificationRules.java
@@ -33,7 +33,7 @@
             return request.unclassified();
         }
         CharSequence group =
-                rule.group() == null ? request.group() : rule.group().text(frame);
+                rule.group() == null ? request.group() : rule.group().stringValue(frame);
         return new RequestClassification(
                 rule.className() == null ? request.className() : rule.className(),
                 rule.tenant() == null ? request.tenant() : rule.tenant(),
--- a/node/src/test/java/tulipshed/quic/FrontSetup.java
+++ b/node/src/test/java/tulipshed/quic/FrontSetup.java
@@ -17,6 +17,7 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.limits.Limits;
+import tulipshed.limits.QuicLimits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.EndpointListEntry;
 import tulipshed.proxy.ProxyCore;
@@ -67,14 +68,14 @@
         return onLoop(loop, task);
     }
 
-    long counted(QuicMetrics.Figure figure) {
-        return onLoop(() -> front.counted.get(figure));
+    long counted(QuicCounter figure) {
+        return onLoop(() -> front.context().metrics().get(figure));
     }
 
     private Limits limits() {
         Limits l = Limits.forDescriptors(descriptors);
-        Limits.Quic q = l.quic();
-        return l.with(new Limits.Quic(
+        QuicLimits q = l.quic();
+        return l.with(new QuicLimits(
                 q.datagramBytes(),
                 mostSessions,
                 q.maxIdsPerConnection(),
@@ -181,7 +182,7 @@
 
     /** Waits until the loop has read so many datagrams of clients: what was sent may still be in the kernel. */
     void taken(long datagrams) {
-        while (counted(QuicMetrics.Figure.DATAGRAMS) < datagrams) {
+        while (counted(QuicCounter.DATAGRAMS) < datagrams) {
             Thread.onSpinWait();
         }
     }
