--- a/node/src/test/java/tulipshed/proxy/ActiveSettingsTest.java
+++ b/node/src/test/java/tulipshed/proxy/ActiveSettingsTest.java
@@ -15,7 +15,7 @@
     /** Otherwise the decision module would take an earlier request for one of the class that has its index now. */
     @Test
     void deliversNewSettingsAfterEarlierEvents() {
-        BalancerSettings old = ProxyCoreFixture.nodeSettings();
+        BalancerSettings old = NodeJsonSettings.nodeSettings();
         List<RequestClass> classes = old.classes();
         fixture.core.attemptEstablished(fixture.startAttempt(2000));
         fixture.takeRecorded();
@@ -30,7 +30,7 @@
                 classes.get(0).deduplicationScope(),
                 1,
                 1);
-        fixture.core.reconfigure(ProxyCoreFixture.withClasses(old, List.of(classes.get(2), changed)));
+        fixture.core.reconfigure(NodeJsonSettings.withClasses(old, List.of(classes.get(2), changed)));
         assertEquals(List.of("request 2000", "settings 2"), fixture.takeRecorded());
         assertEquals("0 0 0", fixture.responseCounts("gate-alarm"));
         fixture.updateEndpoint("s-9", EndpointStatus.SERVING);
@@ -44,7 +44,7 @@
 
     @Test
     void capsRetryDelayAtThatOfTheSettings() {
-        BalancerSettings settings = ProxyCoreFixture.nodeSettings();
+        BalancerSettings settings = NodeJsonSettings.nodeSettings();
         double maxRetryAfterMs = settings.limits().maxRetryAfterUs() / 1000.0;
         ActiveSettings active = new ActiveSettings(settings);
         assertEquals(maxRetryAfterMs, active.retryAfterMs(maxRetryAfterMs + 1));
@@ -53,7 +53,7 @@
 
     @Test
     void findsNoIndexOfClassThatSettingsDoNotName() {
-        ActiveSettings active = new ActiveSettings(ProxyCoreFixture.nodeSettings());
+        ActiveSettings active = new ActiveSettings(NodeJsonSettings.nodeSettings());
         assertEquals(0, active.indexOfClass(active.requestClass(0).name()));
         assertEquals(-1, active.indexOfClass("no-such-class"));
     }
--- a/node/src/test/java/tulipshed/proxy/AttemptManagerTest.java
+++ b/node/src/test/java/tulipshed/proxy/AttemptManagerTest.java
@@ -16,7 +16,7 @@
     @Test
     void allowsOneAttemptAtATime() {
         fixture.startAttempt(2000);
-        fixture.decisions.startAttempt(fixture.lastRequestId, "s-1", 0);
+        fixture.decisions.startAttempt(fixture.balancer.lastRequestId, "s-1", 0);
         fixture.core.runBatch();
         assertEquals(List.of("finished 1 UNUSED"), fixture.takeRecorded());
     }
@@ -28,7 +28,7 @@
         fixture.updateEndpoint("s-1", EndpointStatus.DRAINING);
         assertFalse(fixture.core.mayForward(attempt));
         fixture.core.attemptEnded(attempt, Outcome.CONNECT_FAILED);
-        fixture.decisions.startAttempt(fixture.lastRequestId, "s-1", 0);
+        fixture.decisions.startAttempt(fixture.balancer.lastRequestId, "s-1", 0);
         assertEquals(
                 List.of("list CHANGES", "finished 0 CONNECT_FAILED", "finished 1 CONNECT_FAILED"),
                 fixture.takeRecorded());
@@ -55,7 +55,7 @@
         assertTrue(fixture.core.mayForward(first));
         fixture.advance(100);
         fixture.core.attemptEnded(first, Outcome.RESET);
-        fixture.decisions.startAttempt(fixture.lastRequestId, "s-1", 0);
+        fixture.decisions.startAttempt(fixture.balancer.lastRequestId, "s-1", 0);
         fixture.core.runBatch();
         fixture.takeRecorded();
         Attempt late = fixture.attempts.get(fixture.attempts.size() - 1);
--- a/node/src/test/java/tulipshed/proxy/NodeMetricsTest.java
+++ b/node/src/test/java/tulipshed/proxy/NodeMetricsTest.java
@@ -14,8 +14,8 @@
         fixture.core.attemptEstablished(fixture.startAttempt(2000));
         fixture.startAttempt(2000);
         assertEquals(2, fixture.core.metrics().activeRequests());
-        fixture.decisions.reject(fixture.lastRequestId, 0);
-        fixture.decisions.reject(fixture.lastRequestId, 0);
+        fixture.decisions.reject(fixture.balancer.lastRequestId, 0);
+        fixture.decisions.reject(fixture.balancer.lastRequestId, 0);
         fixture.core.runBatch();
         fixture.adoptConnection("s-1");
         fixture.takeRecorded();
--- a/node/src/test/java/tulipshed/proxy/ProxyCoreFixture.java
+++ b/node/src/test/java/tulipshed/proxy/ProxyCoreFixture.java
@@ -1,39 +1,23 @@
 package tulipshed.proxy;
 
-import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
-import tulipshed.config.NodeConfig;
 import tulipshed.decision.api.BalancerActions;
-import tulipshed.decision.api.BalancerApi;
 import tulipshed.decision.api.BalancerSettings;
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
-import tulipshed.decision.api.LoadReport;
-import tulipshed.decision.api.NewRequest;
-import tulipshed.decision.api.Outcome;
-import tulipshed.decision.api.RequestClass;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 import tulipshed.time.ManualClock;
 
 /**
- * A core on a clock and an event loop that the test drives. The fixture is also the decision module, the client and the
- * connector of all requests: it decides what the test says, and records in order all that the core does.
+ * A core on a clock and an event loop that the test drives. The fixture is also the client and the connector of all
+ * requests. Its decision module decides what the test says; all that the core does is recorded in order.
  */
-final class ProxyCoreFixture implements EventLoop, ClientConnection, UpstreamConnector, BalancerApi {
-    private static final Path NODE_SETTINGS = Path.of("src/test/resources/node.json");
-
+final class ProxyCoreFixture implements EventLoop, ClientConnection, UpstreamConnector {
     final ManualClock clock = new ManualClock(1_000_000);
     /** What the core did and logged, in order. */
     final List<String> recorded = new ArrayList<>();
@@ -41,10 +25,8 @@
     final List<Attempt> attempts = new ArrayList<>();
     /** Takes decisions; they are carried out at the end of the next batch. */
     BalancerActions decisions;
-    /** What this fixture, as decision module, answers for the eligible endpoints of a pool; 0 for other pools. */
-    final Map<String, Integer> eligibleByPool = new HashMap<>();
-    /** The id of the request of which the decision module was notified last. */
-    long lastRequestId;
+    /** The decision module, which records the events of the core. */
+    final RecordingBalancer balancer = new RecordingBalancer(recorded);
     /** What this fixture, as connector, answers. */
     boolean mustLeaveDraining;
 
@@ -62,7 +44,7 @@
 
     /** The same, with each occurrence of a text in the settings replaced by another. */
     ProxyCoreFixture(String replaced, String replacement) {
-        settings = config(replaced, replacement).settings();
+        settings = NodeJsonSettings.load(replaced, replacement).settings();
         core = new ProxyCore(
                 clock,
                 Limits.forDescriptors(1024),
@@ -70,9 +52,9 @@
                 1,
                 this,
                 NodeLog.to(recorded::add),
-                (settings, seed, now, actions) -> {
+                (initial, seed, nowUs, actions) -> {
                     decisions = actions;
-                    return this;
+                    return balancer;
                 });
         updateEndpoint(EndpointListKind.CACHED, "s-1", EndpointStatus.SERVING);
         takeRecorded();
@@ -90,41 +72,6 @@
                 "\"Effect\": \"by_key\",\n    \"Group\": \"zone\"");
     }
 
-    /** The settings of {@code node.json}. */
-    static BalancerSettings nodeSettings() {
-        return NodeConfig.load(Map.of("PROXY_CONFIG", NODE_SETTINGS.toString())).settings();
-    }
-
-    /** The settings with other classes. */
-    static BalancerSettings withClasses(BalancerSettings settings, List<RequestClass> classes) {
-        return new BalancerSettings(
-                settings.nodeIndex(),
-                settings.nodeCount(),
-                settings.zone(),
-                settings.passThrough(),
-                settings.polledDiscovery(),
-                settings.groupAffinity(),
-                settings.weightSemantics(),
-                settings.loadReportSource(),
-                settings.limits(),
-                settings.rules(),
-                settings.prices(),
-                classes,
-                settings.tenants());
-    }
-
-    private static NodeConfig config(String replaced, String replacement) {
-        try {
-            Path file = Files.createTempFile("node", ".json");
-            Files.writeString(file, Files.readString(NODE_SETTINGS).replace(replaced, replacement));
-            NodeConfig config = NodeConfig.load(Map.of("PROXY_CONFIG", file.toString()));
-            Files.delete(file);
-            return config;
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-    }
-
     /** Discovery reports a change of one endpoint. */
     void updateEndpoint(String id, EndpointStatus status) {
         updateEndpoint(EndpointListKind.CHANGES, id, status);
@@ -162,7 +109,7 @@
     Attempt startAttempt(double timeoutMs) {
         requestArrives(timeoutMs);
         runReadyTasks();
-        decisions.startAttempt(lastRequestId, "s-1", 0);
+        decisions.startAttempt(balancer.lastRequestId, "s-1", 0);
         core.runBatch();
         runReadyTasks();
         takeRecorded();
@@ -244,91 +191,4 @@
     public boolean mustLeaveDrainingEndpoint() {
         return mustLeaveDraining;
     }
-
-    @Override
-    public void endpointsChanged(long nowUs, EndpointListKind kind, List<EndpointInfo> entries) {
-        recorded.add("list " + kind);
-    }
-
-    @Override
-    public void requestArrived(long nowUs, NewRequest request) {
-        lastRequestId = request.id();
-        recorded.add("request " + request.timeoutUs() / 1000 + (request.pool() == null ? "" : " in " + request.pool())
-                + (request.requestClass() == 0 ? "" : " as " + request.requestClass()));
-    }
-
-    @Override
-    public void connectionAdopted(long nowUs, NewRequest request, String endpointId) {
-        lastRequestId = request.id();
-        recorded.add("already open " + endpointId);
-    }
-
-    @Override
-    public void attemptEstablished(long nowUs, long requestId, int attempt, long tookUs) {
-        recorded.add("started " + attempt);
-    }
-
-    @Override
-    public void loadReported(long nowUs, long requestId, double loadUsPerS) {
-        recorded.add("load " + loadUsPerS);
-    }
-
-    @Override
-    public void latencyReported(long nowUs, long requestId, double latencyMs) {
-        recorded.add("delay " + latencyMs);
-    }
-
-    @Override
-    public void attemptEnded(
-            long nowUs, long requestId, int attempt, boolean concluded, Outcome outcome, LoadReport report) {
-        recorded.add("finished " + attempt + " " + outcome + (concluded ? " concluded" : ""));
-    }
-
-    @Override
-    public void requestCancelled(long nowUs, long requestId) {
-        recorded.add("abandoned");
-    }
-
-    @Override
-    public void healthCheckCompleted(long nowUs, String endpointId, Outcome outcome, LoadReport report) {
-        recorded.add("health check " + endpointId + " " + outcome);
-    }
-
-    @Override
-    public void timerFired(long nowUs, long token) {
-        recorded.add("timer " + token);
-    }
-
-    @Override
-    public void peerMessageReceived(long nowUs, int from, byte[] body) {}
-
-    @Override
-    public int ineligibleCount(long nowUs) {
-        return 1;
-    }
-
-    @Override
-    public void quotaShareChanged(long nowUs, double shareOfNode) {
-        recorded.add("share " + shareOfNode);
-    }
-
-    @Override
-    public void reconfigure(long nowUs, BalancerSettings settings) {
-        recorded.add("settings " + settings.classes().size());
-    }
-
-    @Override
-    public void poolsChanged(long nowUs, Map<String, Set<String>> pools) {
-        recorded.add("pools " + new TreeMap<>(pools));
-    }
-
-    @Override
-    public void requestRerouted(long nowUs, long requestId, String pool) {
-        recorded.add("route " + requestId + " " + pool);
-    }
-
-    @Override
-    public int eligibleCount(long nowUs, String pool) {
-        return eligibleByPool.getOrDefault(pool, 0);
-    }
 }
--- a/node/src/test/java/tulipshed/proxy/RequestRoutingTest.java
+++ b/node/src/test/java/tulipshed/proxy/RequestRoutingTest.java
@@ -29,8 +29,8 @@
     }
 
     private void setEligible(int inPoolA, int inPoolB) {
-        fixture.eligibleByPool.put("a", inPoolA);
-        fixture.eligibleByPool.put("b", inPoolB);
+        fixture.balancer.eligibleByPool.put("a", inPoolA);
+        fixture.balancer.eligibleByPool.put("b", inPoolB);
     }
 
     @Test
@@ -50,14 +50,14 @@
         fixture.core.setRouter(router(POOLS + "(route r (to a b))"));
         fixture.requestArrives(2000);
         fixture.takeRecorded();
-        fixture.eligibleByPool.put("a", 0);
+        fixture.balancer.eligibleByPool.put("a", 0);
         fixture.advance(99);
         assertEquals(List.of(), fixture.takeRecorded());
         fixture.advance(2);
         assertEquals(
                 List.of("INFO route: r uses pool b instead of its preferred pool", "route 1 b"),
                 fixture.takeRecorded());
-        fixture.eligibleByPool.put("a", 1);
+        fixture.balancer.eligibleByPool.put("a", 1);
         fixture.updateEndpoint("s-2", EndpointStatus.SERVING);
         assertEquals(
                 List.of(
@@ -89,9 +89,9 @@
     @Test
     void ignoresClassThatSettingsNoLongerName() {
         fixture.core.setRouter(router("(classify (rule r (when true) (class \"slot-booking\")))"));
-        BalancerSettings settings = ProxyCoreFixture.nodeSettings();
+        BalancerSettings settings = NodeJsonSettings.nodeSettings();
         fixture.core.reconfigure(
-                ProxyCoreFixture.withClasses(settings, settings.classes().subList(0, 2)));
+                NodeJsonSettings.withClasses(settings, settings.classes().subList(0, 2)));
         fixture.takeRecorded();
         fixture.requestArrives(1000);
         assertEquals(List.of("request 1000"), fixture.takeRecorded());
