--- a/node/src/test/java/tulipshed/expression/ExpressionFuzzTest.java
+++ b/node/src/test/java/tulipshed/expression/ExpressionFuzzTest.java
@@ -24,60 +24,61 @@
     private static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(1 << 20, 100, 100_000);
 
     private static Form form(String text) {
-        Diagnostics problems = new Diagnostics("test");
-        List<Form> forms = SexprReader.read(text.getBytes(StandardCharsets.UTF_8), BOUNDS, problems);
-        assertTrue(problems.none(), problems::toString);
+        Diagnostics diagnostics = new Diagnostics("test");
+        List<Form> forms = SexprReader.read(text.getBytes(StandardCharsets.UTF_8), BOUNDS, diagnostics);
+        assertTrue(diagnostics.none(), diagnostics::toString);
         return forms.get(0);
     }
 
     @Property(tries = 20_000, seed = "4711", shrinking = ShrinkingMode.OFF)
-    void theCompiledFormGivesWhatTheReferenceGivesAndKeepsToItsBound(@ForAll long seed) {
+    void compiledExpressionsGiveTheReferenceValueWithinTheirCostBound(@ForAll long seed) {
         RandomExpressions random = new RandomExpressions(seed);
         Schema schema = RandomExpressions.schema();
         Type type = Type.values()[(int) Math.floorMod(seed, 4L)];
         String text = random.typed(type, 5);
         Form form = form(text);
-        Diagnostics problems = new Diagnostics("test");
-        TypeChecker checker = new TypeChecker(schema, problems);
-        Expression e = checker.check(form, type);
-        if (e == null) {
+        Diagnostics diagnostics = new Diagnostics("test");
+        TypeChecker checker = new TypeChecker(schema, diagnostics);
+        Expression expression = checker.check(form, type);
+        if (expression == null) {
             // Only a text that could grow too long is refused of what is well typed.
-            assertTrue(problems.toString().contains("may grow"), () -> text + "\n" + problems);
+            assertTrue(diagnostics.toString().contains("may grow"), () -> text + "\n" + diagnostics);
             return;
         }
-        compare(random, schema, form, text, e);
+        compare(random, schema, form, text, expression);
     }
 
     @Property(tries = 6_000, seed = "4712", shrinking = ShrinkingMode.OFF)
-    void whatPassesTheCheckNeverFails(@ForAll long seed) {
+    void expressionsThatPassTheTypeCheckNeverFail(@ForAll long seed) {
         RandomExpressions random = new RandomExpressions(seed);
         Schema schema = RandomExpressions.schema();
         String text = random.untyped(3);
         Form form = form(text);
-        Diagnostics problems = new Diagnostics("test");
-        Expression e = new TypeChecker(schema, problems).infer(form);
-        assertEquals(e == null, !problems.none(), text);
-        if (e != null) {
-            compare(random, schema, form, text, e);
+        Diagnostics diagnostics = new Diagnostics("test");
+        Expression expression = new TypeChecker(schema, diagnostics).infer(form);
+        assertEquals(expression == null, !diagnostics.none(), text);
+        if (expression != null) {
+            compare(random, schema, form, text, expression);
         }
     }
 
-    private static void compare(RandomExpressions random, Schema schema, Form form, String text, Expression e) {
+    private static void compare(
+            RandomExpressions random, Schema schema, Form form, String text, Expression expression) {
         Program.Builder builder = new Program.Builder(schema);
-        Program.Value value = builder.value(e);
+        Program.Value value = builder.value(expression);
         EvaluationFrame frame = builder.build().frame();
-        long bound = new CostModel().bound(e);
+        long bound = new CostModel().bound(expression);
         for (int i = 0; i < INPUTS; i++) {
             Map<String, Object> values = random.values(schema);
             RandomExpressions.fill(frame, schema, values);
-            Object got = value.boxedValue(frame);
-            Object want = new Reference(Map.of(), Map.of(), values).value(form);
-            if (got instanceof Double d && want instanceof Number n) {
+            Object actual = value.boxedValue(frame);
+            Object expected = new ReferenceInterpreter(Map.of(), Map.of(), values).value(form);
+            if (actual instanceof Double decimal && expected instanceof Number number) {
                 assertTrue(
-                        d.equals(n.doubleValue()) || d == n.doubleValue(),
-                        () -> text + " with " + values + ": " + got + ", not " + want);
+                        decimal.equals(number.doubleValue()) || decimal == number.doubleValue(),
+                        () -> text + " with " + values + ": " + actual + ", not " + expected);
             } else {
-                assertEquals(want, got, () -> text + " with " + values);
+                assertEquals(expected, actual, () -> text + " with " + values);
             }
             long spent = frame.spent();
             assertTrue(spent <= bound, () -> text + " with " + values + " cost " + spent + ", bound " + bound);
@@ -85,11 +86,11 @@
     }
 
     @Property(tries = 600, seed = "4713", shrinking = ShrinkingMode.OFF)
-    void aTableFindsTheFirstRuleThatHolds(@ForAll long seed) {
+    void ruleTableFindsTheFirstRuleThatHolds(@ForAll long seed) {
         RandomExpressions random = new RandomExpressions(seed);
         Schema schema = RandomExpressions.schema();
-        Diagnostics problems = new Diagnostics("test");
-        TypeChecker checker = new TypeChecker(schema, problems);
+        Diagnostics diagnostics = new Diagnostics("test");
+        TypeChecker checker = new TypeChecker(schema, diagnostics);
         List<Form> forms = new ArrayList<>();
         List<Expression> conditions = new ArrayList<>();
         int rules = (int) Math.floorMod(seed, 40L);
@@ -102,10 +103,10 @@
                 default -> "(= class " + quoted(random, schema) + ")";
             };
             Form form = form("(and " + common + " " + random.typed(Type.BOOLEAN, 1) + ")");
-            Expression e = checker.check(form, Type.BOOLEAN);
-            assertNotNull(e, problems::toString);
+            Expression expression = checker.check(form, Type.BOOLEAN);
+            assertNotNull(expression, diagnostics::toString);
             forms.add(form);
-            conditions.add(e);
+            conditions.add(expression);
         }
         Program.Builder builder = new Program.Builder(schema);
         RuleTable table = builder.table(conditions, checker.interner());
@@ -113,13 +114,13 @@
         long bound = table.bound(new CostModel());
         for (int i = 0; i < 5 * INPUTS; i++) {
             Map<String, Object> values = random.values(schema);
-            int want = -1;
-            Reference reference = new Reference(Map.of(), Map.of(), values);
-            for (int r = 0; r < forms.size() && want < 0; r++) {
-                want = (Boolean) reference.value(forms.get(r)) ? r : -1;
+            int expected = -1;
+            ReferenceInterpreter reference = new ReferenceInterpreter(Map.of(), Map.of(), values);
+            for (int rule = 0; rule < forms.size() && expected < 0; rule++) {
+                expected = (Boolean) reference.value(forms.get(rule)) ? rule : -1;
             }
             RandomExpressions.fill(frame, schema, values);
-            assertEquals(want, table.first(frame), () -> forms + " with " + values);
+            assertEquals(expected, table.first(frame), () -> forms + " with " + values);
             assertTrue(frame.spent() <= bound, () -> forms + " with " + values);
         }
     }
--- a/node/src/test/java/tulipshed/expression/ExpressionTest.java
+++ b/node/src/test/java/tulipshed/expression/ExpressionTest.java
@@ -27,44 +27,45 @@
     private final Attribute tenant = schema.add("tenant", Type.STRING, true, 64);
     private final Attribute size = schema.add("size", Type.INTEGER, true, 0);
     private final Attribute source = schema.add("source", Type.ADDRESS, false, 0);
-    private final Diagnostics problems = new Diagnostics("f");
-    private final TypeChecker checker = new TypeChecker(schema, problems);
+    private final Diagnostics diagnostics = new Diagnostics("f");
+    private final TypeChecker checker = new TypeChecker(schema, diagnostics);
 
     private List<Form> forms(String text) {
-        List<Form> forms = SexprReader.read(text.getBytes(StandardCharsets.UTF_8), BOUNDS, problems);
+        List<Form> forms = SexprReader.read(text.getBytes(StandardCharsets.UTF_8), BOUNDS, diagnostics);
         forms.stream()
-                .filter(f -> f instanceof Form.Sequence s && "define".equals(s.head()))
-                .forEach(f -> checker.define((Form.Sequence) f));
+                .filter(form -> form instanceof Form.Sequence sequence && "define".equals(sequence.head()))
+                .forEach(form -> checker.define((Form.Sequence) form));
         return forms;
     }
 
-    private Expression any(String text) {
+    private Expression infer(String text) {
         List<Form> forms = forms(text);
         return checker.infer(forms.get(forms.size() - 1));
     }
 
-    private EvaluationFrame fill(Program program, String cls, String k, String ten, Long sz, String from) {
-        EvaluationFrame f = program.frame();
-        f.begin();
-        f.set(requestClass, cls);
-        f.set(key, k);
-        if (ten != null) {
-            f.set(tenant, ten);
+    private EvaluationFrame fill(
+            Program program, String className, String keyValue, String tenantName, Long sizeValue, String address) {
+        EvaluationFrame frame = program.frame();
+        frame.begin();
+        frame.set(requestClass, className);
+        frame.set(key, keyValue);
+        if (tenantName != null) {
+            frame.set(tenant, tenantName);
         }
-        if (sz != null) {
-            f.set(size, (long) sz);
+        if (sizeValue != null) {
+            frame.set(size, (long) sizeValue);
         }
-        Network n = Network.parse(from);
-        f.set(source, n.high(), n.low());
-        return f;
+        Network network = Network.parse(address);
+        frame.set(source, network.high(), network.low());
+        return frame;
     }
 
     private Object value(String text) {
-        Expression e = any(text);
-        assertNotNull(e, problems::toString);
-        Program.Builder b = new Program.Builder(schema);
-        Program.Value v = b.value(e);
-        return v.boxedValue(fill(b.build(), "gate", "k-17", "melnik", 7L, "10.1.2.3"));
+        Expression expression = infer(text);
+        assertNotNull(expression, diagnostics::toString);
+        Program.Builder builder = new Program.Builder(schema);
+        Program.Value value = builder.value(expression);
+        return value.boxedValue(fill(builder.build(), "gate", "k-17", "melnik", 7L, "10.1.2.3"));
     }
 
     @ParameterizedTest
@@ -93,8 +94,8 @@
                 "(hash \"\") | 3244421341483603138",
                 "(string (- 0 9223372036854775807)) | -9223372036854775807"
             })
-    void valuesAreTheDocumentedOnes(String text, String want) {
-        assertEquals(want, String.valueOf(value(text)));
+    void functionsGiveTheDocumentedValues(String text, String expected) {
+        assertEquals(expected, String.valueOf(value(text)));
     }
 
     @ParameterizedTest
@@ -125,9 +126,9 @@
                 "(define (f x) (+ x y)) (let ((y 1)) (f y)) | f:1:20: unknown name y",
                 "(= source source2) | f:1:11: unknown name source2; did you mean source?"
             })
-    void whatIsWrongIsSaidBeforeAnyTransaction(String text, String want) {
-        any(text);
-        assertEquals(want.replace("\\n", "\n"), problems.toString());
+    void errorsAreReportedWhenAnExpressionIsChecked(String text, String expected) {
+        infer(text);
+        assertEquals(expected.replace("\\n", "\n"), diagnostics.toString());
     }
 
     /** RE2/J writes counted repeats out before it says how large they are: without a guard this takes all memory. */
@@ -139,42 +140,45 @@
         "((\\){999}){999}",
         "\\Q(\\E"
     })
-    void aRegularExpressionThatGrowsIsRefusedBeforeItIsCompiled(String pattern) {
-        assertNull(any("(matches class \"" + pattern.replace("\\", "\\\\") + "\")"));
-        assertTrue(problems.toString().contains("too large once its repeats are written out"), problems::toString);
+    void largeRegularExpressionIsRejectedBeforeItIsCompiled(String pattern) {
+        assertNull(infer("(matches class \"" + pattern.replace("\\", "\\\\") + "\")"));
+        assertTrue(
+                diagnostics.toString().contains("too large once its repeats are written out"), diagnostics::toString);
     }
 
     @ParameterizedTest
     @CsvSource({"'^[0-9]{1,3}([.][0-9]{1,3}){3}$'", "'[]{3}]{2}'", "'x{,3}'", "'(a|b)*c{20}'"})
-    void ordinaryOnesAreNot(String pattern) {
-        assertNotNull(any("(matches class \"" + pattern + "\")"), problems::toString);
+    void ordinaryRegularExpressionIsAccepted(String pattern) {
+        assertNotNull(infer("(matches class \"" + pattern + "\")"), diagnostics::toString);
     }
 
     /** What grows with its input has a bound that says so, found without any input. */
     @Test
-    void theBoundFollowsTheDeclaredLengths() {
-        assertEquals(1 + 1 + 1 + 4, new CostModel().bound(any("(= class \"" + "x".repeat(64) + "\")")));
-        long regex = new CostModel().bound(any("(matches key \"(a|b)*c\")"));
+    void costBoundFollowsTheDeclaredLengths() {
+        assertEquals(1 + 1 + 1 + 4, new CostModel().bound(infer("(= class \"" + "x".repeat(64) + "\")")));
+        long regex = new CostModel().bound(infer("(matches key \"(a|b)*c\")"));
         assertTrue(regex > 4000 / 16 * 5, "linear in the longest key: " + regex);
-        assertTrue(new CostModel().bound(any("(contains key (substring key 0 1000))")) > 4000 * 1000 / 16);
+        assertTrue(new CostModel().bound(infer("(contains key (substring key 0 1000))")) > 4000 * 1000 / 16);
     }
 
-    /** Each define uses the one before it twice: as a tree this has 2^200 parts. */
+    /** Each definition uses the one before it twice: as a tree the last has 2^60 parts. */
     @Test
-    void definesThatDoubleCostNoMoreThanTheyAreLong() {
+    void costOfDefinitionsThatDoubleIsLinear() {
         StringBuilder text = new StringBuilder("(define d0 (+ (default size 0) 1)) ");
         for (int i = 1; i <= 60; i++) {
             text.append("(define d" + i + " (+ d" + (i - 1) + " d" + (i - 1) + ")) ");
         }
         assertEquals(Long.MAX_VALUE, value(text + "(+ d60 d60)"), "2^61 times 8, bounded");
-        Expression e = any("(+ d60 d60)");
-        assertTrue(new CostModel().bound(e) < 500, "each is worked out once: " + new CostModel().bound(e));
-        assertFalse(e.references("class"));
-        assertTrue(e.toString().length() < 1000);
+        Expression expression = infer("(+ d60 d60)");
+        assertTrue(
+                new CostModel().bound(expression) < 500,
+                "each is worked out once: " + new CostModel().bound(expression));
+        assertFalse(expression.references("class"));
+        assertTrue(expression.toString().length() < 1000);
     }
 
     @Test
-    void definesWithParametersThatDoubleAreNoBombEither() {
+    void expansionOfParameterizedDefinitionsThatDoubleIsLinear() {
         StringBuilder text = new StringBuilder("(define (d0 x) (+ x 1)) ");
         for (int i = 1; i <= 60; i++) {
             text.append("(define (d" + i + " x) (+ (d" + (i - 1) + " x) (d" + (i - 1) + " x))) ");
@@ -183,53 +187,53 @@
     }
 
     @Test
-    void aChainOfDefinesThatIsTooDeepIsAnErrorAndNoOverflow() {
+    void deepChainOfDefinitionsIsAnErrorAndNoStackOverflow() {
         StringBuilder text = new StringBuilder("(define d0 (default size 0)) ");
         for (int i = 1; i <= 5000; i++) {
             text.append("(define d" + i + " (+ d" + (i - 1) + " 1)) ");
         }
-        assertNull(any(text + "d5000"));
-        assertTrue(problems.toString().contains("more than 250 deep"), problems::toString);
+        assertNull(infer(text + "d5000"));
+        assertTrue(diagnostics.toString().contains("more than 250 deep"), diagnostics::toString);
     }
 
     @Test
-    void sharesStayWhereTheyAreWhenThereAreMore() {
-        Program.Builder b = new Program.Builder(schema);
-        List<Program.Value> shares = new ArrayList<>();
+    void addingABucketMovesStringsOnlyToTheNewOne() {
+        Program.Builder builder = new Program.Builder(schema);
+        List<Program.Value> buckets = new ArrayList<>();
         for (int n = 1; n <= 40; n++) {
-            shares.add(b.value(any("(bucket key " + n + ")")));
+            buckets.add(builder.value(infer("(bucket key " + n + ")")));
         }
-        Program p = b.build();
+        Program program = builder.build();
         int[] counts = new int[40];
         for (int i = 0; i < 4000; i++) {
-            EvaluationFrame f = fill(p, "gate", "key-" + i, null, null, "10.0.0.1");
+            EvaluationFrame frame = fill(program, "gate", "key-" + i, null, null, "10.0.0.1");
             long before = 0;
             for (int n = 1; n <= 40; n++) {
-                long now = shares.get(n - 1).integerValue(f);
+                long now = buckets.get(n - 1).integerValue(frame);
                 assertTrue(
                         now == before || now == n - 1, "moved to " + now + ", which is not the new share " + (n - 1));
                 before = now;
             }
             counts[(int) before]++;
         }
-        for (int c : counts) {
-            assertTrue(c > 50 && c < 160, "about 100 of 4000 in each of 40: " + c);
+        for (int count : counts) {
+            assertTrue(count > 50 && count < 160, "about 100 of 4000 in each of 40: " + count);
         }
     }
 
     @Test
-    void tenThousandRulesAreFoundByOneLookupAndNothingIsAllocated() {
+    void tenThousandRulesAreFoundByOneLookupWithoutAllocation() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 10_000; i++) {
             text.append("(and (= (lower tenant-name) \"t" + i + "\") (prefix key \"k-\"))\n");
         }
         List<Form> rules = forms("(define tenant-name (default tenant \"\"))\n" + text);
         List<Expression> conditions = new ArrayList<>();
-        rules.subList(1, rules.size()).forEach(f -> conditions.add(checker.check(f, Type.BOOLEAN)));
-        assertTrue(problems.none(), problems::toString);
-        Program.Builder b = new Program.Builder(schema);
-        RuleTable table = b.table(conditions, checker.interner());
-        Program p = b.build();
+        rules.subList(1, rules.size()).forEach(rule -> conditions.add(checker.check(rule, Type.BOOLEAN)));
+        assertTrue(diagnostics.none(), diagnostics::toString);
+        Program.Builder builder = new Program.Builder(schema);
+        RuleTable table = builder.table(conditions, checker.interner());
+        Program program = builder.build();
         assertEquals(
                 List.of(
                         "one lookup of (lower (default tenant \"\")) among 10000 literals finds 10000 rules, at most 1 at a "
@@ -237,19 +241,19 @@
                 table.plan());
         long bound = table.bound(new CostModel());
         assertTrue(bound < 60, "whatever the number of rules: " + bound);
-        EvaluationFrame f = fill(p, "gate", "k-1", "T9999", 1L, "10.0.0.1");
-        assertEquals(9999, table.first(f));
-        assertTrue(f.spent() <= bound);
+        EvaluationFrame frame = fill(program, "gate", "k-1", "T9999", 1L, "10.0.0.1");
+        assertEquals(9999, table.first(frame));
+        assertTrue(frame.spent() <= bound);
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         int sum = 0;
         for (int round = 0; round < 2; round++) {
             long before = threads.getCurrentThreadAllocatedBytes();
             for (int i = 0; i < 50_000; i++) {
-                f.begin();
-                f.set(requestClass, "gate");
-                f.set(key, "k-1");
-                f.set(tenant, "T9999");
-                sum += table.first(f);
+                frame.begin();
+                frame.set(requestClass, "gate");
+                frame.set(key, "k-1");
+                frame.set(tenant, "T9999");
+                sum += table.first(frame);
             }
             long allocated = threads.getCurrentThreadAllocatedBytes() - before;
             assertTrue(round == 0 || allocated < 50_000, "allocated " + allocated + " bytes in 50000 evaluations");
@@ -258,8 +262,8 @@
     }
 
     @Test
-    void aFrameHoldsNoLongerTextThanExpressionsWerePromised() {
-        EvaluationFrame f = new Program.Builder(schema).build().frame();
-        assertThrows(IllegalArgumentException.class, () -> f.set(requestClass, "x".repeat(65)));
+    void frameRejectsStringLongerThanTheAttributeDeclares() {
+        EvaluationFrame frame = new Program.Builder(schema).build().frame();
+        assertThrows(IllegalArgumentException.class, () -> frame.set(requestClass, "x".repeat(65)));
     }
 }
--- a/node/src/test/java/tulipshed/expression/RandomExpressions.java
+++ b/node/src/test/java/tulipshed/expression/RandomExpressions.java
@@ -1,5 +1,7 @@
 package tulipshed.expression;
 
+import java.math.BigDecimal;
+import java.math.RoundingMode;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -39,39 +41,39 @@
     /** Values for all attributes, some of them missing. */
     Map<String, Object> values(Schema schema) {
         Map<String, Object> values = new LinkedHashMap<>();
-        for (Attribute a : schema.all()) {
-            if (a.optional() && random.nextInt(3) == 0) {
+        for (Attribute attribute : schema.all()) {
+            if (attribute.optional() && random.nextInt(3) == 0) {
                 continue;
             }
             values.put(
-                    a.name(),
-                    switch (a.type()) {
-                        case STRING -> text();
-                        case INTEGER -> whole();
-                        case DECIMAL -> fraction();
+                    attribute.name(),
+                    switch (attribute.type()) {
+                        case STRING -> string();
+                        case INTEGER -> integer();
+                        case DECIMAL -> decimal();
                         default -> random.nextBoolean();
                     });
         }
         return values;
     }
 
-    static void fill(EvaluationFrame f, Schema schema, Map<String, Object> values) {
-        f.begin();
-        values.forEach((name, v) -> {
-            Attribute a = schema.get(name);
-            if (v instanceof String s) {
-                f.set(a, s);
-            } else if (v instanceof Long l) {
-                f.set(a, (long) l);
-            } else if (v instanceof Double d) {
-                f.set(a, (double) d);
+    static void fill(EvaluationFrame frame, Schema schema, Map<String, Object> values) {
+        frame.begin();
+        values.forEach((name, value) -> {
+            Attribute attribute = schema.get(name);
+            if (value instanceof String string) {
+                frame.set(attribute, string);
+            } else if (value instanceof Long integer) {
+                frame.set(attribute, (long) integer);
+            } else if (value instanceof Double decimal) {
+                frame.set(attribute, (double) decimal);
             } else {
-                f.set(a, (boolean) (Boolean) v);
+                frame.set(attribute, (boolean) (Boolean) value);
             }
         });
     }
 
-    private String text() {
+    private String string() {
         String s = WORDS[random.nextInt(WORDS.length)];
         return random.nextInt(3) > 0
                 ? s
@@ -79,7 +81,7 @@
                         .substring(0, Math.min(LONGEST, s.length()));
     }
 
-    private long whole() {
+    private long integer() {
         return switch (random.nextInt(6)) {
             case 0 -> random.nextLong();
             case 1 -> random.nextBoolean() ? Long.MIN_VALUE : Long.MAX_VALUE;
@@ -87,14 +89,12 @@
         };
     }
 
-    private double fraction() {
+    private double decimal() {
         return random.nextInt(5) == 0 ? random.nextInt(100000) * 1e13 : (random.nextInt(9) - 4) / 2.0;
     }
 
-    private static String decimal(double d) {
-        return new java.math.BigDecimal(d)
-                .setScale(3, java.math.RoundingMode.HALF_UP)
-                .toPlainString();
+    private static String decimalText(double value) {
+        return new BigDecimal(value).setScale(3, RoundingMode.HALF_UP).toPlainString();
     }
 
     private static String quote(String s) {
@@ -110,93 +110,97 @@
         if (depth <= 0 || random.nextInt(6) == 0) {
             return leaf(type);
         }
-        int d = depth - 1;
+        int operandDepth = depth - 1;
         switch (random.nextInt(10)) {
             case 0:
-                return "(if " + typed(Type.BOOLEAN, d) + " " + typed(type, d) + " " + typed(type, d) + ")";
+                return "(if " + typed(Type.BOOLEAN, operandDepth) + " " + typed(type, operandDepth) + " "
+                        + typed(type, operandDepth) + ")";
             case 1:
-                return "(cond (" + typed(Type.BOOLEAN, d) + " " + typed(type, d) + ") (" + typed(Type.BOOLEAN, d) + " "
-                        + typed(type, d) + ") (else " + typed(type, d) + "))";
+                return "(cond (" + typed(Type.BOOLEAN, operandDepth) + " " + typed(type, operandDepth) + ") ("
+                        + typed(Type.BOOLEAN, operandDepth) + " " + typed(type, operandDepth) + ") (else "
+                        + typed(type, operandDepth) + "))";
             case 2:
                 Type bound = Type.values()[random.nextInt(4)];
                 String name = "v" + names++;
-                String value = typed(bound, d);
+                String value = typed(bound, operandDepth);
                 locals.add(name + ":" + bound);
-                String body = typed(type, d);
+                String body = typed(type, operandDepth);
                 locals.remove(name + ":" + bound);
                 return "(let ((" + name + " " + value + ")) " + body + ")";
             default:
                 return switch (type) {
-                    case BOOLEAN -> truth(d);
-                    case INTEGER -> number(d);
+                    case BOOLEAN -> booleanCall(operandDepth);
+                    case INTEGER -> integerCall(operandDepth);
                     case DECIMAL ->
                         random.nextInt(4) == 0
-                                ? "(decimal " + typed(Type.INTEGER, d) + ")"
-                                : arithmetic(Type.DECIMAL, d);
-                    default -> string(d);
+                                ? "(decimal " + typed(Type.INTEGER, operandDepth) + ")"
+                                : arithmetic(Type.DECIMAL, operandDepth);
+                    default -> stringCall(operandDepth);
                 };
         }
     }
 
-    private String truth(int d) {
+    private String booleanCall(int depth) {
         return switch (random.nextInt(9)) {
             case 0 ->
-                "(and " + typed(Type.BOOLEAN, d) + " " + typed(Type.BOOLEAN, d) + " " + typed(Type.BOOLEAN, d) + ")";
-            case 1 -> "(or " + typed(Type.BOOLEAN, d) + " " + typed(Type.BOOLEAN, d) + ")";
-            case 2 -> "(not " + typed(Type.BOOLEAN, d) + ")";
+                "(and " + typed(Type.BOOLEAN, depth) + " " + typed(Type.BOOLEAN, depth) + " "
+                        + typed(Type.BOOLEAN, depth) + ")";
+            case 1 -> "(or " + typed(Type.BOOLEAN, depth) + " " + typed(Type.BOOLEAN, depth) + ")";
+            case 2 -> "(not " + typed(Type.BOOLEAN, depth) + ")";
             case 3 -> {
                 Type t = Type.values()[random.nextInt(4)];
-                yield "(" + one("=", "!=") + " " + typed(t, d) + " " + typed(t, d) + ")";
+                yield "(" + one("=", "!=") + " " + typed(t, depth) + " " + typed(t, depth) + ")";
             }
             case 4 -> {
                 Type t = random.nextBoolean() ? Type.INTEGER : Type.DECIMAL;
-                yield "(" + one("<", "<=", ">", ">=") + " " + typed(t, d) + " " + typed(t, d) + ")";
+                yield "(" + one("<", "<=", ">", ">=") + " " + typed(t, depth) + " " + typed(t, depth) + ")";
             }
             case 5 ->
-                "(" + one("prefix", "suffix", "contains") + " " + typed(Type.STRING, d) + " " + typed(Type.STRING, d)
-                        + ")";
+                "(" + one("prefix", "suffix", "contains") + " " + typed(Type.STRING, depth) + " "
+                        + typed(Type.STRING, depth) + ")";
             case 6 ->
-                "(matches " + typed(Type.STRING, d) + " " + quote(PATTERNS[random.nextInt(PATTERNS.length)]) + ")";
+                "(matches " + typed(Type.STRING, depth) + " " + quote(PATTERNS[random.nextInt(PATTERNS.length)]) + ")";
             case 7 -> "(present " + one("tenant", "group", "size", "load", "again") + ")";
             default -> {
                 Type t = Type.values()[random.nextInt(4)];
-                yield "(in " + typed(t, d) + " [" + literal(t) + " " + literal(t) + " " + literal(t) + "])";
+                yield "(in " + typed(t, depth) + " [" + literal(t) + " " + literal(t) + " " + literal(t) + "])";
             }
         };
     }
 
-    private String number(int d) {
+    private String integerCall(int depth) {
         return switch (random.nextInt(5)) {
-            case 0 -> "(length " + typed(Type.STRING, d) + ")";
-            case 1 -> "(integer " + typed(Type.DECIMAL, d) + ")";
+            case 0 -> "(length " + typed(Type.STRING, depth) + ")";
+            case 1 -> "(integer " + typed(Type.DECIMAL, depth) + ")";
             case 2 ->
                 random.nextBoolean()
-                        ? "(hash " + typed(Type.STRING, d) + ")"
-                        : "(bucket " + typed(Type.STRING, d) + " " + (1 + random.nextInt(100)) + ")";
-            default -> arithmetic(Type.INTEGER, d);
+                        ? "(hash " + typed(Type.STRING, depth) + ")"
+                        : "(bucket " + typed(Type.STRING, depth) + " " + (1 + random.nextInt(100)) + ")";
+            default -> arithmetic(Type.INTEGER, depth);
         };
     }
 
-    private String arithmetic(Type t, int d) {
-        String a = typed(t, d);
-        String b = typed(t, d);
+    private String arithmetic(Type t, int depth) {
+        String a = typed(t, depth);
+        String b = typed(t, depth);
         return switch (random.nextInt(5)) {
             case 0 -> "(- " + a + " " + b + ")";
-            case 1 -> "(" + (t == Type.INTEGER ? one("/", "mod") : "/") + " " + a + " " + b + " " + typed(t, d) + ")";
+            case 1 ->
+                "(" + (t == Type.INTEGER ? one("/", "mod") : "/") + " " + a + " " + b + " " + typed(t, depth) + ")";
             case 2 -> "(" + one("min", "max") + " " + a + " " + b + ")";
             default ->
-                "(" + one("+", "*") + " " + a + " " + b + (random.nextInt(3) == 0 ? " " + typed(t, d) : "") + ")";
+                "(" + one("+", "*") + " " + a + " " + b + (random.nextInt(3) == 0 ? " " + typed(t, depth) : "") + ")";
         };
     }
 
-    private String string(int d) {
+    private String stringCall(int depth) {
         return switch (random.nextInt(4)) {
-            case 0 -> "(concat " + typed(Type.STRING, d) + " " + typed(Type.STRING, d) + ")";
-            case 1 -> "(lower " + typed(Type.STRING, d) + ")";
-            case 2 -> "(string " + typed(Type.INTEGER, d) + ")";
+            case 0 -> "(concat " + typed(Type.STRING, depth) + " " + typed(Type.STRING, depth) + ")";
+            case 1 -> "(lower " + typed(Type.STRING, depth) + ")";
+            case 2 -> "(string " + typed(Type.INTEGER, depth) + ")";
             default ->
-                "(substring " + typed(Type.STRING, d) + " " + typed(Type.INTEGER, d) + " " + typed(Type.INTEGER, d)
-                        + ")";
+                "(substring " + typed(Type.STRING, depth) + " " + typed(Type.INTEGER, depth) + " "
+                        + typed(Type.INTEGER, depth) + ")";
         };
     }
 
@@ -223,9 +227,9 @@
     private String literal(Type type) {
         return switch (type) {
             case BOOLEAN -> random.nextBoolean() ? "true" : "false";
-            case INTEGER -> String.valueOf(whole());
-            case DECIMAL -> decimal(fraction());
-            default -> quote(text());
+            case INTEGER -> String.valueOf(integer());
+            case DECIMAL -> decimalText(decimal());
+            default -> quote(string());
         };
     }
 
--- a/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
+++ b/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
@@ -30,13 +30,13 @@
         return OperatorsFile.read("f", text.getBytes(StandardCharsets.UTF_8), names);
     }
 
-    private String wrong(String text) {
+    private String errors(String text) {
         return assertThrows(InvalidOperatorsFileException.class, () -> read(text))
                 .lines();
     }
 
     @Test
-    void theExampleIsReadWholeAndThePlatformsChangesNothing() {
+    void exampleIsReadAndThePlatformsFileChangesNothing() {
         OperatorsFile example = OperatorsFile.load(EXAMPLE, names);
         assertEquals(4433, example.quic().listen().getPort());
         assertEquals("s-2", example.quic().ids().get(0).servers().get("000002"));
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void theCasesOfTheExampleHoldAndWouldFailOtherwise() throws IOException {
+    void casesOfTheExamplePassAndFailWithOtherRules() throws IOException {
         CaseTable table = CaseTable.read("cases", Files.readAllBytes(Path.of("../example/cases.sexp")));
         assertEquals(List.of(), table.run(OperatorsFile.load(EXAMPLE, names), names));
         assertTrue(table.size() >= 6);
@@ -90,13 +90,13 @@
                 "(max-cost 5) (classify (rule r (when (matches key \"a+b\")) (group \"g\"))) | f:1:38: this may cost 1283 in all, over the max-cost of 5; most of it is (matches key \"a+b\")",
                 "(quic (listen \"here\")) | f:1:15: expected a numeric host:port, found here"
             })
-    void whatIsWrongIsSaidWithItsPlaceAndTheNearestName(String text, String want) {
-        String told = wrong(text);
-        assertTrue(told.contains(want.replace("\\n", "\n")), told);
+    void errorsAreReportedWithTheirPositionAndTheNearestName(String text, String expected) {
+        String errors = errors(text);
+        assertTrue(errors.contains(expected.replace("\\n", "\n")), errors);
     }
 
     @Test
-    void theQuicSectionIsCheckedAsAWhole() throws IOException {
+    void valuesOfTheQuicSectionAreChecked() throws IOException {
         String example = Files.readString(EXAMPLE);
         for (String[] change : new String[][] {
             {
@@ -114,17 +114,17 @@
             {"(use 1)", "(use 2)", "there is no (key 2 ...)"}
         }) {
             assertTrue(example.contains(change[0]), change[0]);
-            assertTrue(wrong(example.replace(change[0], change[1])).contains(change[2]), change[2]);
+            assertTrue(errors(example.replace(change[0], change[1])).contains(change[2]), change[2]);
         }
     }
 
     @Test
-    void allThatIsWrongIsToldAtOnceButNoMoreThanTwenty() {
+    void upToTwentyErrorsAreReportedTogether() {
         StringBuilder text = new StringBuilder("(pool a (where true))\n");
         for (int i = 0; i < 30; i++) {
             text.append("(route r" + i + " (when (= clas \"x\")) (to a))\n");
         }
-        String[] lines = wrong(text.toString()).split("\n");
+        String[] lines = errors(text.toString()).split("\n");
         assertEquals(21, lines.length);
         assertEquals("f:2:20: unknown name clas; did you mean class?", lines[0]);
         assertEquals("f: and 10 more", lines[20]);
@@ -134,25 +134,25 @@
     }
 
     @Test
-    void everyDefineIsCheckedUsedOrNot() {
+    void unusedDefinitionsAreChecked() {
         assertEquals(
                 "f:1:13: only values of one type can be equal: a string, an integer\n"
                         + "f:1:71: only values of one type can be equal: a string, an integer",
-                wrong("(define one (= \"a\" 1)) (define two (= member.zone \"z\")) (define three (= member.zone 2))"));
+                errors("(define one (= \"a\" 1)) (define two (= member.zone \"z\")) (define three (= member.zone 2))"));
     }
 
     /** Looking for the nearest name for each of these faults, told or not, took over ten minutes. */
     @Test
-    void aMegabyteOfFaultsIsToldInBoundedTime() {
+    void megabyteOfErrorsIsReportedInBoundedTime() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 20_000; i++) {
             text.append("(define name-" + i + " (= nothing-" + i + " \"" + i + "\"))\n");
         }
-        assertEquals(21, wrong(text.toString()).lines().count());
+        assertEquals(21, errors(text.toString()).lines().count());
     }
 
     @Property(tries = 400, seed = "31")
-    void aSpoiltFileIsReadOrRefusedWithPlaces(@ForAll long seed) throws IOException {
+    void corruptedFileIsReadOrRejectedWithPositions(@ForAll long seed) throws IOException {
         try {
             OperatorsFile.read("f", InputFuzzer.corrupt(Files.readAllBytes(EXAMPLE), seed), names);
         } catch (InvalidOperatorsFileException e) {
@@ -164,7 +164,7 @@
 
     /** Ten thousand rules over one attribute cost a transaction what one costs. */
     @Test
-    void manyRulesAreOneLookupAndTheTotalIsHeldToTheMaxCost() {
+    void manyRulesAreOneLookupAndTheirTotalIsLimitedByMaxCost() {
         StringBuilder rules = new StringBuilder("(max-cost 100) (classify\n");
         StringBuilder scans = new StringBuilder("(max-cost 100) (classify\n");
         for (int i = 0; i < 10_000; i++) {
@@ -175,6 +175,6 @@
         assertEquals(
                 "classify: 10000 rules, cost at most 8 a transaction",
                 read.explanation().lines().get(0));
-        assertTrue(wrong(scans + ")").contains("f:1:16: classify may cost a transaction "), "each alone is cheap");
+        assertTrue(errors(scans + ")").contains("f:1:16: classify may cost a transaction "), "each alone is cheap");
     }
 }
--- a/node/src/test/java/tulipshed/sexpr/SexprReaderTest.java
+++ b/node/src/test/java/tulipshed/sexpr/SexprReaderTest.java
@@ -16,16 +16,16 @@
 
 class SexprReaderTest {
     private static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(2 << 20, 200, 400_000);
-    private final Diagnostics problems = new Diagnostics("f");
+    private final Diagnostics diagnostics = new Diagnostics("f");
 
     private List<Form> read(String text) {
-        return SexprReader.read(text.getBytes(StandardCharsets.UTF_8), BOUNDS, problems);
+        return SexprReader.read(text.getBytes(StandardCharsets.UTF_8), BOUNDS, diagnostics);
     }
 
     @Test
-    void formsKnowTheirPlaces() {
+    void formsHaveTheirPositions() {
         List<Form> forms = read("; a comment\n(pool \"a\\\"b\\n\" -12 0.5\n  [x]) ; the end");
-        assertTrue(problems.none(), problems::toString);
+        assertTrue(diagnostics.none(), diagnostics::toString);
         Form.Sequence pool = (Form.Sequence) forms.get(0);
         assertEquals("pool", pool.head());
         assertEquals(
@@ -54,55 +54,55 @@
                 "1.2.3        | f:1:1: expected a number of 64 bits, found 1.2.3",
                 "{            | f:1:1: expected a form, found {"
             })
-    void whatIsWrongIsSaidWithItsPlace(String text, String want) {
+    void errorsAreReportedWithTheirPosition(String text, String expected) {
         read(text);
-        assertEquals(want, problems.toString());
+        assertEquals(expected, diagnostics.toString());
     }
 
     /** A reader that calls itself for each bracket would run out of stack here. */
     @Test
-    void aHundredThousandBracketsAreOneErrorAtTheBound() {
+    void nestingBeyondTheLimitIsOneError() {
         read("(".repeat(100_000) + ")".repeat(100_000));
-        assertEquals("f:1:201: brackets more than 200 deep", problems.toString());
+        assertEquals("f:1:201: brackets more than 200 deep", diagnostics.toString());
     }
 
     @Test
-    void sizesAreBounded() {
+    void sizeAndNumberOfFormsAreLimited() {
         assertEquals(List.of(), read(" ".repeat((2 << 20) + 1)));
-        assertEquals("f:1:1: the file has 2097153 bytes; at most 2097152 are read", problems.toString());
+        assertEquals("f:1:1: the file has 2097153 bytes; at most 2097152 are read", diagnostics.toString());
         Diagnostics forms = new Diagnostics("g");
         SexprReader.read("a ".repeat(400_001).getBytes(StandardCharsets.US_ASCII), BOUNDS, forms);
         assertTrue(forms.toString().endsWith("more than 400000 forms"), forms::toString);
     }
 
     @Property(tries = 500, seed = "21")
-    void binaryAndSpoiltFilesGiveProblemsOrForms(@ForAll long seed) {
+    void binaryAndCorruptedFilesGiveDiagnosticsOrForms(@ForAll long seed) {
         byte[] bytes = new byte[400];
         new Random(seed).nextBytes(bytes);
         Diagnostics binary = new Diagnostics("b");
         SexprReader.read(bytes, BOUNDS, binary);
         assertFalse(binary.none(), "400 random bytes are not UTF-8");
-        byte[] spoilt = InputFuzzer.corrupt(
+        byte[] corrupted = InputFuzzer.corrupt(
                 "(route a (when (= class \"x\")) (to p [1 2.5]))".getBytes(StandardCharsets.US_ASCII), seed);
-        Diagnostics p = new Diagnostics("s");
-        List<Form> forms = SexprReader.read(spoilt, BOUNDS, p);
-        assertTrue(!p.none() || !forms.isEmpty() || spoilt.length == 0 || spoilt[0] == ';');
+        Diagnostics ofCorrupted = new Diagnostics("s");
+        List<Form> forms = SexprReader.read(corrupted, BOUNDS, ofCorrupted);
+        assertTrue(!ofCorrupted.none() || !forms.isEmpty() || corrupted.length == 0 || corrupted[0] == ';');
     }
 
     @Test
-    void noMoreThanTwentyAreToldAndTheRestIsCounted() {
+    void firstTwentyErrorsAreReportedAndTheRestCounted() {
         for (int i = 30; i > 0; i--) {
-            problems.add(new SourcePosition(i, 1), "wrong");
+            diagnostics.add(new SourcePosition(i, 1), "wrong");
         }
-        problems.add(new SourcePosition(30, 1), "wrong");
-        String[] lines = problems.toString().split("\n");
+        diagnostics.add(new SourcePosition(30, 1), "wrong");
+        String[] lines = diagnostics.toString().split("\n");
         assertEquals(21, lines.length);
         assertEquals("f:11:1: wrong", lines[0], "in the order of their places");
         assertEquals("f: and 10 more", lines[20], "the same one twice counts once");
     }
 
     @Test
-    void theNearestNameIsTheOneMeant() {
+    void nearestKnownNameIsSuggested() {
         List<String> known = List.of("tenant", "class", "group", "deadline-ms");
         assertEquals("; did you mean tenant?", NameSuggestions.hint("tenat", known));
         assertEquals("; did you mean class?", NameSuggestions.hint("calss", known));
