--- a/emulator/src/main/java/tulipshed/emulator/cli/Experiment.java
+++ b/emulator/src/main/java/tulipshed/emulator/cli/Experiment.java
@@ -16,6 +16,7 @@
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
 import tulipshed.sexpr.NameSuggestions;
+import tulipshed.sexpr.ReaderLimits;
 import tulipshed.sexpr.SexprReader;
 
 /**
@@ -23,7 +24,7 @@
  * and for every seed.
  */
 final class Experiment {
-    private static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(1 << 18, 16, 5000);
+    private static final ReaderLimits BOUNDS = new ReaderLimits(1 << 18, 16, 5000);
     private static final List<String> KNOWN = List.of("scenario", "seeds", "first-seed", "vary", "draw", "set");
 
     /** One run that is to be done. */
@@ -103,13 +104,13 @@
     }
 
     private String text(Form f) {
-        if (f instanceof Form.Word w) {
+        if (f instanceof Form.Symbol w) {
             return w.name();
-        } else if (f instanceof Form.Text t) {
+        } else if (f instanceof Form.StringLiteral t) {
             return t.value();
-        } else if (f instanceof Form.Whole w) {
+        } else if (f instanceof Form.IntegerLiteral w) {
             return Long.toString(w.value());
-        } else if (f instanceof Form.Fraction d) {
+        } else if (f instanceof Form.DecimalLiteral d) {
             return Double.toString(d.value());
         }
         problems.add(f.place(), "expected a word, a text or a number, found " + f.describe());
@@ -117,7 +118,7 @@
     }
 
     private int whole(Form f) {
-        if (f instanceof Form.Whole w && w.value() > 0 && w.value() < 1_000_000) {
+        if (f instanceof Form.IntegerLiteral w && w.value() > 0 && w.value() < 1_000_000) {
             return (int) w.value();
         }
         problems.add(f.place(), "expected a number from 1 on, found " + f.describe());
--- a/emulator/src/main/java/tulipshed/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/ScenarioReader.java
@@ -21,11 +21,12 @@
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
 import tulipshed.sexpr.NameSuggestions;
+import tulipshed.sexpr.ReaderLimits;
 import tulipshed.sexpr.SexprReader;
 
 /** Reads scenario files; all that is wrong with one is told at once, each with its place. */
 public final class ScenarioReader {
-    private static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(1 << 20, 16, 20_000);
+    private static final ReaderLimits BOUNDS = new ReaderLimits(1 << 20, 16, 20_000);
     private static final double MINUTE = 60_000;
     private static final double DAY = 24 * 60 * MINUTE;
     /** What may go wrong; each with what its figures mean in docs/emulator.md. */
@@ -276,7 +277,7 @@
     private List<Trouble> troubles() {
         List<Trouble> out = new ArrayList<>();
         for (Form.Sequence s : top.lists("trouble")) {
-            if (s.items().size() < 2 || !(s.items().get(1) instanceof Form.Word w)) {
+            if (s.items().size() < 2 || !(s.items().get(1) instanceof Form.Symbol w)) {
                 problems.add(s.place(), "expected (trouble KIND (at-s N) ...)");
                 continue;
             }
--- a/emulator/src/main/java/tulipshed/emulator/scenario/Section.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/Section.java
@@ -57,9 +57,9 @@
                 return usual;
             }
             Form f = s.items().get(1);
-            if (f instanceof Form.Whole w) {
+            if (f instanceof Form.IntegerLiteral w) {
                 value = w.value();
-            } else if (f instanceof Form.Fraction w) {
+            } else if (f instanceof Form.DecimalLiteral w) {
                 value = w.value();
             } else {
                 problems.add(f.place(), "expected a number for " + name + ", found " + f.describe());
@@ -95,7 +95,7 @@
         Form.Sequence s = one(name);
         String value = overrides.take(path(name));
         if (value == null && s != null) {
-            value = s.items().size() == 2 && s.items().get(1) instanceof Form.Word w ? w.name() : "";
+            value = s.items().size() == 2 && s.items().get(1) instanceof Form.Symbol w ? w.name() : "";
         }
         if (value == null) {
             return usual;
@@ -124,7 +124,7 @@
         known.add(name);
         Map<String, Section> out = new LinkedHashMap<>();
         for (Form.Sequence s : entries.getOrDefault(name, List.of())) {
-            if (s.items().size() < 2 || !(s.items().get(1) instanceof Form.Word w)) {
+            if (s.items().size() < 2 || !(s.items().get(1) instanceof Form.Symbol w)) {
                 problems.add(s.place(), "expected (" + name + " NAME ...)");
             } else if (out.containsKey(w.name())) {
                 problems.add(w.place(), name + " " + w.name() + " is there twice");
--- a/node/src/main/java/tulipshed/cli/AttributeValues.java
+++ b/node/src/main/java/tulipshed/cli/AttributeValues.java
@@ -87,7 +87,7 @@
 
     private static void addAll(Schema schema, Schema added) {
         for (Attribute attribute : added.all()) {
-            schema.add(attribute.name(), attribute.type(), attribute.optional(), attribute.longest());
+            schema.add(attribute.name(), attribute.type(), attribute.optional(), attribute.maxLength());
         }
     }
 
@@ -131,11 +131,11 @@
     /** Returns the attribute as a declared one, whose values are read as those on the wire. */
     private static AttributeDeclarations declarationOf(Attribute attribute) {
         return new AttributeDeclarations(
-                Map.of(attribute.name(), new AttributeDeclaration(attribute.type(), attribute.longest())), 1, 1);
+                Map.of(attribute.name(), new AttributeDeclaration(attribute.type(), attribute.maxLength())), 1, 1);
     }
 
     private static MalformedInputException wrongType(Attribute attribute, String text) {
         return new MalformedInputException(text + " is not what " + attribute.name() + " can be: " + attribute.type()
-                + (attribute.type() == Type.STRING ? " of at most " + attribute.longest() + " characters" : ""));
+                + (attribute.type() == Type.STRING ? " of at most " + attribute.maxLength() + " characters" : ""));
     }
 }
--- a/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
+++ b/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
@@ -6,6 +6,7 @@
 import java.util.Optional;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
+import tulipshed.expression.CompiledExpression;
 import tulipshed.expression.CostModel;
 import tulipshed.expression.EvaluationFrame;
 import tulipshed.expression.Expression;
@@ -71,7 +72,7 @@
 
     private static void evaluate(Expression checked, AttributeValues values) {
         Program.Builder builder = new Program.Builder(values.schema());
-        Program.Value value = builder.value(checked);
+        CompiledExpression value = builder.value(checked);
         EvaluationFrame frame = builder.build().frame();
         frame.begin();
         values.setIn(frame, checked);
--- a/node/src/main/java/tulipshed/expression/Definition.java
+++ b/node/src/main/java/tulipshed/expression/Definition.java
@@ -45,7 +45,7 @@
         List<Form> items = isList ? ((Form.Sequence) signature).items() : List.of(signature);
         List<String> names = new ArrayList<>();
         for (Form item : items) {
-            if (!(item instanceof Form.Word word) || names.contains(word.name())) {
+            if (!(item instanceof Form.Symbol word) || names.contains(word.name())) {
                 diagnostics.add(item.place(), "expected a name of its own, found " + item.describe());
                 return null;
             }
--- a/node/src/main/java/tulipshed/expression/EvaluationFrame.java
+++ b/node/src/main/java/tulipshed/expression/EvaluationFrame.java
@@ -50,8 +50,8 @@
 
     /** Sets a string; longer than the attribute allows is the caller's fault and refused. */
     public void set(Attribute attribute, CharSequence value) {
-        if (value.length() > attribute.longest()) {
-            throw new IllegalArgumentException(attribute.name() + " is longer than " + attribute.longest());
+        if (value.length() > attribute.maxLength()) {
+            throw new IllegalArgumentException(attribute.name() + " is longer than " + attribute.maxLength());
         }
         strings[attribute.slot()] = value;
         present[attribute.slot()] = true;
--- a/node/src/main/java/tulipshed/expression/ExpressionInterner.java
+++ b/node/src/main/java/tulipshed/expression/ExpressionInterner.java
@@ -39,7 +39,7 @@
 
     Expression attribute(Attribute attribute, SourcePosition place) {
         Structure structure = new Structure(Operator.ATTRIBUTE, attribute.type(), attribute, List.of());
-        return intern(structure, attribute.longest(), place);
+        return intern(structure, attribute.maxLength(), place);
     }
 
     /** Returns the expression that tells whether an attribute has a value. */
--- a/node/src/main/java/tulipshed/expression/NetworkFunctions.java
+++ b/node/src/main/java/tulipshed/expression/NetworkFunctions.java
@@ -28,7 +28,7 @@
         List<Network> networks = new ArrayList<>();
         boolean valid = !address.isUnknown();
         for (Form item : items) {
-            Network network = item instanceof Form.Text text ? Network.parse(text.value()) : null;
+            Network network = item instanceof Form.StringLiteral text ? Network.parse(text.value()) : null;
             if (network == null) {
                 call.error(
                         item.place(),
--- a/node/src/main/java/tulipshed/expression/Program.java
+++ b/node/src/main/java/tulipshed/expression/Program.java
@@ -25,7 +25,7 @@
     public static final class Builder {
         private final Schema schema;
         private final ExpressionCompiler compiler = new ExpressionCompiler();
-        private final List<Value> values = new ArrayList<>();
+        private final List<CompiledExpression> values = new ArrayList<>();
         private final List<RuleTable> tables = new ArrayList<>();
 
         /** Creates a builder of a program over the attributes of this schema. */
@@ -34,9 +34,9 @@
         }
 
         /** Adds an expression to evaluate. */
-        public Value value(Expression expression) {
+        public CompiledExpression value(Expression expression) {
             expression.referenceCount++;
-            Value value = new Value(expression);
+            CompiledExpression value = new CompiledExpression(expression);
             values.add(value);
             return value;
         }
@@ -50,50 +50,9 @@
 
         /** Compiles all; nothing may be added afterwards. */
         public Program build() {
-            values.forEach(value -> value.node = compiler.compile(value.expression));
+            values.forEach(value -> value.compile(compiler));
             tables.forEach(table -> table.compile(compiler));
             return new Program(schema.size(), compiler.layout());
         }
     }
-
-    /** An expression that can be evaluated once its program is built. */
-    public static final class Value {
-        private final Expression expression;
-        private EvaluationNode node;
-
-        private Value(Expression expression) {
-            this.expression = expression;
-        }
-
-        /** Evaluates a boolean. */
-        public boolean booleanValue(EvaluationFrame frame) {
-            return node.booleanValue(frame);
-        }
-
-        /** Evaluates an integer. */
-        public long integerValue(EvaluationFrame frame) {
-            return node.integerValue(frame);
-        }
-
-        /** Evaluates a decimal. */
-        public double decimalValue(EvaluationFrame frame) {
-            return node.decimalValue(frame);
-        }
-
-        /** Evaluates a string, which is valid until the frame begins another evaluation. */
-        public CharSequence stringValue(EvaluationFrame frame) {
-            return node.stringValue(frame);
-        }
-
-        /** Evaluates to an object: Boolean, Long, Double or String. */
-        public Object boxedValue(EvaluationFrame frame) {
-            return switch (expression.type) {
-                case BOOLEAN -> node.booleanValue(frame);
-                case INTEGER -> node.integerValue(frame);
-                case DECIMAL -> node.decimalValue(frame);
-                case STRING -> node.stringValue(frame).toString();
-                default -> throw new IllegalStateException("an address has no value of its own");
-            };
-        }
-    }
 }
--- a/node/src/main/java/tulipshed/expression/RegexFunctions.java
+++ b/node/src/main/java/tulipshed/expression/RegexFunctions.java
@@ -36,7 +36,7 @@
             return call.syntaxError();
         }
         Expression string = call.typed(0, Type.STRING);
-        if (!(call.argument(1) instanceof Form.Text pattern)) {
+        if (!(call.argument(1) instanceof Form.StringLiteral pattern)) {
             return call.error(
                     1,
                     "expected a regular expression as it is, found "
--- a/node/src/main/java/tulipshed/expression/Schema.java
+++ b/node/src/main/java/tulipshed/expression/Schema.java
@@ -11,9 +11,9 @@
 public final class Schema {
     private final Map<String, Attribute> byName = new LinkedHashMap<>();
 
-    /** Adds an attribute; {@code longest} bounds the characters of a string and means nothing for other types. */
-    public Attribute add(String name, Type type, boolean optional, int longest) {
-        Attribute attribute = new Attribute(name, type, optional, longest, byName.size());
+    /** Adds an attribute; {@code maxLength} bounds the characters of a string and means nothing for other types. */
+    public Attribute add(String name, Type type, boolean optional, int maxLength) {
+        Attribute attribute = new Attribute(name, type, optional, maxLength, byName.size());
         if (byName.putIfAbsent(name, attribute) != null) {
             throw new IllegalArgumentException(name + " stands twice");
         }
--- a/node/src/main/java/tulipshed/expression/TypeChecker.java
+++ b/node/src/main/java/tulipshed/expression/TypeChecker.java
@@ -181,19 +181,19 @@
     }
 
     private Expression inferForm(Form form) {
-        if (form instanceof Form.Whole integer) {
+        if (form instanceof Form.IntegerLiteral integer) {
             return interner.literal(integer.value(), integer.place());
-        } else if (form instanceof Form.Fraction decimal) {
+        } else if (form instanceof Form.DecimalLiteral decimal) {
             return interner.literal(decimal.value(), decimal.place());
-        } else if (form instanceof Form.Text string) {
+        } else if (form instanceof Form.StringLiteral string) {
             return inferString(string);
-        } else if (form instanceof Form.Word word) {
+        } else if (form instanceof Form.Symbol word) {
             return inferName(word);
         }
         return inferSequence((Form.Sequence) form);
     }
 
-    private Expression inferString(Form.Text string) {
+    private Expression inferString(Form.StringLiteral string) {
         int length = string.value().length();
         if (length > CostModel.MAX_STRING_LENGTH) {
             return error(string.place(), "a text of " + length + " characters; at most " + CostModel.MAX_STRING_LENGTH);
@@ -201,7 +201,7 @@
         return interner.literal(string.value(), string.place());
     }
 
-    private Expression inferName(Form.Word word) {
+    private Expression inferName(Form.Symbol word) {
         String name = word.name();
         if (isBooleanLiteral(name)) {
             return interner.literal(name.equals(TRUE), word.place());
--- a/node/src/main/java/tulipshed/operators/AttributeDeclarationReader.java
+++ b/node/src/main/java/tulipshed/operators/AttributeDeclarationReader.java
@@ -76,7 +76,7 @@
                 || declaration.head() == null
                 || declaration.items().size() < 2
                 || declaration.items().size() > 3
-                || !(declaration.items().get(1) instanceof Form.Word typeName)) {
+                || !(declaration.items().get(1) instanceof Form.Symbol typeName)) {
             diagnostics.add(form.place(), "expected (NAME TYPE) or (NAME string LONGEST), found " + form.describe());
             return;
         }
@@ -98,14 +98,14 @@
                                 + ", of a string, found " + length.describe());
                 return;
             }
-            maxLength = (int) ((Form.Whole) length).value();
+            maxLength = (int) ((Form.IntegerLiteral) length).value();
         }
         declare(declaration, new AttributeDeclaration(type, maxLength));
     }
 
     private static boolean isStringLength(Type type, Form form) {
         return type == Type.STRING
-                && form instanceof Form.Whole length
+                && form instanceof Form.IntegerLiteral length
                 && length.value() >= 1
                 && length.value() <= CostModel.MAX_STRING_LENGTH;
     }
--- a/node/src/main/java/tulipshed/operators/CaseTableReader.java
+++ b/node/src/main/java/tulipshed/operators/CaseTableReader.java
@@ -59,7 +59,7 @@
         if (!(form instanceof Form.Sequence endpoint)
                 || endpoint.square()
                 || endpoint.items().isEmpty()
-                || !(endpoint.items().get(0) instanceof Form.Text id)) {
+                || !(endpoint.items().get(0) instanceof Form.StringLiteral id)) {
             diagnostics.add(form.place(), "expected (\"ID\" (zone \"Z\") ...), found " + form.describe());
             return;
         }
@@ -141,13 +141,13 @@
     }
 
     private static AttributeValue readValue(Form form) {
-        if (form instanceof Form.Text string) {
+        if (form instanceof Form.StringLiteral string) {
             return new AttributeValue.StringValue(string.value());
-        } else if (form instanceof Form.Whole integer) {
+        } else if (form instanceof Form.IntegerLiteral integer) {
             return new AttributeValue.IntegerValue(integer.value());
-        } else if (form instanceof Form.Fraction decimal) {
+        } else if (form instanceof Form.DecimalLiteral decimal) {
             return new AttributeValue.DecimalValue(decimal.value());
-        } else if (form instanceof Form.Word word) {
+        } else if (form instanceof Form.Symbol word) {
             return switch (word.name()) {
                 case "true" -> AttributeValue.BooleanValue.TRUE;
                 case "false" -> AttributeValue.BooleanValue.FALSE;
--- a/node/src/main/java/tulipshed/operators/ClassificationReader.java
+++ b/node/src/main/java/tulipshed/operators/ClassificationReader.java
@@ -4,6 +4,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import tulipshed.expression.CompiledExpression;
 import tulipshed.expression.Expression;
 import tulipshed.expression.Program;
 import tulipshed.expression.RuleTable;
@@ -54,7 +55,7 @@
                 builder.table(parsed.stream().map(ParsedRule::condition).toList(), checker.interner());
         List<ClassificationRule> rules = new ArrayList<>();
         for (ParsedRule rule : parsed) {
-            Program.Value group = rule.group() == null ? null : builder.value(rule.group());
+            CompiledExpression group = rule.group() == null ? null : builder.value(rule.group());
             rules.add(new ClassificationRule(rule.name(), rule.className(), rule.tenant(), group));
         }
         Program program = builder.build();
--- a/node/src/main/java/tulipshed/operators/ConnectionIdSectionReader.java
+++ b/node/src/main/java/tulipshed/operators/ConnectionIdSectionReader.java
@@ -73,8 +73,8 @@
             if (!(item instanceof Form.Sequence pair)
                     || pair.square()
                     || pair.items().size() != 2
-                    || !(pair.items().get(0) instanceof Form.Text endpoint)
-                    || !(pair.items().get(1) instanceof Form.Text serverId)) {
+                    || !(pair.items().get(0) instanceof Form.StringLiteral endpoint)
+                    || !(pair.items().get(1) instanceof Form.StringLiteral serverId)) {
                 diagnostics.add(item.place(), "expected (\"MEMBER\" \"SERVER ID\"), found " + item.describe());
                 continue;
             }
--- a/node/src/main/java/tulipshed/operators/FormValues.java
+++ b/node/src/main/java/tulipshed/operators/FormValues.java
@@ -11,9 +11,9 @@
 
     /** Returns a name, which is a symbol or a string that is not empty; null, reported, for other forms. */
     static String name(Form form, Diagnostics diagnostics) {
-        if (form instanceof Form.Word word) {
+        if (form instanceof Form.Symbol word) {
             return word.name();
-        } else if (form instanceof Form.Text string && !string.value().isEmpty()) {
+        } else if (form instanceof Form.StringLiteral string && !string.value().isEmpty()) {
             return string.value();
         }
         diagnostics.add(form.place(), "expected a name, found " + form.describe());
@@ -32,10 +32,10 @@
 
     /** Returns a number, or NaN for other forms. */
     static double number(Form form) {
-        if (form instanceof Form.Fraction decimal) {
+        if (form instanceof Form.DecimalLiteral decimal) {
             return decimal.value();
         }
-        return form instanceof Form.Whole integer ? integer.value() : Double.NaN;
+        return form instanceof Form.IntegerLiteral integer ? integer.value() : Double.NaN;
     }
 
     /** Returns the bytes of a string of hexadecimal digits; null, reported, for another string. */
--- a/node/src/main/java/tulipshed/operators/OperatorsFile.java
+++ b/node/src/main/java/tulipshed/operators/OperatorsFile.java
@@ -9,6 +9,7 @@
 import tulipshed.routing.Router;
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
+import tulipshed.sexpr.ReaderLimits;
 import tulipshed.sexpr.SexprReader;
 
 /**
@@ -21,7 +22,7 @@
  */
 public record OperatorsFile(Router router, QuicSection quic, Explanation explanation) {
     /** The limits of a file. */
-    public static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(2 * 1024 * 1024, 200, 200_000);
+    public static final ReaderLimits BOUNDS = new ReaderLimits(2 * 1024 * 1024, 200, 200_000);
 
     /** The content of an empty file. */
     public static final OperatorsFile EMPTY = new OperatorsFile(null, null, new Explanation());
--- a/node/src/main/java/tulipshed/operators/PoolReader.java
+++ b/node/src/main/java/tulipshed/operators/PoolReader.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import tulipshed.expression.CompiledExpression;
 import tulipshed.expression.Expression;
 import tulipshed.expression.Program;
 import tulipshed.expression.Type;
@@ -52,7 +53,7 @@
             return null;
         }
         Program.Builder builder = new Program.Builder(schema.schema());
-        Map<String, Program.Value> compiled = new LinkedHashMap<>();
+        Map<String, CompiledExpression> compiled = new LinkedHashMap<>();
         conditionByPool.forEach((name, condition) -> compiled.put(name, builder.value(condition)));
         Program program = builder.build();
         explain();
--- a/node/src/main/java/tulipshed/operators/RetrySectionReader.java
+++ b/node/src/main/java/tulipshed/operators/RetrySectionReader.java
@@ -44,10 +44,10 @@
         Map<Integer, byte[]> keys = new TreeMap<>();
         for (Form.Sequence form : SectionFields.repeated(section, FieldNames.KEY)) {
             if (form.items().size() != 3
-                    || !(form.items().get(1) instanceof Form.Whole number)
+                    || !(form.items().get(1) instanceof Form.IntegerLiteral number)
                     || number.value() < 0
                     || number.value() > MAX_KEY_NUMBER
-                    || !(form.items().get(2) instanceof Form.Text hexadecimal)) {
+                    || !(form.items().get(2) instanceof Form.StringLiteral hexadecimal)) {
                 diagnostics.add(form.place(), "expected (key NUMBER \"HEX\") with a number from 0 to 255");
                 continue;
             }
--- a/node/src/main/java/tulipshed/operators/RouteReader.java
+++ b/node/src/main/java/tulipshed/operators/RouteReader.java
@@ -4,6 +4,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import tulipshed.expression.CompiledExpression;
 import tulipshed.expression.Expression;
 import tulipshed.expression.Program;
 import tulipshed.expression.RuleTable;
@@ -58,7 +59,7 @@
                 builder.table(parsed.stream().map(ParsedRoute::condition).toList(), checker.interner());
         List<RouteDefinition> definitions = new ArrayList<>();
         for (ParsedRoute route : parsed) {
-            Program.Value splitPoint = route.splitPoint() == null ? null : builder.value(route.splitPoint());
+            CompiledExpression splitPoint = route.splitPoint() == null ? null : builder.value(route.splitPoint());
             definitions.add(new RouteDefinition(route.name(), splitPoint, route.weights(), route.branches()));
         }
         Program program = builder.build();
@@ -102,7 +103,7 @@
 
     private Expression parseCondition(Form.Sequence section, SectionFields fields) {
         Form when =
-                fields.has(FieldNames.WHEN) ? fields.value(FieldNames.WHEN) : new Form.Word("true", section.place());
+                fields.has(FieldNames.WHEN) ? fields.value(FieldNames.WHEN) : new Form.Symbol("true", section.place());
         return when == null ? null : checker.check(when, Type.BOOLEAN);
     }
 
@@ -118,7 +119,7 @@
             if (!(item instanceof Form.Sequence branch)
                     || branch.square()
                     || branch.items().size() < 2
-                    || !(branch.items().get(0) instanceof Form.Whole weight)
+                    || !(branch.items().get(0) instanceof Form.IntegerLiteral weight)
                     || weight.value() < 0
                     || weight.value() > MAX_WEIGHT) {
                 diagnostics.add(
@@ -143,7 +144,8 @@
     /** Returns {@code (bucket STRING TOTAL_WEIGHT)}, whose value lies in the range of one branch. */
     private static Form bucketCall(Form string, long totalWeight) {
         SourcePosition place = string.place();
-        List<Form> items = List.of(new Form.Word("bucket", place), string, new Form.Whole(totalWeight, place));
+        List<Form> items =
+                List.of(new Form.Symbol("bucket", place), string, new Form.IntegerLiteral(totalWeight, place));
         return new Form.Sequence(items, false, place);
     }
 
--- a/node/src/main/java/tulipshed/operators/SectionFields.java
+++ b/node/src/main/java/tulipshed/operators/SectionFields.java
@@ -107,7 +107,7 @@
     /** Returns a string; null, reported, where there is none. */
     String string(String name) {
         Form value = value(name);
-        if (value instanceof Form.Text string) {
+        if (value instanceof Form.StringLiteral string) {
             return string.value();
         }
         if (value != null) {
@@ -119,7 +119,7 @@
     /** Returns an integer from {@code min} to {@code max}; {@code fallback}, reported, where there is none. */
     long integer(String name, long min, long max, long fallback) {
         Form value = value(name);
-        if (value instanceof Form.Whole integer && integer.value() >= min && integer.value() <= max) {
+        if (value instanceof Form.IntegerLiteral integer && integer.value() >= min && integer.value() <= max) {
             return integer.value();
         }
         if (value != null) {
--- a/node/src/main/java/tulipshed/routing/ClassificationRule.java
+++ b/node/src/main/java/tulipshed/routing/ClassificationRule.java
@@ -1,6 +1,6 @@
 package tulipshed.routing;
 
-import tulipshed.expression.Program;
+import tulipshed.expression.CompiledExpression;
 
 /**
  * What one classification rule assigns; null keeps what the request came with.
@@ -10,4 +10,4 @@
  * @param tenant the name of the tenant, or null
  * @param group the expression that computes the affinity group, or null; an empty string means no group
  */
-public record ClassificationRule(String name, String className, String tenant, Program.Value group) {}
+public record ClassificationRule(String name, String className, String tenant, CompiledExpression group) {}
--- a/node/src/main/java/tulipshed/routing/PoolMembership.java
+++ b/node/src/main/java/tulipshed/routing/PoolMembership.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import tulipshed.decision.api.EndpointInfo;
+import tulipshed.expression.CompiledExpression;
 import tulipshed.expression.EvaluationFrame;
 import tulipshed.expression.Program;
 
@@ -16,7 +17,7 @@
  */
 public final class PoolMembership {
     private final EndpointSchema schema;
-    private final Map<String, Program.Value> conditionByPool;
+    private final Map<String, CompiledExpression> conditionByPool;
     private final boolean dependsOnAge;
     private final EvaluationFrame frame;
     private Map<String, Set<String>> endpointIdsByPool = new LinkedHashMap<>();
@@ -29,7 +30,10 @@
      * @param program the program of the conditions, which is complete
      */
     public PoolMembership(
-            EndpointSchema schema, Map<String, Program.Value> conditionByPool, boolean dependsOnAge, Program program) {
+            EndpointSchema schema,
+            Map<String, CompiledExpression> conditionByPool,
+            boolean dependsOnAge,
+            Program program) {
         this.schema = schema;
         this.conditionByPool = new LinkedHashMap<>(conditionByPool);
         this.dependsOnAge = dependsOnAge;
--- a/node/src/main/java/tulipshed/routing/RequestSchema.java
+++ b/node/src/main/java/tulipshed/routing/RequestSchema.java
@@ -112,7 +112,7 @@
         Type type = attribute.type();
         if (value instanceof StringValue string
                 && type == Type.STRING
-                && string.value().length() <= attribute.longest()) {
+                && string.value().length() <= attribute.maxLength()) {
             frame.set(attribute, string.value());
         } else if (value instanceof IntegerValue integer && type == Type.INTEGER) {
             frame.set(attribute, integer.value());
@@ -127,9 +127,9 @@
 
     /** Whether the strings of a request keep the lengths that expressions rely on; frontends check them on arrival. */
     boolean fits(RequestAttributes request) {
-        return request.className().length() <= requestClass.longest()
-                && request.key().length() <= key.longest()
-                && (request.tenant() == null || request.tenant().length() <= tenant.longest())
-                && (request.group() == null || request.group().length() <= group.longest());
+        return request.className().length() <= requestClass.maxLength()
+                && request.key().length() <= key.maxLength()
+                && (request.tenant() == null || request.tenant().length() <= tenant.maxLength())
+                && (request.group() == null || request.group().length() <= group.maxLength());
     }
 }
--- a/node/src/main/java/tulipshed/routing/Route.java
+++ b/node/src/main/java/tulipshed/routing/Route.java
@@ -1,14 +1,14 @@
 package tulipshed.routing;
 
 import java.util.List;
+import tulipshed.expression.CompiledExpression;
 import tulipshed.expression.EvaluationFrame;
-import tulipshed.expression.Program;
 
 /** One route with the pools that its branches use now. */
 final class Route {
     private final String name;
     /** Null for a route of a single branch. */
-    private final Program.Value splitPoint;
+    private final CompiledExpression splitPoint;
     /** The split point at which each branch ends, exclusively. */
     private final long[] branchEnds;
 
--- a/node/src/main/java/tulipshed/routing/RouteDefinition.java
+++ b/node/src/main/java/tulipshed/routing/RouteDefinition.java
@@ -1,7 +1,7 @@
 package tulipshed.routing;
 
 import java.util.List;
-import tulipshed.expression.Program;
+import tulipshed.expression.CompiledExpression;
 
 /**
  * A route as the operators define it: one branch of pools, or a weighted split into several.
@@ -13,4 +13,4 @@
  * @param branches the pools of each branch, in order of preference
  */
 public record RouteDefinition(
-        String name, Program.Value splitPoint, List<Integer> weights, List<List<PoolTarget>> branches) {}
+        String name, CompiledExpression splitPoint, List<Integer> weights, List<List<PoolTarget>> branches) {}
--- a/node/src/main/java/tulipshed/sexpr/Form.java
+++ b/node/src/main/java/tulipshed/sexpr/Form.java
@@ -11,7 +11,7 @@
     String describe();
 
     /** A name or an operator. */
-    record Word(String name, SourcePosition place) implements Form {
+    record Symbol(String name, SourcePosition place) implements Form {
         @Override
         public String describe() {
             return "the word " + Form.abridge(name);
@@ -19,7 +19,7 @@
     }
 
     /** A string in double quotes, with its escapes replaced. */
-    record Text(String value, SourcePosition place) implements Form {
+    record StringLiteral(String value, SourcePosition place) implements Form {
         @Override
         public String describe() {
             return "the text \"" + Form.abridge(value) + "\"";
@@ -27,7 +27,7 @@
     }
 
     /** An integer of 64 bits. */
-    record Whole(long value, SourcePosition place) implements Form {
+    record IntegerLiteral(long value, SourcePosition place) implements Form {
         @Override
         public String describe() {
             return "the number " + value;
@@ -35,7 +35,7 @@
     }
 
     /** A number with a decimal point. */
-    record Fraction(double value, SourcePosition place) implements Form {
+    record DecimalLiteral(double value, SourcePosition place) implements Form {
         @Override
         public String describe() {
             return "the number " + value;
@@ -57,7 +57,7 @@
 
         /** Returns the symbol that a sequence in round brackets begins with, or null. */
         public String head() {
-            return !square && !items.isEmpty() && items.get(0) instanceof Word word ? word.name() : null;
+            return !square && !items.isEmpty() && items.get(0) instanceof Symbol symbol ? symbol.name() : null;
         }
     }
 
--- a/node/src/main/java/tulipshed/sexpr/SexprLexer.java
+++ b/node/src/main/java/tulipshed/sexpr/SexprLexer.java
@@ -82,7 +82,7 @@
             char next = text.charAt(index);
             if (next == '"') {
                 index++;
-                return new Token.Atom(new Form.Text(value.toString(), start));
+                return new Token.Atom(new Form.StringLiteral(value.toString(), start));
             }
             if (next < ' ') {
                 break;
@@ -110,7 +110,7 @@
             index++;
         }
         String word = text.substring(start, index);
-        return startsNumber(word) ? parseNumber(word, place) : new Form.Word(word, place);
+        return startsNumber(word) ? parseNumber(word, place) : new Form.Symbol(word, place);
     }
 
     private static boolean startsNumber(String word) {
@@ -122,12 +122,12 @@
     private Form parseNumber(String word, SourcePosition place) {
         try {
             return word.indexOf('.') < 0
-                    ? new Form.Whole(Long.parseLong(word), place)
-                    : new Form.Fraction(parseDecimal(word), place);
+                    ? new Form.IntegerLiteral(Long.parseLong(word), place)
+                    : new Form.DecimalLiteral(parseDecimal(word), place);
         } catch (NumberFormatException e) {
             String shown = word.length() > MAX_SHOWN_NUMBER_LENGTH ? word.length() + " characters" : word;
             diagnostics.add(place, "expected a number of 64 bits, found " + shown);
-            return new Form.Whole(0, place);
+            return new Form.IntegerLiteral(0, place);
         }
     }
 
--- a/node/src/main/java/tulipshed/sexpr/SexprReader.java
+++ b/node/src/main/java/tulipshed/sexpr/SexprReader.java
@@ -15,36 +15,27 @@
  */
 public final class SexprReader {
     private final SexprLexer lexer;
-    private final Bounds bounds;
+    private final ReaderLimits limits;
     private final Diagnostics diagnostics;
     private final List<Form> topLevel = new ArrayList<>();
     private final ArrayDeque<OpenSequence> open = new ArrayDeque<>();
     private int formCount;
     private boolean failed;
 
-    /**
-     * The limits of a file.
-     *
-     * @param bytes its size
-     * @param depth how deep brackets are nested
-     * @param forms the number of forms
-     */
-    public record Bounds(int bytes, int depth, int forms) {}
-
     private record OpenSequence(SourcePosition place, boolean square, List<Form> items) {}
 
-    private SexprReader(String text, Bounds bounds, Diagnostics diagnostics) {
+    private SexprReader(String text, ReaderLimits limits, Diagnostics diagnostics) {
         this.lexer = new SexprLexer(text, diagnostics);
-        this.bounds = bounds;
+        this.limits = limits;
         this.diagnostics = diagnostics;
     }
 
     /** Returns the forms of a file in UTF-8; errors are reported, and the forms before the first are returned. */
-    public static List<Form> read(byte[] file, Bounds bounds, Diagnostics diagnostics) {
-        if (file.length > bounds.bytes()) {
+    public static List<Form> read(byte[] file, ReaderLimits limits, Diagnostics diagnostics) {
+        if (file.length > limits.bytes()) {
             diagnostics.add(
                     SourcePosition.START,
-                    "the file has " + file.length + " bytes; at most " + bounds.bytes() + " are read");
+                    "the file has " + file.length + " bytes; at most " + limits.bytes() + " are read");
             return List.of();
         }
         String text;
@@ -59,7 +50,7 @@
             diagnostics.add(SourcePosition.START, "the file is not text in UTF-8");
             return List.of();
         }
-        SexprReader reader = new SexprReader(text, bounds, diagnostics);
+        SexprReader reader = new SexprReader(text, limits, diagnostics);
         reader.parse();
         return reader.topLevel;
     }
@@ -83,8 +74,8 @@
     }
 
     private void open(Token.Open bracket) {
-        if (open.size() >= bounds.depth()) {
-            fail(bracket.place(), "brackets more than " + bounds.depth() + " deep");
+        if (open.size() >= limits.depth()) {
+            fail(bracket.place(), "brackets more than " + limits.depth() + " deep");
             return;
         }
         open.push(new OpenSequence(bracket.place(), bracket.square(), new ArrayList<>(4)));
@@ -116,8 +107,8 @@
     }
 
     private void add(Form form) {
-        if (++formCount > bounds.forms()) {
-            fail(form.place(), "more than " + bounds.forms() + " forms");
+        if (++formCount > limits.forms()) {
+            fail(form.place(), "more than " + limits.forms() + " forms");
             return;
         }
         (open.isEmpty() ? topLevel : open.peek().items()).add(form);
--- a/node/src/test/java/tulipshed/benchmark/ExpressionBenchmark.java
+++ b/node/src/test/java/tulipshed/benchmark/ExpressionBenchmark.java
@@ -40,6 +40,7 @@
 import tulipshed.expression.TypeChecker;
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
+import tulipshed.sexpr.ReaderLimits;
 import tulipshed.sexpr.SexprReader;
 
 /** The first of many rules that holds: ours, CEL and JEXL on the same rules, of which the last holds. */
@@ -94,7 +95,7 @@
         List<Expression> conditions = new ArrayList<>();
         for (Form f : SexprReader.read(
                 text.toString().getBytes(StandardCharsets.US_ASCII),
-                new SexprReader.Bounds(4 << 20, 100, 400_000),
+                new ReaderLimits(4 << 20, 100, 400_000),
                 problems)) {
             conditions.add(checker.check(f, Type.BOOLEAN));
         }
--- a/node/src/test/java/tulipshed/expression/ExpressionFuzzTest.java
+++ b/node/src/test/java/tulipshed/expression/ExpressionFuzzTest.java
@@ -13,6 +13,7 @@
 import net.jqwik.api.ShrinkingMode;
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
+import tulipshed.sexpr.ReaderLimits;
 import tulipshed.sexpr.SexprReader;
 
 /**
@@ -21,7 +22,7 @@
  */
 class ExpressionFuzzTest {
     private static final int INPUTS = 10 * Integer.getInteger("fuzz.times", 1);
-    private static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(1 << 20, 100, 100_000);
+    private static final ReaderLimits BOUNDS = new ReaderLimits(1 << 20, 100, 100_000);
 
     private static Form form(String text) {
         Diagnostics diagnostics = new Diagnostics("test");
@@ -65,7 +66,7 @@
     private static void compare(
             RandomExpressions random, Schema schema, Form form, String text, Expression expression) {
         Program.Builder builder = new Program.Builder(schema);
-        Program.Value value = builder.value(expression);
+        CompiledExpression value = builder.value(expression);
         EvaluationFrame frame = builder.build().frame();
         long bound = new CostModel().bound(expression);
         for (int i = 0; i < INPUTS; i++) {
--- a/node/src/test/java/tulipshed/expression/ExpressionTest.java
+++ b/node/src/test/java/tulipshed/expression/ExpressionTest.java
@@ -17,10 +17,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
+import tulipshed.sexpr.ReaderLimits;
 import tulipshed.sexpr.SexprReader;
 
 class ExpressionTest {
-    private static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(8 << 20, 200, 900_000);
+    private static final ReaderLimits BOUNDS = new ReaderLimits(8 << 20, 200, 900_000);
     private final Schema schema = new Schema();
     private final Attribute requestClass = schema.add("class", Type.STRING, false, 64);
     private final Attribute key = schema.add("key", Type.STRING, false, 4000);
@@ -64,7 +65,7 @@
         Expression expression = infer(text);
         assertNotNull(expression, diagnostics::toString);
         Program.Builder builder = new Program.Builder(schema);
-        Program.Value value = builder.value(expression);
+        CompiledExpression value = builder.value(expression);
         return value.boxedValue(fill(builder.build(), "gate", "k-17", "melnik", 7L, "10.1.2.3"));
     }
 
@@ -199,7 +200,7 @@
     @Test
     void addingABucketMovesStringsOnlyToTheNewOne() {
         Program.Builder builder = new Program.Builder(schema);
-        List<Program.Value> buckets = new ArrayList<>();
+        List<CompiledExpression> buckets = new ArrayList<>();
         for (int n = 1; n <= 40; n++) {
             buckets.add(builder.value(infer("(bucket key " + n + ")")));
         }
--- a/node/src/test/java/tulipshed/expression/ReferenceInterpreter.java
+++ b/node/src/test/java/tulipshed/expression/ReferenceInterpreter.java
@@ -36,13 +36,13 @@
     }
 
     private Object value(Form form, Map<String, Object> scope) {
-        if (form instanceof Form.Whole integer) {
+        if (form instanceof Form.IntegerLiteral integer) {
             return integer.value();
-        } else if (form instanceof Form.Fraction decimal) {
+        } else if (form instanceof Form.DecimalLiteral decimal) {
             return decimal.value();
-        } else if (form instanceof Form.Text string) {
+        } else if (form instanceof Form.StringLiteral string) {
             return string.value();
-        } else if (form instanceof Form.Word word) {
+        } else if (form instanceof Form.Symbol word) {
             return named(word.name(), scope);
         }
         List<Form> items = ((Form.Sequence) form).items();
@@ -123,7 +123,7 @@
         Map<String, Object> inner = new HashMap<>(scope);
         for (Form form : ((Form.Sequence) arguments.get(0)).items()) {
             List<Form> binding = ((Form.Sequence) form).items();
-            inner.put(((Form.Word) binding.get(0)).name(), value(binding.get(1), scope));
+            inner.put(((Form.Symbol) binding.get(0)).name(), value(binding.get(1), scope));
         }
         return value(arguments.get(1), inner);
     }
--- a/node/src/test/java/tulipshed/sexpr/SexprReaderTest.java
+++ b/node/src/test/java/tulipshed/sexpr/SexprReaderTest.java
@@ -15,7 +15,7 @@
 import tulipshed.testing.InputFuzzer;
 
 class SexprReaderTest {
-    private static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(2 << 20, 200, 400_000);
+    private static final ReaderLimits BOUNDS = new ReaderLimits(2 << 20, 200, 400_000);
     private final Diagnostics diagnostics = new Diagnostics("f");
 
     private List<Form> read(String text) {
@@ -29,11 +29,14 @@
         Form.Sequence pool = (Form.Sequence) forms.get(0);
         assertEquals("pool", pool.head());
         assertEquals(
-                new Form.Text("a\"b\n", new SourcePosition(2, 7)), pool.items().get(1));
+                new Form.StringLiteral("a\"b\n", new SourcePosition(2, 7)),
+                pool.items().get(1));
         assertEquals(
-                new Form.Whole(-12, new SourcePosition(2, 16)), pool.items().get(2));
+                new Form.IntegerLiteral(-12, new SourcePosition(2, 16)),
+                pool.items().get(2));
         assertEquals(
-                new Form.Fraction(0.5, new SourcePosition(2, 20)), pool.items().get(3));
+                new Form.DecimalLiteral(0.5, new SourcePosition(2, 20)),
+                pool.items().get(3));
         Form.Sequence list = (Form.Sequence) pool.items().get(4);
         assertTrue(list.square());
         assertEquals(new SourcePosition(3, 3), list.place());
