--- a/node/src/main/java/tulipshed/expression/ComparisonFunctions.java
+++ b/node/src/main/java/tulipshed/expression/ComparisonFunctions.java
@@ -35,8 +35,8 @@
         }
         Expression first = call.value(0);
         Expression second = call.value(1);
-        Expression left = call.checker().convert(first, second.type);
-        Expression right = call.checker().convert(second, first.type);
+        Expression left = call.inference().convert(first, second.type);
+        Expression right = call.inference().convert(second, first.type);
         if (Expression.anyUnknown(left, right)) {
             return call.unknown();
         }
--- a/node/src/main/java/tulipshed/expression/CostModel.java
+++ b/node/src/main/java/tulipshed/expression/CostModel.java
@@ -64,8 +64,8 @@
         long sum = expression.operator.cost(expression);
         if (expression.operator == Operator.IF) {
             sum = SaturatingMath.add(sum, reference(expression.argument(0)));
-            long dearerBranch = Math.max(reference(expression.argument(1)), reference(expression.argument(2)));
-            sum = SaturatingMath.add(sum, dearerBranch);
+            long costlierBranch = Math.max(reference(expression.argument(1)), reference(expression.argument(2)));
+            sum = SaturatingMath.add(sum, costlierBranch);
         } else {
             for (Expression argument : expression.arguments) {
                 sum = SaturatingMath.add(sum, reference(argument));
--- a/node/src/main/java/tulipshed/expression/DefinitionExpander.java
+++ b/node/src/main/java/tulipshed/expression/DefinitionExpander.java
@@ -12,15 +12,15 @@
  * twice cost no more than their length; one that uses itself is an error.
  */
 final class DefinitionExpander {
-    private final TypeChecker checker;
+    private final TypeInference inference;
     private final Map<Use, Expression> expansions = new HashMap<>();
     private final Set<String> inProgress = new LinkedHashSet<>();
     private int count;
 
     private record Use(String name, List<Expression> arguments) {}
 
-    DefinitionExpander(TypeChecker checker) {
-        this.checker = checker;
+    DefinitionExpander(TypeInference inference) {
+        this.inference = inference;
     }
 
     /** Returns how many expansions were made, other than from memory. */
@@ -37,7 +37,7 @@
             return known;
         }
         if (!inProgress.add(name)) {
-            return checker.error(
+            return inference.error(
                     place, name + " is defined by itself: " + String.join(" -> ", inProgress) + " -> " + name);
         }
         count++;
@@ -47,7 +47,7 @@
         }
         Expression expansion;
         try {
-            expansion = checker.inferDefinitionBody(parameters, definition.body());
+            expansion = inference.inferDefinitionBody(parameters, definition.body());
         } finally {
             inProgress.remove(name);
         }
--- a/node/src/main/java/tulipshed/expression/EvaluationFrame.java
+++ b/node/src/main/java/tulipshed/expression/EvaluationFrame.java
@@ -4,24 +4,31 @@
 import java.util.Arrays;
 
 /**
- * The attributes of one transaction or member, and room for what is worked out of them. Made once by
- * {@link Program#frame} and filled again for each; not for two threads at a time. Texts that an expression gives lie in
- * this room and hold only until the next {@link #begin}.
+ * The attributes of one request or endpoint, and the working storage of the evaluations. Made once by
+ * {@link Program#frame} and filled again for each; confined to one thread. A string that an expression gives is valid
+ * only until the next {@link #begin}.
  */
 public final class EvaluationFrame {
+    // By the slot of the attribute.
     final long[] integers;
     final double[] decimals;
     final CharSequence[] strings;
     final long[] addressHighBits;
     final boolean[] present;
+
+    // By cache slot; a value is valid in the generation in which it was cached.
     final long[] cachedGenerations;
     final long[] cachedIntegers;
     final double[] cachedDecimals;
     final CharSequence[] cachedStrings;
+
     final ReusableStringBuffer[] buffers;
     final Matcher[] matchers;
+
+    // The lists of candidate rules that a rule table merges, and how far it has read each.
     final int[][] lists;
     final int[] cursors;
+
     long generation;
     long spent;
 
@@ -41,14 +48,18 @@
         cursors = new int[lists];
     }
 
-    /** Begins another transaction: all attributes are missing, nothing is worked out yet, nothing is spent. */
+    /** Begins another request or endpoint: no attribute has a value, no value is cached, nothing is spent. */
     public void begin() {
         generation++;
         spent = 0;
         Arrays.fill(present, false);
     }
 
-    /** Sets a string; longer than the attribute allows is the caller's fault and refused. */
+    /**
+     * Sets a string.
+     *
+     * @throws IllegalArgumentException if it is longer than the attribute declares, on which cost bounds rely
+     */
     public void set(Attribute attribute, CharSequence value) {
         if (value.length() > attribute.maxLength()) {
             throw new IllegalArgumentException(attribute.name() + " is longer than " + attribute.maxLength());
@@ -74,13 +85,13 @@
         set(attribute, value ? 1L : 0L);
     }
 
-    /** Sets an address: the 128 bits of IPv6, an IPv4 address mapped as RFC 4291 section 2.5.5.2 has it. */
+    /** Sets an address: the 128 bits of IPv6; an IPv4 address is mapped to IPv6 (RFC 4291, section 2.5.5.2). */
     public void set(Attribute attribute, long highBits, long lowBits) {
         addressHighBits[attribute.slot()] = highBits;
         set(attribute, lowBits);
     }
 
-    /** What was spent since {@link #begin}, in the unit of {@link CostModel}. */
+    /** Returns what evaluations cost since {@link #begin}, in units of {@link CostModel}. */
     public long spent() {
         return spent;
     }
--- a/node/src/main/java/tulipshed/expression/FunctionCall.java
+++ b/node/src/main/java/tulipshed/expression/FunctionCall.java
@@ -9,13 +9,13 @@
     private final BuiltinFunction function;
     private final Form.Sequence form;
     private final List<Form> arguments;
-    private final TypeChecker checker;
+    private final TypeInference inference;
 
-    FunctionCall(BuiltinFunction function, Form.Sequence form, TypeChecker checker) {
+    FunctionCall(BuiltinFunction function, Form.Sequence form, TypeInference inference) {
         this.function = function;
         this.form = form;
         this.arguments = form.items().subList(1, form.items().size());
-        this.checker = checker;
+        this.inference = inference;
     }
 
     String name() {
@@ -39,17 +39,17 @@
         return arguments;
     }
 
-    TypeChecker checker() {
-        return checker;
+    TypeInference inference() {
+        return inference;
     }
 
     ExpressionInterner interner() {
-        return checker.interner();
+        return inference.interner();
     }
 
     /** Checks an argument that must not be missing. */
     Expression value(int index) {
-        return checker.inferRequired(arguments.get(index));
+        return inference.inferRequired(arguments.get(index));
     }
 
     /** Checks an argument that must be of one type. */
@@ -64,7 +64,7 @@
 
     /** Checks a form that must be of one type. */
     Expression typed(Form argument, Type type) {
-        Expression expression = checker.convert(checker.inferRequired(argument), type);
+        Expression expression = inference.convert(inference.inferRequired(argument), type);
         if (expression.isUnknown() || expression.type == type) {
             return expression;
         }
@@ -89,7 +89,7 @@
     }
 
     Expression error(SourcePosition place, String message) {
-        return checker.error(place, message);
+        return inference.error(place, message);
     }
 
     /** Returns the placeholder of a call in whose arguments an error has been reported. */
--- a/node/src/main/java/tulipshed/expression/MembershipFunctions.java
+++ b/node/src/main/java/tulipshed/expression/MembershipFunctions.java
@@ -41,7 +41,7 @@
         Set<Object> literals = new LinkedHashSet<>();
         boolean valid = !value.isUnknown();
         for (Form item : list.items()) {
-            Expression literal = call.checker().convert(call.checker().inferRequired(item), value.type);
+            Expression literal = call.inference().convert(call.inference().inferRequired(item), value.type);
             if (literal.isUnknown() || value.isUnknown()) {
                 valid = false;
             } else if (!literal.isLiteral() || literal.type != value.type) {
--- a/node/src/main/java/tulipshed/expression/NumericOperands.java
+++ b/node/src/main/java/tulipshed/expression/NumericOperands.java
@@ -8,8 +8,8 @@
 
     /** Converts two expressions to numbers of one type; null, with an error reported, where they are not. */
     static NumericOperands of(FunctionCall call, Expression first, Expression second) {
-        Expression left = call.checker().convert(first, second.type);
-        Expression right = call.checker().convert(second, first.type);
+        Expression left = call.inference().convert(first, second.type);
+        Expression right = call.inference().convert(second, first.type);
         if (Expression.anyUnknown(left, right)) {
             return null;
         }
--- a/node/src/main/java/tulipshed/expression/RuleTable.java
+++ b/node/src/main/java/tulipshed/expression/RuleTable.java
@@ -94,11 +94,11 @@
         long sum = bound(sequentialRules, costModel, counted);
         for (RuleIndex index : indexes) {
             sum = SaturatingMath.add(sum, index.lookupBound() + costModel.bound(index.key(), counted));
-            long dearestList = 0;
+            long highestListBound = 0;
             for (int[] rules : index.ruleLists()) {
-                dearestList = Math.max(dearestList, bound(rules, costModel, new HashSet<>(counted)));
+                highestListBound = Math.max(highestListBound, bound(rules, costModel, new HashSet<>(counted)));
             }
-            sum = SaturatingMath.add(sum, dearestList);
+            sum = SaturatingMath.add(sum, highestListBound);
         }
         return sum;
     }
--- a/node/src/main/java/tulipshed/expression/SpecialForms.java
+++ b/node/src/main/java/tulipshed/expression/SpecialForms.java
@@ -34,8 +34,8 @@
             Expression condition,
             Expression thenArgument,
             Expression elseArgument) {
-        Expression thenValue = call.checker().convert(thenArgument, elseArgument.type);
-        Expression elseValue = call.checker().convert(elseArgument, thenArgument.type);
+        Expression thenValue = call.inference().convert(thenArgument, elseArgument.type);
+        Expression elseValue = call.inference().convert(elseArgument, thenArgument.type);
         if (Expression.anyUnknown(condition, thenValue, elseValue)) {
             return call.interner().unknown(place);
         }
@@ -71,13 +71,13 @@
         if (clauses.size() > MAX_CLAUSES) {
             return call.error("more than " + MAX_CLAUSES + " clauses: write them as rules");
         }
-        TypeChecker checker = call.checker();
+        TypeInference inference = call.inference();
         Expression value =
-                checker.inferRequired(clauses.get(clauses.size() - 1).items().get(1));
+                inference.inferRequired(clauses.get(clauses.size() - 1).items().get(1));
         for (int i = clauses.size() - 2; i >= 0; i--) {
             Form.Sequence clause = clauses.get(i);
             Expression condition = call.typed(clause.items().get(0), Type.BOOLEAN);
-            Expression thenValue = checker.inferRequired(clause.items().get(1));
+            Expression thenValue = inference.inferRequired(clause.items().get(1));
             value = conditional(call, clause.place(), condition, thenValue, value);
         }
         return value;
@@ -93,20 +93,20 @@
                 return call.error(form.place(), "expected (NAME VALUE), found " + form.describe());
             }
             String name = binding.head();
-            Expression value = call.checker().inferRequired(binding.items().get(1));
+            Expression value = call.inference().inferRequired(binding.items().get(1));
             if (scope.put(name, value) != null) {
                 return call.error(form.place(), name + " stands twice");
             }
         }
-        return call.checker().inferWithBindings(scope, call.argument(1));
+        return call.inference().inferWithBindings(scope, call.argument(1));
     }
 
     private static Expression withDefault(FunctionCall call) {
         if (call.size() != 2) {
             return call.syntaxError();
         }
-        Expression value = call.checker().inferOptional(call.argument(0));
-        Expression defaultValue = call.checker().convert(call.value(1), value.type);
+        Expression value = call.inference().inferOptional(call.argument(0));
+        Expression defaultValue = call.inference().convert(call.value(1), value.type);
         if (Expression.anyUnknown(value, defaultValue)) {
             return call.unknown();
         }
@@ -124,7 +124,7 @@
         if (call.size() != 1) {
             return call.syntaxError();
         }
-        Expression argument = call.checker().inferOptional(call.argument(0));
+        Expression argument = call.inference().inferOptional(call.argument(0));
         if (argument.isUnknown()) {
             return argument;
         }
--- a/node/src/test/java/tulipshed/expression/ExpressionFuzzTest.java
+++ b/node/src/test/java/tulipshed/expression/ExpressionFuzzTest.java
@@ -17,8 +17,8 @@
 import tulipshed.sexpr.SexprReader;
 
 /**
- * The compiled form against a plain reference: same values, and never dearer than its bound. The number of cases can be
- * raised with {@code -Dfuzz.times=50}, which makes the 10 million of a long run.
+ * Compiled expressions against a plain interpreter: the same values, at no higher cost than their bound. The
+ * number of cases can be raised with {@code -Dfuzz.times=50}, which makes the 10 million of a long run.
  */
 class ExpressionFuzzTest {
     private static final int INPUTS = 10 * Integer.getInteger("fuzz.times", 1);
--- a/node/src/test/java/tulipshed/expression/ExpressionTest.java
+++ b/node/src/test/java/tulipshed/expression/ExpressionTest.java
@@ -173,7 +173,7 @@
         Expression expression = infer("(+ d60 d60)");
         assertTrue(
                 new CostModel().bound(expression) < 500,
-                "each is worked out once: " + new CostModel().bound(expression));
+                "each is evaluated once: " + new CostModel().bound(expression));
         assertFalse(expression.references("class"));
         assertTrue(expression.toString().length() < 1000);
     }
--- a/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
+++ b/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
@@ -141,7 +141,7 @@
                 errors("(define one (= \"a\" 1)) (define two (= member.zone \"z\")) (define three (= member.zone 2))"));
     }
 
-    /** Looking for the nearest name for each of these faults, told or not, took over ten minutes. */
+    /** Suggesting a name for each error, reported or not, is too slow for so many. */
     @Test
     void megabyteOfErrorsIsReportedInBoundedTime() {
         StringBuilder text = new StringBuilder();
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Ten thousand rules over one attribute cost a transaction what one costs. */
+    /** Ten thousand rules over one attribute cost a request what one costs. */
     @Test
     void manyRulesAreOneLookupAndTheirTotalIsLimitedByMaxCost() {
         StringBuilder rules = new StringBuilder("(max-cost 100) (classify\n");
