--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedNode.java
@@ -36,8 +36,7 @@
         super(id, number, world);
         known = new NotifiedEndpoints(world.atStart);
         holdUps = new ProcessStalls(RandomStreams.random(world.seed, id, 2));
-        isHotRestarted =
-                world.scenario.troubles().stream().anyMatch(t -> t.kind().equals("hot-restart-nodes"));
+        isHotRestarted = world.scenario.faults().stream().anyMatch(t -> t.kind().equals("hot-restart-nodes"));
     }
 
     @Override
@@ -48,7 +47,7 @@
 
     private void start(EndpointListDelivery list) {
         rules = newRules();
-        rules.heldUp(holdUps.excusesUntilMs(), ProcessStalls.LONGEST_MS);
+        rules.allowStall(holdUps.excusesUntilMs(), ProcessStalls.LONGEST_MS);
         policy = isHotRestarted ? new HotRestart(this, world.policies) : world.policies.apply(this);
         policy.runReadyTasks();
         EndpointListDelivery cached = new EndpointListDelivery(EndpointListKind.CACHED, list.listings());
@@ -118,7 +117,7 @@
     @Override
     protected void onStallsBegin(double durationMs) {
         holdUps.begin(nowMs, durationMs);
-        rules.heldUp(holdUps.excusesUntilMs(), ProcessStalls.LONGEST_MS);
+        rules.allowStall(holdUps.excusesUntilMs(), ProcessStalls.LONGEST_MS);
     }
 
     @Override
@@ -182,8 +181,8 @@
     /** A client asks here; the policy owes it an answer. */
     @Override
     protected void asked(ClientDemand w, double graceMs) {
-        ClientRequest t =
-                new ClientRequest(++lastTry, w, nowMs, nowMs + graceMs, rules.asked(nowMs, lastTry, nowMs + graceMs));
+        ClientRequest t = new ClientRequest(
+                ++lastTry, w, nowMs, nowMs + graceMs, rules.requestArrived(nowMs, lastTry, nowMs + graceMs));
         keep(t);
         tell(
                 t,
@@ -220,12 +219,12 @@
     /** A connection that stands when the day begins. */
     @Override
     protected EmulatedAttempt alreadyOpen(ClientDemand w, int member) {
-        ClientRequest t = new ClientRequest(++lastTry, w, 0, 0, rules.asked(0, lastTry, 0));
+        ClientRequest t = new ClientRequest(++lastTry, w, 0, 0, rules.requestArrived(0, lastTry, 0));
         keep(t);
         EmulatedAttempt f = new EmulatedAttempt(t, member, 0, Double.NaN, this);
         t.attempt = f;
         t.attemptCount = 1;
-        rules.sent(0, t.observed, member);
+        rules.attemptStarted(0, t.observed, member);
         rules.answered(0, t.observed, "served");
         policy.connectionAdopted(t, f);
         stands(f);
@@ -234,7 +233,7 @@
 
     private void stands(EmulatedAttempt f) {
         schedule(Math.max(nowMs, f.request.demand.wantedUntilMs), new AttemptMessage.ConnectionExpired(f));
-        double changes = world.scenario.clients().loadChangesPerS();
+        double changes = world.scenario.clients().loadChangesPerSecond();
         if (changes > 0) {
             schedule(nowMs + RandomStreams.exponential(random, 1000 / changes), new AttemptMessage.LoadChangeDue(f));
         }
@@ -244,7 +243,7 @@
     protected void onClientLeaves(ClientRequest t) {
         if (t.answerPending && t.indexAtNode >= 0) {
             tell(t, "the client leaves before it is answered");
-            rules.left(t.observed);
+            rules.clientLeft(t.observed);
             clients.leavesForGood();
             if (holdUps.isHeld(nowMs)) {
                 forget(t);
@@ -279,7 +278,7 @@
 
     @Override
     protected void onAnswerOverdue(ClientRequest t) {
-        rules.waited(nowMs, t.observed);
+        rules.waitEnded(nowMs, t.observed);
         turn(() -> {
             if (t.indexAtNode >= 0 && !t.established) {
                 hasLeft(t);
@@ -326,7 +325,7 @@
         tell(t, (t.established ? "the connection at " : "the flow to ") + at(f) + " ends: " + outcome);
         f.ended = true;
         t.attempt = null;
-        rules.over(nowMs, t.observed, outcome.name());
+        rules.attemptEnded(nowMs, t.observed, outcome.name());
         if (stood) {
             forget(t);
         }
@@ -363,13 +362,13 @@
         t.demand.load = t.demand.usualLoad
                 * RandomStreams.lognormal(random, world.scenario.clients().loadSwing());
         sendToEndpoint(f.endpoint, new EndpointMessage.LoadChanged(f, t.demand.load));
-        if (world.scenario.clients().tellsLoad()) {
+        if (world.scenario.clients().reportsLoad()) {
             policy.loadReported(f);
         }
         schedule(
                 nowMs
                         + RandomStreams.exponential(
-                                random, 1000 / world.scenario.clients().loadChangesPerS()),
+                                random, 1000 / world.scenario.clients().loadChangesPerSecond()),
                 new AttemptMessage.LoadChangeDue(f));
     }
 
@@ -394,10 +393,10 @@
 
     private void told(EndpointListDelivery batch) {
         for (EndpointListing n : batch.listings()) {
-            rules.told(nowMs, n.endpoint(), n.isServing());
+            rules.endpointNotified(nowMs, n.endpoint(), n.isServing());
             known.started(n);
         }
-        known.missing(batch).forEach(m -> rules.told(nowMs, m, false));
+        known.missing(batch).forEach(m -> rules.endpointNotified(nowMs, m, false));
     }
 
     private void hears(EndpointListDelivery batch) {
@@ -435,9 +434,11 @@
             // The front layer sends it nothing more, and what stands is asked to come again over a time.
             taking = false;
             for (ClientRequest t : tries) {
-                schedule(nowMs + world.scenario.nodes().leaveMs() * random.nextDouble(), new AttemptMessage.MoveDue(t));
+                schedule(
+                        nowMs + world.scenario.nodes().shutdownMs() * random.nextDouble(),
+                        new AttemptMessage.MoveDue(t));
             }
-            schedule(nowMs + world.scenario.nodes().leaveMs() + 1, new ProcessMessage.DrainOver(generation));
+            schedule(nowMs + world.scenario.nodes().shutdownMs() + 1, new ProcessMessage.DrainOver(generation));
             return;
         }
         ends();
@@ -457,7 +458,7 @@
         policy.runReadyTasks();
         for (ClientRequest t : tries) {
             if (t.answerPending) {
-                rules.closed(writeMs(), t.observed);
+                rules.connectionClosed(writeMs(), t.observed);
             }
         }
         ends();
@@ -482,8 +483,9 @@
                 clients.returns(nowMs, t);
             } else if (t.answerPending) {
                 // Nobody answers for a process that was killed; one that left in good order has been judged.
-                rules.left(t.observed);
-                clients.again(nowMs, t.demand, world.scenario.clients().returnMs() * (0.5 + random.nextDouble()));
+                rules.clientLeft(t.observed);
+                clients.again(
+                        nowMs, t.demand, world.scenario.clients().reconnectDelayMs() * (0.5 + random.nextDouble()));
             }
         }
         schedule(nowMs + world.scenario.nodes().restartMs(), new ProcessMessage.StartProcess());
@@ -521,7 +523,7 @@
             if (t.established && backMs > nowMs) {
                 double noticed = nowMs + SILENT_MS * (0.5 + 0.5 * random.nextDouble());
                 schedule(
-                        Math.min(noticed, backMs + world.scenario.network().leastMs()),
+                        Math.min(noticed, backMs + world.scenario.network().minLatencyMs()),
                         new AttemptMessage.AttemptTimedOut(f));
             }
         }
@@ -571,12 +573,12 @@
         t.attempt = f;
         tell(t, "attempt " + t.attemptCount + " to " + at(f));
         double sentMs = writeMs();
-        rules.sent(sentMs, t.observed, member);
+        rules.attemptStarted(sentMs, t.observed, member);
         tally().at(tally().attempts, nowMs);
         double backMs = world.cuts.backMs(site, world.members[member], sentMs);
         if (backMs > sentMs) {
             // Never comes up; reset once the way is back, should anybody still wait.
-            schedule(backMs + world.scenario.network().leastMs(), new AttemptMessage.AttemptTimedOut(f));
+            schedule(backMs + world.scenario.network().minLatencyMs(), new AttemptMessage.AttemptTimedOut(f));
         } else {
             sendDial(f);
         }
@@ -592,7 +594,7 @@
         if (f.request.attempt == f) {
             f.request.attempt = null;
         }
-        rules.over(nowMs, f.request.observed, "given up");
+        rules.attemptEnded(nowMs, f.request.observed, "given up");
         closes(f);
     }
 
