--- a/emulator/src/main/java/tulipshed/emulator/scenario/Section.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/Section.java
@@ -57,9 +57,9 @@
                 return defaultValue;
             }
             Form form = sequence.items().get(1);
-            if (form instanceof Form.Whole w) {
+            if (form instanceof Form.IntegerLiteral w) {
                 value = w.value();
-            } else if (form instanceof Form.Fraction w) {
+            } else if (form instanceof Form.DecimalLiteral w) {
                 value = w.value();
             } else {
                 problems.add(form.place(), "expected a number for " + name + ", found " + form.describe());
@@ -94,7 +94,7 @@
         Form.Sequence sequence = one(name);
         String value = overrides.take(path(name));
         if (value == null && sequence != null) {
-            value = sequence.items().size() == 2 && sequence.items().get(1) instanceof Form.Word w ? w.name() : "";
+            value = sequence.items().size() == 2 && sequence.items().get(1) instanceof Form.Symbol w ? w.name() : "";
         }
         if (value == null) {
             return defaultValue;
@@ -127,7 +127,7 @@
         known.add(name);
         Map<String, Section> out = new LinkedHashMap<>();
         for (Form.Sequence sequence : entries.getOrDefault(name, List.of())) {
-            if (sequence.items().size() < 2 || !(sequence.items().get(1) instanceof Form.Word w)) {
+            if (sequence.items().size() < 2 || !(sequence.items().get(1) instanceof Form.Symbol w)) {
                 problems.add(sequence.place(), "expected (" + name + " NAME ...)");
             } else if (out.containsKey(w.name())) {
                 problems.add(w.place(), name + " " + w.name() + " is there twice");
