--- a/node/src/main/java/tulipshed/proxy/AttemptManager.java
+++ b/node/src/main/java/tulipshed/proxy/AttemptManager.java
@@ -147,7 +147,7 @@
             responses.complete(request);
             established.remove(request);
         } else if (request.isAdopted() && request.isPending()) {
-            // The decision module counts it as established and will not answer it; the client needs a response still.
+            // The decision module counts it as established and gives no response; the client still needs one.
             responses.fail(request);
         }
         events.add((balancer, nowMs, nowUs) -> {
--- a/node/src/test/java/tulipshed/testing/DelegatingBalancer.java
+++ b/node/src/test/java/tulipshed/testing/DelegatingBalancer.java
@@ -15,94 +15,94 @@
 public class DelegatingBalancer implements BalancerApi {
     private final BalancerApi delegate;
 
-    /** Creates a balancer in front of another one. */
-    public DelegatingBalancer(BalancerApi to) {
-        this.delegate = to;
+    /** Creates a balancer that passes its events to {@code delegate}. */
+    public DelegatingBalancer(BalancerApi delegate) {
+        this.delegate = delegate;
     }
 
     @Override
-    public void endpointsChanged(long now, EndpointListKind kind, List<EndpointInfo> entries) {
-        delegate.endpointsChanged(now, kind, entries);
+    public void endpointsChanged(long nowUs, EndpointListKind kind, List<EndpointInfo> entries) {
+        delegate.endpointsChanged(nowUs, kind, entries);
     }
 
     @Override
-    public void requestArrived(long now, NewRequest request) {
-        delegate.requestArrived(now, request);
+    public void requestArrived(long nowUs, NewRequest request) {
+        delegate.requestArrived(nowUs, request);
     }
 
     @Override
-    public void connectionAdopted(long now, NewRequest request, String server) {
-        delegate.connectionAdopted(now, request, server);
+    public void connectionAdopted(long nowUs, NewRequest request, String endpointId) {
+        delegate.connectionAdopted(nowUs, request, endpointId);
     }
 
     @Override
-    public void attemptEstablished(long now, long requestId, int attempt, long tookUs) {
-        delegate.attemptEstablished(now, requestId, attempt, tookUs);
+    public void attemptEstablished(long nowUs, long requestId, int attempt, long tookUs) {
+        delegate.attemptEstablished(nowUs, requestId, attempt, tookUs);
     }
 
     @Override
-    public void loadReported(long now, long requestId, double loadUsPerS) {
-        delegate.loadReported(now, requestId, loadUsPerS);
+    public void loadReported(long nowUs, long requestId, double loadUsPerS) {
+        delegate.loadReported(nowUs, requestId, loadUsPerS);
     }
 
     @Override
-    public void latencyReported(long now, long requestId, double delayMs) {
-        delegate.latencyReported(now, requestId, delayMs);
+    public void latencyReported(long nowUs, long requestId, double latencyMs) {
+        delegate.latencyReported(nowUs, requestId, latencyMs);
     }
 
     @Override
     public void attemptEnded(
-            long now, long requestId, int attempt, boolean concluded, Outcome outcome, LoadReport report) {
-        delegate.attemptEnded(now, requestId, attempt, concluded, outcome, report);
+            long nowUs, long requestId, int attempt, boolean concluded, Outcome outcome, LoadReport report) {
+        delegate.attemptEnded(nowUs, requestId, attempt, concluded, outcome, report);
     }
 
     @Override
-    public void requestCancelled(long now, long requestId) {
-        delegate.requestCancelled(now, requestId);
+    public void requestCancelled(long nowUs, long requestId) {
+        delegate.requestCancelled(nowUs, requestId);
     }
 
     @Override
-    public void healthCheckCompleted(long now, String server, Outcome outcome, LoadReport report) {
-        delegate.healthCheckCompleted(now, server, outcome, report);
+    public void healthCheckCompleted(long nowUs, String endpointId, Outcome outcome, LoadReport report) {
+        delegate.healthCheckCompleted(nowUs, endpointId, outcome, report);
     }
 
     @Override
-    public void timerFired(long now, long token) {
-        delegate.timerFired(now, token);
+    public void timerFired(long nowUs, long token) {
+        delegate.timerFired(nowUs, token);
     }
 
     @Override
-    public void peerMessageReceived(long now, int from, byte[] body) {
-        delegate.peerMessageReceived(now, from, body);
+    public void peerMessageReceived(long nowUs, int from, byte[] body) {
+        delegate.peerMessageReceived(nowUs, from, body);
     }
 
     @Override
-    public int ineligibleCount(long now) {
-        return delegate.ineligibleCount(now);
+    public int ineligibleCount(long nowUs) {
+        return delegate.ineligibleCount(nowUs);
     }
 
     @Override
-    public void quotaShareChanged(long now, double ofBalancer) {
-        delegate.quotaShareChanged(now, ofBalancer);
+    public void quotaShareChanged(long nowUs, double shareOfNode) {
+        delegate.quotaShareChanged(nowUs, shareOfNode);
     }
 
     @Override
-    public void reconfigure(long now, BalancerSettings settings) {
-        delegate.reconfigure(now, settings);
+    public void reconfigure(long nowUs, BalancerSettings settings) {
+        delegate.reconfigure(nowUs, settings);
     }
 
     @Override
-    public void poolsChanged(long now, Map<String, Set<String>> members) {
-        delegate.poolsChanged(now, members);
+    public void poolsChanged(long nowUs, Map<String, Set<String>> endpointIdsByPool) {
+        delegate.poolsChanged(nowUs, endpointIdsByPool);
     }
 
     @Override
-    public void requestRerouted(long now, long requestId, String pool) {
-        delegate.requestRerouted(now, requestId, pool);
+    public void requestRerouted(long nowUs, long requestId, String pool) {
+        delegate.requestRerouted(nowUs, requestId, pool);
     }
 
     @Override
-    public int eligibleCount(long now, String pool) {
-        return delegate.eligibleCount(now, pool);
+    public int eligibleCount(long nowUs, String pool) {
+        return delegate.eligibleCount(nowUs, pool);
     }
 }
