--- a/node/src/main/java/tulipshed/operators/SectionReader.java
+++ b/node/src/main/java/tulipshed/operators/SectionReader.java
@@ -8,13 +8,14 @@
 import java.util.Map;
 import java.util.Set;
 import tulipshed.config.NameIndex;
-import tulipshed.expression.Builtins;
+import tulipshed.expression.BuiltinFunctions;
 import tulipshed.expression.CostModel;
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
 import tulipshed.expression.TypeChecker;
+import tulipshed.routing.AttributeDeclaration;
+import tulipshed.routing.AttributeDeclarations;
 import tulipshed.routing.ClassificationRules;
-import tulipshed.routing.Declarations;
 import tulipshed.routing.EndpointSchema;
 import tulipshed.routing.PoolMembership;
 import tulipshed.routing.RequestSchema;
@@ -50,7 +51,7 @@
 
     OperatorsFile read(List<Form> forms) {
         sort(forms);
-        Declarations declarations = declarations();
+        AttributeDeclarations declarations = declarations();
         long maxCost = USUAL_COST;
         if (once.containsKey("max-cost")) {
             SectionFields f = new SectionFields(
@@ -97,7 +98,7 @@
                             ? "no retry"
                             : "retry from " + quic.retry().on() + " connections without proof on"));
         }
-        boolean rules = classification != null || memberPools != null || declarations != Declarations.NONE;
+        boolean rules = classification != null || memberPools != null || declarations != AttributeDeclarations.NONE;
         return new OperatorsFile(
                 rules ? new Router(declarations, transactions, classification, memberPools, read) : null,
                 quic,
@@ -151,7 +152,7 @@
             return;
         }
         Diagnostics twice = new Diagnostics("");
-        List<String> all = new ArrayList<>(checker(transactions, twice).defined());
+        List<String> all = new ArrayList<>(checker(transactions, twice).definitionNames());
         problems.addAll(twice);
         TypeChecker ofTransactions = checker(transactions, twice);
         TypeChecker ofMembers = checker(members, twice);
@@ -160,8 +161,8 @@
                 // Enough to tell; what is nearest to a misspelt name is dear to find.
                 return;
             }
-            Diagnostics first = ofTransactions.faultsOf(name);
-            Diagnostics second = first.none() ? first : ofMembers.faultsOf(name);
+            Diagnostics first = ofTransactions.checkDefinition(name);
+            Diagnostics second = first.none() ? first : ofMembers.checkDefinition(name);
             if (!second.none()) {
                 // It speaks of members where the fault is not that it does.
                 problems.addAll(first.toString().contains("unknown name member.") ? second : first);
@@ -169,8 +170,8 @@
         }
     }
 
-    private Declarations declarations() {
-        Map<String, Declarations.Figure> figures = new LinkedHashMap<>();
+    private AttributeDeclarations declarations() {
+        Map<String, AttributeDeclaration> figures = new LinkedHashMap<>();
         if (once.containsKey("attributes")) {
             List<Form> items = once.get("attributes").items();
             items.subList(1, items.size()).forEach(f -> figure(f, figures));
@@ -187,12 +188,12 @@
             group = f.has("group") ? (int) f.whole("group", 1, LONGEST_LINE, 1) : group;
         }
         return figures.isEmpty() && !once.containsKey("longest")
-                ? Declarations.NONE
-                : new Declarations(figures, key, group);
+                ? AttributeDeclarations.NONE
+                : new AttributeDeclarations(figures, key, group);
     }
 
     /** {@code (NAME TYPE [LONGEST])}. */
-    private void figure(Form form, Map<String, Declarations.Figure> figures) {
+    private void figure(Form form, Map<String, AttributeDeclaration> figures) {
         Form.Sequence s = form instanceof Form.Sequence x ? x : null;
         if (s == null
                 || s.head() == null
@@ -216,20 +217,20 @@
             if (t != Type.STRING
                     || !(s.items().get(2) instanceof Form.Whole w)
                     || w.value() < 1
-                    || w.value() > CostModel.LONGEST_TEXT) {
+                    || w.value() > CostModel.MAX_STRING_LENGTH) {
                 problems.add(
                         s.items().get(2).place(),
-                        "expected characters at most, from 1 to " + CostModel.LONGEST_TEXT + ", of a string, found "
-                                + s.items().get(2).describe());
+                        "expected characters at most, from 1 to " + CostModel.MAX_STRING_LENGTH
+                                + ", of a string, found " + s.items().get(2).describe());
                 return;
             }
             longest = (int) w.value();
         }
         if (TAKEN.contains(s.head())
-                || Builtins.form(s.head()) != null
-                || RequestSchema.names(Declarations.NONE).contains(s.head())) {
+                || BuiltinFunctions.contains(s.head())
+                || RequestSchema.names(AttributeDeclarations.NONE).contains(s.head())) {
             problems.add(s.place(), s.head() + " has a meaning already");
-        } else if (figures.putIfAbsent(s.head(), new Declarations.Figure(t, t == Type.STRING ? longest : 0)) != null) {
+        } else if (figures.putIfAbsent(s.head(), new AttributeDeclaration(t, t == Type.STRING ? longest : 0)) != null) {
             problems.add(s.place(), s.head() + " stands twice");
         }
     }
--- a/node/src/main/java/tulipshed/quic/ConnectionOpener.java
+++ b/node/src/main/java/tulipshed/quic/ConnectionOpener.java
@@ -80,7 +80,7 @@
                     CloseReason.overload(retryAfterMs));
             return;
         }
-        if (!context.settings().hasRequestAttributes()) {
+        if (!context.settings().hasRequestParameters()) {
             refuse(datagram, clientHello.version(), InitialFrames.INTERNAL_ERROR, CloseReason.UNKNOWN_CLASS);
             return;
         }
@@ -123,7 +123,7 @@
         }
         Packet first = datagram.first();
         if (!context.core().isServing(route.endpointId())
-                || !context.settings().hasRequestAttributes()
+                || !context.settings().hasRequestParameters()
                 || !context.admission().admits()) {
             context.resets().send(datagram.listener(), datagram.from(), first.destination(), datagram.bytes().length);
             return;
--- a/node/src/main/java/tulipshed/quic/QuicRequestOrigin.java
+++ b/node/src/main/java/tulipshed/quic/QuicRequestOrigin.java
@@ -1,8 +1,9 @@
 package tulipshed.quic;
 
 import java.net.InetSocketAddress;
-import java.util.HashMap;
-import java.util.Map;
+import tulipshed.routing.AdditionalAttributes;
+import tulipshed.routing.AttributeValue.IntegerValue;
+import tulipshed.routing.AttributeValue.StringValue;
 import tulipshed.routing.RequestOrigin;
 import tulipshed.routing.RequestSchema;
 
@@ -14,16 +15,19 @@
 
     /** The origin for a client's address; {@code clientHello} is null for a resumed connection. */
     static RequestOrigin of(InetSocketAddress client, ClientHelloAssembler clientHello) {
-        Map<String, Object> attributes = new HashMap<>();
+        AdditionalAttributes.Builder attributes = AdditionalAttributes.builder();
         if (clientHello != null) {
-            attributes.put(RequestSchema.QUIC_VERSION, clientHello.version().number);
-            if (clientHello.hello().serverName() != null) {
-                attributes.put(RequestSchema.SERVER_NAME, clientHello.hello().serverName());
-            }
-            if (clientHello.hello().alpn() != null) {
-                attributes.put(RequestSchema.ALPN, clientHello.hello().alpn());
-            }
+            attributes.put(RequestSchema.QUIC_VERSION, new IntegerValue(clientHello.version().number));
+            putIfPresent(
+                    attributes, RequestSchema.SERVER_NAME, clientHello.hello().serverName());
+            putIfPresent(attributes, RequestSchema.ALPN, clientHello.hello().alpn());
+        }
+        return RequestOrigin.of(FRONTEND, client.getAddress(), attributes.build());
+    }
+
+    private static void putIfPresent(AdditionalAttributes.Builder attributes, String name, String value) {
+        if (value != null) {
+            attributes.put(name, new StringValue(value));
         }
-        return RequestOrigin.of(FRONTEND, client.getAddress(), attributes);
     }
 }
--- a/node/src/main/java/tulipshed/quic/QuicSession.java
+++ b/node/src/main/java/tulipshed/quic/QuicSession.java
@@ -48,7 +48,7 @@
         request = new Request(
                 this,
                 this,
-                context.settings().requestAttributes(machine.initialKeyId().toString()),
+                context.settings().requestParameters(machine.initialKeyId().toString()),
                 QuicRequestOrigin.of(paths.current().address().client(), machine.takeClientHello()),
                 context.clock().nowMs(),
                 false);
@@ -62,7 +62,7 @@
         request = new Request(
                 this,
                 this,
-                context.settings().requestAttributes(machine.currentId().toString()),
+                context.settings().requestParameters(machine.currentId().toString()),
                 QuicRequestOrigin.of(paths.current().address().client(), null),
                 context.clock().nowMs(),
                 true);
@@ -103,7 +103,7 @@
     }
 
     private void startRequestIfConfigured() {
-        if (context.settings().hasRequestAttributes()) {
+        if (context.settings().hasRequestParameters()) {
             startRequest();
         } else {
             answer(InitialFrames.INTERNAL_ERROR, CloseReason.UNKNOWN_CLASS);
--- a/node/src/main/java/tulipshed/quic/QuicSettings.java
+++ b/node/src/main/java/tulipshed/quic/QuicSettings.java
@@ -2,7 +2,7 @@
 
 import tulipshed.config.NameIndex;
 import tulipshed.connectionid.ConnectionId;
-import tulipshed.proxy.Request.Attributes;
+import tulipshed.proxy.RequestParameters;
 
 /** The settings of the frontend as of the last reload. Open connections keep what they were opened with. */
 final class QuicSettings {
@@ -37,17 +37,17 @@
         return config.ids().route(id);
     }
 
-    /** The attributes of a new request; null where the configured class or tenant does not exist. */
-    Attributes requestAttributes(String key) {
+    /** The parameters of a new request; null where the configured class or tenant does not exist. */
+    RequestParameters requestParameters(String key) {
         Integer requestClass = names.classIndex(config.requestClass());
         Integer tenant = config.tenant() == null ? NO_TENANT : names.tenantIndex(config.tenant());
         return requestClass == null || tenant == null
                 ? null
-                : new Attributes(requestClass, tenant, key, null, config.deadlineMs(), 0, false, false);
+                : new RequestParameters(requestClass, tenant, key, null, config.deadlineMs(), 0, false, false);
     }
 
     /** Whether the configured class and tenant exist, so that connections can be opened. */
-    boolean hasRequestAttributes() {
-        return requestAttributes("") != null;
+    boolean hasRequestParameters() {
+        return requestParameters("") != null;
     }
 }
