--- a/node/src/main/java/tulipshed/connectionid/ServerIdGenerator.java
+++ b/node/src/main/java/tulipshed/connectionid/ServerIdGenerator.java
@@ -6,9 +6,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Makes the connection ids of one server. Ids of one connection never repeat, and where the configuration numbers connections,
- * those of all open ones do not either: a nonce is then the number and a count, which the cipher hides. Otherwise nonces are
- * drawn at random, as counted ones in the clear would tell observers which ids belong together (RFC 9000 section 9.5).
+ * Generates the connection IDs of one server. The IDs of one connection are unique. Where the configuration numbers connections
+ * the IDs of all open connections are unique too: a nonce is then the connection number and a counter, which encryption hides.
+ * Otherwise nonces are random, as a counter in plaintext would let observers link the IDs of a connection (RFC 9000 section
+ * 9.5).
  *
  * <p>Safe for use by several threads.
  */
@@ -16,20 +17,21 @@
     private final ServerIds ids;
     private final byte[] server;
     private final RandomGenerator random;
-    private final Set<Long> open = new HashSet<>();
-    private final long numbers;
-    private long next;
+    private final Set<Long> openNumbers = new HashSet<>();
+    private final long numberCount;
+    private long nextNumber;
 
     /**
-     * A generator for that server.
+     * A generator for one server.
      *
-     * @param server its id, of as many bytes as the configuration says; {@link IllegalArgumentException} otherwise
+     * @param server the server ID
+     * @throws IllegalArgumentException if the configuration's server IDs have another length
      */
     public ServerIdGenerator(ServerIds ids, byte[] server) {
         this(ids, server, new SecureRandom());
     }
 
-    /** The same with a given source of chance, which must be as hard to guess as {@link SecureRandom}; for tests. */
+    /** The same with another source of random numbers, which must be as unpredictable as {@link SecureRandom}; for tests. */
     ServerIdGenerator(ServerIds ids, byte[] server, RandomGenerator random) {
         if (server.length != ids.serverBytes()) {
             throw new IllegalArgumentException("a server id of " + server.length + " bytes, not " + ids.serverBytes());
@@ -37,52 +39,52 @@
         this.ids = ids;
         this.server = server.clone();
         this.random = random;
-        numbers = ids.numberBytes() == 0 ? Long.MAX_VALUE : 1L << (8 * ids.numberBytes());
-        // A server that comes back does not begin with the numbers that its clients may still use.
-        next = random.nextLong(numbers);
+        numberCount = ids.numberBytes() == 0 ? Long.MAX_VALUE : 1L << (8 * ids.numberBytes());
+        // A restarted server does not begin with numbers that its clients may still use.
+        nextNumber = random.nextLong(numberCount);
     }
 
     /**
-     * Begins a connection; its number is its own until it is closed.
+     * Opens a connection, whose number no other one gets until it is closed.
      *
-     * @throws IllegalStateException where all numbers of the configuration are in use
+     * @throws IllegalStateException if all numbers of the configuration are in use
      */
     public synchronized Connection connection() {
-        if (open.size() >= numbers) {
-            throw new IllegalStateException("all " + numbers + " numbers of connections are in use");
+        if (openNumbers.size() >= numberCount) {
+            throw new IllegalStateException("all " + numberCount + " numbers of connections are in use");
         }
-        while (!open.add(next)) {
-            next = (next + 1) % numbers;
+        while (!openNumbers.add(nextNumber)) {
+            nextNumber = (nextNumber + 1) % numberCount;
         }
-        long number = next;
-        next = (next + 1) % numbers;
+        long number = nextNumber;
+        nextNumber = (nextNumber + 1) % numberCount;
         return new Connection(number);
     }
 
-    private synchronized void closed(long number) {
-        open.remove(number);
+    private synchronized void releaseNumber(long number) {
+        openNumbers.remove(number);
     }
 
-    /** The ids of one connection. */
+    /** The connection IDs of one connection. */
     public final class Connection implements AutoCloseable {
         private final long number;
         private final int sequenceBytes = ids.nonceBytes() - ids.numberBytes();
-        private final Set<ConnectionId> drawn = new HashSet<>();
+        private final Set<ConnectionId> generated = new HashSet<>();
         private int count;
 
         private Connection(long number) {
             this.number = number;
         }
 
-        /** The server's number of this connection, which all of its ids carry where the configuration has numbers. */
+        /** The server's number of this connection, which all of its IDs carry where the configuration has numbers. */
         public long number() {
             return number;
         }
 
         /**
-         * The next id.
+         * Generates the next connection ID.
          *
-         * @throws IllegalStateException where all ids of this connection have been made
+         * @throws IllegalStateException if all connection IDs of this connection have been generated
          */
         public synchronized ConnectionId next() {
             if (ids.numberBytes() == 0) {
@@ -91,7 +93,7 @@
                     byte[] nonce = new byte[ids.nonceBytes()];
                     random.nextBytes(nonce);
                     id = ids.id(server, nonce);
-                } while (!drawn.add(id));
+                } while (!generated.add(id));
                 return id;
             }
             if (sequenceBytes < 4 && count >= 1 << (8 * sequenceBytes)) {
@@ -103,10 +105,10 @@
             return ids.id(server, nonce);
         }
 
-        /** Its number may be given to another connection; call it once no packet of this one is expected any more. */
+        /** Releases the number for other connections; call it once no packet of this connection is expected any more. */
         @Override
         public void close() {
-            closed(number);
+            releaseNumber(number);
         }
     }
 
--- a/node/src/main/java/tulipshed/connectionid/ServerIds.java
+++ b/node/src/main/java/tulipshed/connectionid/ServerIds.java
@@ -7,63 +7,78 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * One configuration of connection ids that carry the id of their server, as the QUIC-LB draft lays them out (section 5): a
- * first byte with the number of the configuration in its upper three bits, then server id and nonce, in the clear or, with a
- * key, encrypted in one pass (16 bytes together) or four.
+ * One configuration of routable connection IDs (QUIC-LB section 5): a first byte with the configuration's number in its upper
+ * three bits, then server ID and nonce, in plaintext or, with a key, encrypted in a single pass (16 bytes together) or in four
+ * passes.
  *
- * <p>Under a key the first bytes of the nonce may be the server's number of the connection, the same in all of its ids. Who
- * has the key then sees which ids belong to one connection, and nobody else does. The draft leaves the nonce to servers.
+ * <p>With a key the first bytes of the nonce may be the server's number of the connection, which is the same in all of its IDs.
+ * Only a holder of the key can then see which IDs belong to one connection. The draft leaves the nonce to servers.
  *
- * <p>Safe for use by several threads.
+ * <p>Immutable; safe for use by several threads.
  */
 public final class ServerIds {
-    /** Configurations are numbered from 0 to 6; 7 marks ids that carry no server (QUIC-LB section 3.2). */
+    /** The number of configurations, from 0 to 6; 7 marks unroutable connection IDs (QUIC-LB section 3.2). */
     public static final int CONFIGURATIONS = 7;
-    /** Bytes of a key. */
+    /** The length of a key, in bytes. */
     public static final int KEY = 16;
-    /** Most bytes of a connection's number. */
+    /** The length of the longest connection number, in bytes. */
     public static final int LONGEST_NUMBER = 7;
 
     private static final int BLOCK = 16;
+    private static final int CONFIGURATION_SHIFT = 5;
+    private static final int MIN_SERVER_ID_BYTES = 1;
+    private static final int MAX_SERVER_ID_BYTES = 15;
+    private static final int MIN_NONCE_BYTES = 4;
+    private static final int MIN_NUMBER_BYTES = 2;
+
     private final int configuration;
     private final int serverBytes;
     private final int nonceBytes;
     private final int numberBytes;
     private final SecretKeySpec key;
-    /** A thread's own, as finding one costs more than a block. */
+    /** One for each thread, as creating a cipher takes longer than encrypting a block. */
     private final ThreadLocal<Cipher> encrypting = ThreadLocal.withInitial(() -> cipher(Cipher.ENCRYPT_MODE));
 
     private final ThreadLocal<Cipher> decrypting = ThreadLocal.withInitial(() -> cipher(Cipher.DECRYPT_MODE));
 
-    /** What an id says: the server's id in hexadecimal, and the number of the connection there, -1 where ids tell none. */
+    /**
+     * The content of a connection ID.
+     *
+     * @param server the server ID in hexadecimal
+     * @param connection the server's number of the connection; -1 where connection IDs carry none
+     */
     public record Lead(String server, long connection) {}
 
     /**
-     * One whose ids tell no connections.
+     * A configuration whose connection IDs carry no connection number.
      *
-     * @param configuration 0 to 6
-     * @param serverBytes of a server id, 1 to 15
-     * @param nonceBytes 4 to 18; 19 together with the server id
-     * @param key 16 bytes, or null where ids are in the clear
+     * @param configuration the number of the configuration, 0 to 6
+     * @param serverBytes the length of a server ID, 1 to 15
+     * @param nonceBytes the length of a nonce, 4 to 18; at most 19 together with the server ID
+     * @param key 16 bytes, or null for plaintext
+     * @throws IllegalArgumentException if the draft does not allow these values
      */
     public ServerIds(int configuration, int serverBytes, int nonceBytes, byte[] key) {
         this(configuration, serverBytes, nonceBytes, 0, key);
     }
 
     /**
-     * The same with so many bytes of the nonce for the number of the connection: 0 for none, else 2 to 7 and fewer than the
-     * nonce has, and only with a key, as observers could link a client's networks otherwise (RFC 9000 section 9.5).
+     * A configuration whose nonces begin with a connection number.
+     *
+     * @param numberBytes the length of the number: 0 for none, else 2 to 7 and fewer than the nonce has, and only with a key,
+     *     as observers could otherwise link a client's network paths (RFC 9000 section 9.5)
+     * @throws IllegalArgumentException if the draft does not allow these values
      */
     public ServerIds(int configuration, int serverBytes, int nonceBytes, int numberBytes, byte[] key) {
         if (configuration < 0
                 || configuration >= CONFIGURATIONS
-                || serverBytes < 1
-                || serverBytes > 15
-                || nonceBytes < 4
+                || serverBytes < MIN_SERVER_ID_BYTES
+                || serverBytes > MAX_SERVER_ID_BYTES
+                || nonceBytes < MIN_NONCE_BYTES
                 || serverBytes + nonceBytes > ConnectionId.LONGEST - 1
                 || (key != null && key.length != KEY)
                 || (numberBytes != 0
-                        && (numberBytes < 2
+                        && (numberBytes < MIN_NUMBER_BYTES
                                 || numberBytes > LONGEST_NUMBER
                                 || numberBytes >= nonceBytes
                                 || key == null))) {
@@ -76,34 +91,34 @@
         this.key = key == null ? null : new SecretKeySpec(key, "AES");
     }
 
-    /** How long ids of this configuration are. */
+    /** The length of the connection IDs of this configuration, in bytes. */
     public int idLength() {
         return 1 + serverBytes + nonceBytes;
     }
 
-    /** Its number, 0 to 6. */
+    /** The number of this configuration, 0 to 6. */
     public int configuration() {
         return configuration;
     }
 
-    /** How many bytes a server id has. */
+    /** The length of a server ID, in bytes. */
     public int serverBytes() {
         return serverBytes;
     }
 
-    /** How many bytes a nonce has. */
+    /** The length of a nonce, in bytes. */
     public int nonceBytes() {
         return nonceBytes;
     }
 
-    /** How many of them are the number of the connection; 0 for none. */
+    /** The length of the connection number in a nonce, in bytes; 0 for none. */
     public int numberBytes() {
         return numberBytes;
     }
 
-    /** What a connection id says, or null where it is not of this configuration. */
+    /** Decodes a connection ID; null where it is not of this configuration. */
     public Lead read(ConnectionId id) {
-        if (id.length() != idLength() || id.first() >> 5 != configuration) {
+        if (id.length() != idLength() || id.first() >> CONFIGURATION_SHIFT != configuration) {
             return null;
         }
         byte[] bytes = id.bytes();
@@ -116,7 +131,7 @@
         return new Lead(HexFormat.of().formatHex(plain, 0, serverBytes), connection);
     }
 
-    /** The connection id of a server with that nonce; {@link ServerIdGenerator} chooses nonces. */
+    /** Encodes a connection ID of a server and a nonce; {@link ServerIdGenerator} chooses nonces. */
     public ConnectionId id(byte[] server, byte[] nonce) {
         if (server.length != serverBytes || nonce.length != nonceBytes) {
             throw new IllegalArgumentException("a server id of " + server.length + " bytes and a nonce of "
@@ -126,26 +141,26 @@
         System.arraycopy(nonce, 0, plain, serverBytes, nonceBytes);
         byte[] coded = key == null ? plain : encrypt(plain);
         byte[] id = new byte[idLength()];
-        id[0] = (byte) (configuration << 5 | coded.length);
+        id[0] = (byte) (configuration << CONFIGURATION_SHIFT | coded.length);
         System.arraycopy(coded, 0, id, 1, coded.length);
         return new ConnectionId(id);
     }
 
     private byte[] encrypt(byte[] plain) {
-        return plain.length == BLOCK ? block(Cipher.ENCRYPT_MODE, plain) : passes(plain, 1, 2, 3, 4);
+        return plain.length == BLOCK ? block(Cipher.ENCRYPT_MODE, plain) : fourPasses(plain, 1, 2, 3, 4);
     }
 
     private byte[] decrypt(byte[] coded) {
-        return coded.length == BLOCK ? block(Cipher.DECRYPT_MODE, coded) : passes(coded, 4, 3, 2, 1);
+        return coded.length == BLOCK ? block(Cipher.DECRYPT_MODE, coded) : fourPasses(coded, 4, 3, 2, 1);
     }
 
     private Cipher cipher(int mode) {
         try {
-            Cipher c = Cipher.getInstance("AES/ECB/NoPadding");
-            c.init(mode, key);
-            return c;
+            Cipher cipher = Cipher.getInstance("AES/ECB/NoPadding");
+            cipher.init(mode, key);
+            return cipher;
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("this virtual machine lacks AES", e);
+            throw new IllegalStateException("the virtual machine lacks AES", e);
         }
     }
 
@@ -157,8 +172,8 @@
         }
     }
 
-    /** A Feistel network over two halves; where the length is odd they share the middle byte, half each. */
-    private byte[] passes(byte[] in, int... order) {
+    /** A Feistel network over two halves (QUIC-LB section 5); of an odd length each half has four bits of the middle byte. */
+    private byte[] fourPasses(byte[] in, int... order) {
         int half = (in.length + 1) / 2;
         boolean odd = in.length % 2 == 1;
         byte[] left = Arrays.copyOf(in, half);
--- a/node/src/main/java/tulipshed/connectionid/StatelessReset.java
+++ b/node/src/main/java/tulipshed/connectionid/StatelessReset.java
@@ -7,27 +7,34 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Stateless resets (RFC 9000 section 10.3) under a key that the node shares with the servers: each takes the
- * token of an id to be the first 16 bytes of its HMAC, so a client accepts the node's reset as its server's.
+ * Stateless resets (RFC 9000 section 10.3) under a key that the node shares with the servers. The token of a connection ID is
+ * the first 16 bytes of its HMAC-SHA-256 (RFC 9000 section 10.3.2), so that a client accepts a reset of the node as its
+ * server's. Immutable.
  */
 public final class StatelessReset {
-    /** Bytes of a token. */
+    /** The length of a token, in bytes. */
     public static final int TOKEN = 16;
-    /** A reset has so many bytes at least (RFC 9000 section 10.3). */
+    /** The length of the shortest reset, in bytes (RFC 9000 section 10.3). */
     public static final int LEAST = 21;
 
-    private static final int LENGTH = 43;
+    /** The length of a reset, unless the datagram that it answers is too short. */
+    private static final int USUAL_BYTES = 43;
+
+    private static final String MAC_ALGORITHM = "HmacSHA256";
+    private static final int RANDOM_BITS_MASK = 0x3F;
+    private static final int SHORT_HEADER = 0x40;
+
     private final SecretKeySpec key;
 
-    /** One under that key, of 16 bytes or more. */
+    /** Resets under this key, of 16 bytes or more. */
     public StatelessReset(byte[] key) {
-        this.key = new SecretKeySpec(key, "HmacSHA256");
+        this.key = new SecretKeySpec(key, MAC_ALGORITHM);
     }
 
-    /** The token of an id, which servers hand to their clients with it. */
+    /** The token of a connection ID, which servers send to their clients with the ID. */
     public byte[] token(ConnectionId id) {
         try {
-            Mac mac = Mac.getInstance("HmacSHA256");
+            Mac mac = Mac.getInstance(MAC_ALGORITHM);
             mac.init(key);
             return Arrays.copyOf(mac.doFinal(id.bytes()), TOKEN);
         } catch (GeneralSecurityException e) {
@@ -35,11 +42,16 @@
         }
     }
 
-    /** A datagram that resets the connection with this id; shorter than the one it answers, to end loops. */
-    public byte[] datagram(ConnectionId id, int answered, RandomGenerator random) {
-        byte[] reset = new byte[Math.max(LEAST, Math.min(LENGTH, answered - 1))];
+    /**
+     * A datagram that resets the connection with this ID.
+     *
+     * @param triggerBytes the length of the datagram that it answers; it is shorter, to prevent loops (RFC 9000 section
+     *     10.3.3), but not shorter than {@link #LEAST}
+     */
+    public byte[] datagram(ConnectionId id, int triggerBytes, RandomGenerator random) {
+        byte[] reset = new byte[Math.max(LEAST, Math.min(USUAL_BYTES, triggerBytes - 1))];
         random.nextBytes(reset);
-        reset[0] = (byte) ((reset[0] & 0x3F) | 0x40);
+        reset[0] = (byte) ((reset[0] & RANDOM_BITS_MASK) | SHORT_HEADER);
         System.arraycopy(token(id), 0, reset, reset.length - TOKEN, TOKEN);
         return reset;
     }
--- a/node/src/main/java/tulipshed/connectionid/package-info.java
+++ b/node/src/main/java/tulipshed/connectionid/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connection ids that carry the id of their server (draft-ietf-quic-load-balancers, "QUIC-LB"): what a node reads and what
- * servers write. A library of its own, which needs nothing of the node; the build also puts it into a jar of its own.
+ * Routable connection IDs (draft-ietf-quic-load-balancers, "QUIC-LB"), which nodes decode and servers encode. It depends on
+ * nothing else of the node, and the build also packages it as a library for servers, whose public names do not change.
  */
 package tulipshed.connectionid;
--- a/node/src/test/java/tulipshed/quic/AddressTest.java
+++ b/node/src/test/java/tulipshed/quic/AddressTest.java
@@ -25,7 +25,7 @@
 import tulipshed.time.WallClock;
 import tulipshed.time.WallTime;
 
-/** Proof of addresses: tokens, Retry packets, and when they are asked for. */
+/** Address validation: tokens, Retry packets, and when a Retry is required. */
 class AddressTest {
     private static final HexFormat HEX = HexFormat.of();
     private static final ConnectionId FIRST = new ConnectionId(HEX.parseHex("8394c8f03e515708"));
@@ -161,7 +161,7 @@
                 "at most once on and off a second: " + policy.changes());
     }
 
-    /** QUIC-LB: the upper bits tell the configuration, and with it the length; unroutable ids tell theirs themselves. */
+    /** QUIC-LB: the upper bits select the configuration, and with it the length; unroutable IDs encode their length. */
     @Test
     void configurationsAreToldApartByTheFirstByte() {
         ServerIds zero = new ServerIds(0, 3, 4, null);
--- a/node/src/test/java/tulipshed/quic/ConnectionStateMachineTest.java
+++ b/node/src/test/java/tulipshed/quic/ConnectionStateMachineTest.java
@@ -14,7 +14,7 @@
 import tulipshed.limits.Limits;
 import tulipshed.limits.QuicLimits;
 
-/** One connection, packet by packet. */
+/** The actions of one connection, datagram by datagram. */
 class ConnectionStateMachineTest {
     private static final ConnectionId FIRST = new ConnectionId(new byte[] {1, 2, 3, 4, 5, 6, 7, 8});
     private static final ConnectionId CLIENT = new ConnectionId(new byte[] {9, 9});
@@ -41,7 +41,7 @@
         return m.fromClient(datagram, Packet.read(datagram, 8), nowMs);
     }
 
-    private ConnectionAction member(ConnectionStateMachine m, byte[] datagram) {
+    private ConnectionAction endpoint(ConnectionStateMachine m, byte[] datagram) {
         return m.fromEndpoint(Packet.read(datagram, CLIENT.length()), nowMs);
     }
 
@@ -54,19 +54,19 @@
     }
 
     @Test
-    void aHelloInThreePartsArrivesOnceAndStands() {
+    void clientHelloInThreeDatagramsStartsOneRequestAndIsEstablished() {
         ConnectionStateMachine m = opens(hello(0, 1000));
         assertEquals(ConnectionStage.AWAITING_CLIENT_HELLO, m.stage());
         assertEquals(ConnectionAction.AWAIT_CLIENT_HELLO, client(m, hello(2000, 3000)));
         assertEquals(ConnectionAction.AWAIT_CLIENT_HELLO, client(m, hello(2000, 3000)));
         assertEquals(ConnectionAction.START_REQUEST, client(m, hello(1000, 2000)));
         assertEquals("a.example", m.takeClientHello().hello().serverName());
-        assertEquals(4, m.firstDatagrams().size(), "all of it goes to the member, in the order in which it came");
+        assertEquals(4, m.firstDatagrams().size(), "all of it goes to the endpoint, in the order of arrival");
         assertEquals(
                 ConnectionAction.DROP,
-                member(m, served(new ConnectionId(new byte[] {8, 8}))),
-                "what is meant for who had the place before");
-        assertEquals(ConnectionAction.ESTABLISH, member(m, served(CLIENT)));
+                endpoint(m, served(new ConnectionId(new byte[] {8, 8}))),
+                "a datagram for the flow that used the socket before");
+        assertEquals(ConnectionAction.ESTABLISH, endpoint(m, served(CLIENT)));
         m.establish();
         assertEquals(List.of(), m.firstDatagrams());
         assertEquals(ConnectionAction.FORWARD, client(m, StandIns.shortPacket(SERVER, 1)));
@@ -75,19 +75,18 @@
     }
 
     @Test
-    void everyWayThatAMemberCanTakeAnInitial() {
+    void firstAnswerOfAnEndpointDecidesTheAction() {
         assertEquals(
-                ConnectionAction.ENDPOINT_REFUSED, member(opens(whole()), closed(InitialFrames.CONNECTION_REFUSED)));
-        assertEquals(ConnectionAction.ENDPOINT_FAILED, member(opens(whole()), closed(0x128)));
+                ConnectionAction.ENDPOINT_REFUSED, endpoint(opens(whole()), closed(InitialFrames.CONNECTION_REFUSED)));
+        assertEquals(ConnectionAction.ENDPOINT_FAILED, endpoint(opens(whole()), closed(0x128)));
         byte[] spoilt = served(CLIENT);
         spoilt[60] ^= 1;
-        assertEquals(
-                ConnectionAction.DROP, member(opens(whole()), spoilt), "who has no keys of it makes nothing of it");
+        assertEquals(ConnectionAction.DROP, endpoint(opens(whole()), spoilt), "a packet that fails authentication");
         ConnectionStateMachine m = opens(whole());
         byte[] retry = RetryPacket.make(Version.V1, CLIENT, SERVER, FIRST, new byte[10], 3);
-        assertEquals(ConnectionAction.FORWARD_RETRY, member(m, retry));
+        assertEquals(ConnectionAction.FORWARD_RETRY, endpoint(m, retry));
         assertEquals(SERVER, m.initialKeyId());
-        assertEquals(ConnectionAction.DROP, member(m, served(CLIENT)), "what was sealed under the id before");
+        assertEquals(ConnectionAction.DROP, endpoint(m, served(CLIENT)), "a packet under the keys before the Retry");
     }
 
     private static byte[] whole() {
@@ -95,29 +94,30 @@
     }
 
     @Test
-    void timeEndsEachStage() {
+    void eachStageHasItsTimeout() {
         ConnectionStateMachine m = opens(hello(0, 1000));
         assertEquals(ConnectionAction.DROP, m.checkTimeouts(nowMs + limits.clientHelloTimeoutMs(), false));
         assertEquals(
                 ConnectionAction.REFUSE_INCOMPLETE, m.checkTimeouts(nowMs + limits.clientHelloTimeoutMs() + 1, false));
         m.close(nowMs);
         assertEquals(ConnectionAction.REPEAT_ANSWER, client(m, hello(0, 1000)));
-        assertEquals(ConnectionAction.DROP, member(m, served(CLIENT)));
+        assertEquals(ConnectionAction.DROP, endpoint(m, served(CLIENT)));
         assertEquals(ConnectionAction.DROP, m.checkTimeouts(nowMs + limits.finalResponseRepeatMs(), false));
         assertEquals(ConnectionAction.REMOVE, m.checkTimeouts(nowMs + limits.finalResponseRepeatMs() + 1, false));
-        ConnectionStateMachine standing = opens(whole());
+        ConnectionStateMachine established = opens(whole());
         assertEquals(
                 ConnectionAction.DROP,
-                standing.checkTimeouts(nowMs + 1e9, true),
-                "while an answer is owed the core keeps the time");
-        standing.establish();
-        assertEquals(ConnectionAction.ENDPOINT_UNRESPONSIVE, standing.checkTimeouts(nowMs, true));
-        assertEquals(ConnectionAction.DROP, standing.checkTimeouts(nowMs + limits.idleTimeoutMs(), false));
-        assertEquals(ConnectionAction.IDLE_TIMEOUT, standing.checkTimeouts(nowMs + limits.idleTimeoutMs() + 1, false));
+                established.checkTimeouts(nowMs + 1e9, true),
+                "while the request is pending the core has the timeout");
+        established.establish();
+        assertEquals(ConnectionAction.ENDPOINT_UNRESPONSIVE, established.checkTimeouts(nowMs, true));
+        assertEquals(ConnectionAction.DROP, established.checkTimeouts(nowMs + limits.idleTimeoutMs(), false));
+        assertEquals(
+                ConnectionAction.IDLE_TIMEOUT, established.checkTimeouts(nowMs + limits.idleTimeoutMs() + 1, false));
     }
 
     @Test
-    void aWishTakenBackIsKnownBeforeAndAfterTheHelloIsWhole() {
+    void clientCloseIsSeenBeforeAndAfterTheClientHelloIsComplete() {
         byte[] close = initial(InitialFrames.close(0, "never mind"));
         assertEquals(ConnectionAction.CLIENT_CLOSED, client(opens(hello(0, 1000)), close));
         assertEquals(ConnectionAction.CLIENT_CLOSED, client(opens(whole()), close));
@@ -125,7 +125,7 @@
 
     /** A close behind another packet of its datagram, and one under the keys that the client had before it saw a Retry. */
     @Test
-    void aWishTakenBackIsFoundInAnyPacketAndUnderTheKeysBeforeARetry() {
+    void clientCloseIsSeenInAnyPacketAndUnderTheKeysBeforeARetry() {
         byte[] close = initial(InitialFrames.close(0, "never mind"));
         byte[] acknowledgement =
                 InitialKeys.client(Version.V1, FIRST).seal(FIRST, CLIENT, 1, new byte[] {2, 0, 0, 0, 0});
@@ -136,7 +136,7 @@
         ConnectionStateMachine retried = opens(whole());
         assertEquals(
                 ConnectionAction.FORWARD_RETRY,
-                member(retried, RetryPacket.make(Version.V1, CLIENT, SERVER, FIRST, new byte[10], 3)));
+                endpoint(retried, RetryPacket.make(Version.V1, CLIENT, SERVER, FIRST, new byte[10], 3)));
         byte[] laterClose = InitialKeys.client(Version.V1, SERVER)
                 .seal(SERVER, CLIENT, 1, Arrays.copyOf(InitialFrames.close(0, ""), 1160));
         assertEquals(ConnectionAction.CLIENT_CLOSED, client(retried, laterClose));
@@ -144,11 +144,11 @@
     }
 
     /**
-     * Whatever comes in whatever order: one arrival at most, three times the bytes of an address at most until it is proved,
-     * and after the answer nothing but the answer.
+     * Invariants under any order of datagrams: at most one request, at most three times the received bytes sent until the
+     * address is validated, and after the final answer nothing but its repetition.
      */
     @Property(tries = 2000, seed = "92")
-    void noOrderOfPacketsBreaksItsWord(@ForAll long seed) {
+    void anyOrderOfPacketsKeepsTheInvariants(@ForAll long seed) {
         Random random = new Random(seed);
         byte[] begun = random.nextBoolean() ? whole() : hello(0, 1000);
         ConnectionStateMachine m = opens(begun);
@@ -179,7 +179,7 @@
                     }
                 }
                 case 1 -> {
-                    step = member(m, random.nextInt(4) == 0 ? closed(random.nextInt(3)) : served(CLIENT));
+                    step = endpoint(m, random.nextInt(4) == 0 ? closed(random.nextInt(3)) : served(CLIENT));
                     if (step == ConnectionAction.ESTABLISH && random.nextBoolean()) {
                         m.establish();
                     } else if (step == ConnectionAction.ENDPOINT_REFUSED) {
--- a/node/src/test/java/tulipshed/quic/EndsTest.java
+++ b/node/src/test/java/tulipshed/quic/EndsTest.java
@@ -21,7 +21,7 @@
 import tulipshed.quic.StandIns.Server.Manner;
 
 /** How connections end: servers that lose their state, places that are used again, floods, and what the kernel drops. */
-class EndsTest extends FrontSetup {
+class EndsTest extends QuicFrontendFixture {
     /** Without telling the server's resets from packets the module would count its connections until they are idle. */
     @Test
     void aServerThatHasLostItsStateEndsItsConnectionsAtOnce() throws IOException {
@@ -79,7 +79,7 @@
     /** A place is used by other clients later; what its member still sends to the first must not make the second stand. */
     @Test
     void whatIsLateForOneClientDoesNotServeAnother() throws IOException {
-        seatQuietMs = 0;
+        socketReuseDelayMs = 0;
         deadlineMs = 4000;
         front(Manner.SERVES);
         try (Client first = new Client(front.address(), 1);
@@ -164,7 +164,7 @@
     @SuppressWarnings("ReferenceEquality") // the very datagram that was queued
     @Test
     void whoIsKnownGoesBeforeStrangers() throws Exception {
-        mostSessions = 1000;
+        maxConnections = 1000;
         numberedFront(1);
         try (Client known = new Client(front.address(), 1);
                 Client stranger = new Client(front.address(), 2)) {
@@ -206,8 +206,8 @@
     /** Ids in the clear can be forged: what no member answers gives way, and nobody who stands does. */
     @Test
     void forgedIdsDoNotFillTheTable() throws IOException {
-        carriedOn = 10;
-        mostSessions = 40;
+        maxUnconfirmedConnections = 10;
+        maxConnections = 40;
         front(Manner.SERVES);
         try (Client client = new Client(front.address(), 1);
                 Client forger = new Client(front.address(), 2)) {
@@ -239,7 +239,7 @@
      */
     @Test
     void aFloodHoldsNothingAndDisturbsNobody() throws IOException {
-        mostSessions = 60;
+        maxConnections = 60;
         numberedFront(3);
         List<Client> standing = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
--- a/node/src/test/java/tulipshed/quic/KwikTest.java
+++ b/node/src/test/java/tulipshed/quic/KwikTest.java
@@ -179,7 +179,7 @@
                                     .getBytes(UTF_8),
                             config.nameIndex())
                     .router());
-            tell(EndpointStatus.SERVING, EndpointStatus.SERVING);
+            notifyStatus(EndpointStatus.SERVING, EndpointStatus.SERVING);
             front = new QuicFrontend(
                     new SystemClock(),
                     Limits.forDescriptors(1024),
@@ -229,7 +229,7 @@
     }
 
     /** Discovery's news of both servers. */
-    private void tell(EndpointStatus first, EndpointStatus second) {
+    private void notifyStatus(EndpointStatus first, EndpointStatus second) {
         List<EndpointListEntry> listed = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             listed.add(new EndpointListEntry(
@@ -239,8 +239,8 @@
         core.endpointsChanged(EndpointListKind.COMPLETE, listed);
     }
 
-    private <T> T onLoop(FrontSetup.Task<T> what) {
-        return FrontSetup.onLoop(loop, what);
+    private <T> T onLoop(QuicFrontendFixture.Task<T> what) {
+        return QuicFrontendFixture.onLoop(loop, what);
     }
 
     @AfterEach
@@ -347,7 +347,7 @@
             }
         }
         onLoop(() -> {
-            tell(EndpointStatus.DRAINING, EndpointStatus.SERVING);
+            notifyStatus(EndpointStatus.DRAINING, EndpointStatus.SERVING);
             return null;
         });
         int atDrained = streams.get(0);
--- a/node/src/test/java/tulipshed/quic/MigrationTest.java
+++ b/node/src/test/java/tulipshed/quic/MigrationTest.java
@@ -15,7 +15,7 @@
 import tulipshed.quic.StandIns.Server;
 
 /** Clients that change their address, their id, or both, alone and all at once. */
-class MigrationTest extends FrontSetup {
+class MigrationTest extends QuicFrontendFixture {
     private Server.Conn conn(Client client) {
         return servers.get(holder(client)).conns.get(client.server);
     }
@@ -225,7 +225,7 @@
     /** All clients get other addresses at one moment, as when a translator of addresses restarts; again and again. */
     @Test
     void aStormOfRebindsLosesNothing() throws IOException {
-        mostSessions = 400;
+        maxConnections = 400;
         numberedFront(4);
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
@@ -261,7 +261,7 @@
     /** No datagram reaches a drained server once the rule's time is over, whatever address and id it comes with. */
     @Test
     void thousandsOfRebindsReachNoDrainedServer() throws IOException {
-        mostSessions = 400;
+        maxConnections = 400;
         numberedFront(2);
         List<Client> clients = new ArrayList<>();
         List<Server.Conn> conns = new ArrayList<>();
@@ -278,7 +278,7 @@
         assertTrue(clients.size() >= 10, "enough of them stand at the first server");
         Server drained = servers.get(0);
         drained.drainedNs = System.nanoTime();
-        tell(0, EndpointStatus.DRAINING);
+        notifyStatus(0, EndpointStatus.DRAINING);
         int words = 0;
         int rebinds = 0;
         for (int round = 0; round < 100; round++) {
--- a/node/src/test/java/tulipshed/quic/FrontSetup.java
+++ b/node/src/test/java/tulipshed/quic/QuicFrontendFixture.java
@@ -28,19 +28,19 @@
 import tulipshed.time.SystemClock;
 import tulipshed.transport.XnioEventLoop;
 
-/** A front, or several, with the real core and module between stand-in servers on loopback. */
-abstract class FrontSetup {
+/** One or several QUIC frontends with the real core and decision module, between stand-in clients and servers on loopback. */
+abstract class QuicFrontendFixture {
     final List<Server> servers = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
     XnioEventLoop loop;
     ProxyCore core;
     QuicFrontend front;
     double deadlineMs = 1200;
-    int mostSessions = 100;
+    int maxConnections = 100;
     double idleMs = 5000;
     double pathIdleMs = 400;
-    double seatQuietMs = 5000;
-    int carriedOn = 512;
+    double socketReuseDelayMs = 5000;
+    int maxUnconfirmedConnections = 512;
     int descriptors = 1024;
     RetryTokens tokens;
     RetryPolicy policy;
@@ -77,7 +77,7 @@
         QuicLimits q = l.quic();
         return l.with(new QuicLimits(
                 q.datagramBytes(),
-                mostSessions,
+                maxConnections,
                 q.maxIdsPerConnection(),
                 q.retainedFirstDatagrams(),
                 idleMs,
@@ -89,11 +89,11 @@
                 4,
                 q.maxPathsPerConnection(),
                 pathIdleMs,
-                seatQuietMs,
+                socketReuseDelayMs,
                 q.maxReadsPerEvent(),
                 q.maxUnknownDatagrams(),
                 q.unknownDatagramSliceMs(),
-                carriedOn,
+                maxUnconfirmedConnections,
                 q.receiveBufferBytes(),
                 q.tokenClockToleranceMs()));
     }
@@ -122,7 +122,7 @@
         front = node.front;
     }
 
-    /** The same with servers that number their connections. */
+    /** Starts the same with servers that number their connections. */
     void numberedFront(int count) throws IOException {
         Manner[] manners = new Manner[count];
         java.util.Arrays.fill(manners, Manner.SERVES);
@@ -132,7 +132,7 @@
         }
     }
 
-    /** One more node before the same servers. */
+    /** Starts another node in front of the same servers. */
     Node node() throws IOException {
         NodeConfig config = NodeConfig.load(Map.of("PROXY_CONFIG", "src/test/resources/node.json"));
         XnioEventLoop started = new XnioEventLoop(limits());
@@ -153,7 +153,7 @@
         });
         nodes.add(node);
         for (int i = 0; i < servers.size(); i++) {
-            tell(node, i, EndpointStatus.SERVING);
+            notifyStatus(node, i, EndpointStatus.SERVING);
         }
         return node;
     }
@@ -165,12 +165,12 @@
         });
     }
 
-    /** Discovery's news of one server, to every node. */
-    void tell(int i, EndpointStatus state) {
-        nodes.forEach(n -> tell(n, i, state));
+    /** Notifies every node of the status of one server. */
+    void notifyStatus(int i, EndpointStatus state) {
+        nodes.forEach(n -> notifyStatus(n, i, state));
     }
 
-    private void tell(Node node, int i, EndpointStatus state) {
+    private void notifyStatus(Node node, int i, EndpointStatus state) {
         EndpointInfo entry = new EndpointInfo("s-" + (i + 1), state, "decin", 0, "std-2c", 1, 0);
         onLoop(node.loop, () -> {
             node.core.endpointsChanged(
--- a/node/src/test/java/tulipshed/quic/QuicFrontendTest.java
+++ b/node/src/test/java/tulipshed/quic/QuicFrontendTest.java
@@ -25,8 +25,8 @@
 import tulipshed.time.WallTime;
 import tulipshed.transport.UdpSocket;
 
-/** The second front with the real core and module between stand-in clients and servers on loopback. */
-class QuicFrontendTest extends FrontSetup {
+/** The QUIC frontend with the real core and decision module between stand-in clients and servers on loopback. */
+class QuicFrontendTest extends QuicFrontendFixture {
     @Test
     void aClientThatRebindsKeepsItsConnectionAndItsServerSeesOneAddress() throws IOException {
         front(Manner.SERVES);
@@ -53,7 +53,7 @@
             assertEquals(new Heard("number", 1), client.hear());
             int held = servers.get(0).initials.get() == 1 ? 0 : 1;
             // In the middle of a booking: the client rebinds while its server begins to drain.
-            tell(held, EndpointStatus.DRAINING);
+            notifyStatus(held, EndpointStatus.DRAINING);
             client.rebind();
             client.sendNumber(2);
             assertEquals("reset", client.hear().what());
@@ -165,7 +165,7 @@
     void aFloodFromChangingAddressesIsAskedForProofAndHoldsNothing() throws IOException {
         tokens = new RetryTokens(Map.of(7, new byte[16]), 7, 10_000, 0, () -> new WallTime(0));
         policy = new RetryPolicy(3, 0, 0);
-        mostSessions = 50;
+        maxConnections = 50;
         front(Manner.SERVES);
         try (Client standing = new Client(front.address(), 100)) {
             assertEquals("served", open(standing).what());
@@ -283,8 +283,8 @@
                 Thread.onSpinWait();
             }
             servers.add(new Server(2, Manner.SERVES));
-            tell(1, EndpointStatus.SERVING);
-            tell(0, EndpointStatus.DRAINING);
+            notifyStatus(1, EndpointStatus.SERVING);
+            notifyStatus(0, EndpointStatus.DRAINING);
             assertEquals("served", client.hear().what());
             client.sendNumber(7);
             assertEquals(new Heard("number", 7), client.hear());
@@ -363,7 +363,7 @@
     void aFlowWithoutADescriptorIsTurnedAwayAndNotCountedAgainstTheServer() throws IOException {
         descriptors = 64 + 32 + 4 + 2;
         front(Manner.SERVES);
-        tell(0, EndpointStatus.DRAINING);
+        notifyStatus(0, EndpointStatus.DRAINING);
         try (Client client = new Client(front.address(), 17)) {
             client.send(client.initial());
             while (onLoop(front.context().table()::sessionCount) == 0) {
@@ -379,7 +379,7 @@
                 }
                 return null;
             });
-            tell(0, EndpointStatus.SERVING);
+            notifyStatus(0, EndpointStatus.SERVING);
             assertEquals(new Heard("closed", InitialFrames.CONNECTION_REFUSED), client.hear());
             assertEquals(0, servers.get(0).initials.get());
             onLoop(() -> {
@@ -466,7 +466,7 @@
 
     @Test
     void tablesAreBoundedAndIdleIdsAreForgotten() throws IOException {
-        mostSessions = 2;
+        maxConnections = 2;
         idleMs = 2000;
         front(Manner.SERVES);
         for (int i = 0; i < 2; i++) {
--- a/node/src/test/java/tulipshed/quic/QuicLabProcess.java
+++ b/node/src/test/java/tulipshed/quic/QuicLabProcess.java
@@ -122,7 +122,7 @@
                     members.get(i - 1)));
         }
         RetryTokens tokens = new RetryTokens(Map.of(1, new byte[16]), 1, 10_000, 0, () -> new WallTime(0));
-        QuicFrontend front = FrontSetup.onLoop(loop, () -> {
+        QuicFrontend front = QuicFrontendFixture.onLoop(loop, () -> {
             ProxyCore core = new ProxyCore(
                     new SystemClock(), limits, config.settings(), 1, loop, NodeLog.silent(), Balancer::new);
             core.endpointsChanged(EndpointListKind.COMPLETE, listed);
@@ -150,11 +150,11 @@
             System.gc();
             Runtime r = Runtime.getRuntime();
             long heap = r.totalMemory() - r.freeMemory();
-            System.out.println(
-                    heap + " " + FrontSetup.onLoop(loop, front.context().table()::sessionCount) + " "
-                            + FrontSetup.onLoop(loop, front.context().table()::idCount) + " "
-                            + FrontSetup.onLoop(loop, front.context().sockets()::count));
-            System.err.println(FrontSetup.onLoop(
+            System.out.println(heap + " "
+                    + QuicFrontendFixture.onLoop(loop, front.context().table()::sessionCount) + " "
+                    + QuicFrontendFixture.onLoop(loop, front.context().table()::idCount) + " "
+                    + QuicFrontendFixture.onLoop(loop, front.context().sockets()::count));
+            System.err.println(QuicFrontendFixture.onLoop(
                     loop,
                     () -> java.util.Arrays.stream(QuicCounter.values())
                             .filter(f -> front.context().metrics().get(f) > 0)
--- a/node/src/test/java/tulipshed/quic/SocketShortageTest.java
+++ b/node/src/test/java/tulipshed/quic/SocketShortageTest.java
@@ -11,7 +11,7 @@
 import tulipshed.quic.StandIns.Server.Manner;
 
 /** Sockets towards endpoints that this machine cannot open, which says nothing of the endpoints. */
-class SocketShortageTest extends FrontSetup {
+class SocketShortageTest extends QuicFrontendFixture {
     private final AtomicInteger tries = new AtomicInteger();
 
     /** Opening a socket fails so many times, and then succeeds. */
--- a/node/src/test/java/tulipshed/quic/UpstreamPortAllocatorTest.java
+++ b/node/src/test/java/tulipshed/quic/UpstreamPortAllocatorTest.java
@@ -17,78 +17,117 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Which socket a flow uses: never one that another flow of the same member uses, as that would mix up their clients. */
+/** The assignment of sockets: never two flows of an endpoint to one, as that would mix up their clients. */
 class UpstreamPortAllocatorTest {
-    private record Flow(int member, int slot) {}
+    private static final int STEPS = 400;
+    private static final int ENDPOINTS = 4;
 
-    private static InetSocketAddress endpoint(int number) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), 1 + number);
+    private record Flow(int endpoint, int socket) {}
+
+    private static InetSocketAddress address(int endpoint) {
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), 1 + endpoint);
     }
 
-    @Property(tries = 300, seed = "91")
-    void noTwoFlowsOfAMemberShareASocket(@ForAll long seed) {
-        Random random = new Random(seed);
-        int most = 1 + random.nextInt(12);
-        double quietMs = random.nextInt(3) * 50;
-        UpstreamPortAllocator allocator = new UpstreamPortAllocator(quietMs);
-        List<Flow> live = new ArrayList<>();
-        Set<Flow> taken = new HashSet<>();
-        Map<Flow, Double> left = new HashMap<>();
-        Map<Integer, Integer> perMember = new HashMap<>();
-        int fullest = 0;
-        double nowMs = 0;
-        for (int i = 0; i < 400; i++) {
+    /** Random flows that open and end, with what an allocator may do with each. */
+    private static final class RandomFlows {
+        private final Random random;
+        private final int maxSockets;
+        private final double reuseDelayMs;
+        private final UpstreamPortAllocator allocator;
+        private final List<Flow> openFlows = new ArrayList<>();
+        private final Set<Flow> assigned = new HashSet<>();
+        private final Map<Flow, Double> releasedMs = new HashMap<>();
+        private final Map<Integer, Integer> flowsPerEndpoint = new HashMap<>();
+        private int maxFlowsPerEndpoint;
+        private double nowMs;
+
+        RandomFlows(long seed) {
+            random = new Random(seed);
+            maxSockets = 1 + random.nextInt(12);
+            reuseDelayMs = random.nextInt(3) * 50;
+            allocator = new UpstreamPortAllocator(reuseDelayMs);
+        }
+
+        void step() {
             nowMs += random.nextInt(20);
-            int member = random.nextInt(4);
+            int endpoint = random.nextInt(ENDPOINTS);
             if (random.nextInt(3) > 0) {
-                int before = allocator.socketCount();
-                int slot = allocator.acquire(endpoint(member), nowMs, () -> allocator.socketCount() < most);
-                if (slot < 0) {
-                    assertTrue(perMember.getOrDefault(member, 0) >= before, "there was a socket without this member");
-                    continue;
-                }
-                Flow flow = new Flow(member, slot);
-                assertTrue(taken.add(flow), "two flows of a member on one socket");
-                assertTrue(allocator.socketCount() <= most);
-                Double since = left.remove(flow);
-                if (since != null && nowMs - since < quietMs) {
-                    assertEquals(most, before, "used again too early though there was room for another socket");
+                if (!open(endpoint)) {
+                    return;
                 }
-                live.add(flow);
-                fullest = Math.max(fullest, perMember.merge(member, 1, Integer::sum));
-            } else if (!live.isEmpty()) {
-                Flow flow = live.remove(random.nextInt(live.size()));
-                taken.remove(flow);
-                left.put(flow, nowMs);
-                allocator.release(endpoint(flow.member), flow.slot, nowMs);
-                perMember.merge(flow.member, -1, Integer::sum);
+            } else if (!openFlows.isEmpty()) {
+                release(openFlows.remove(random.nextInt(openFlows.size())));
             }
             if (random.nextInt(10) == 0) {
-                for (int closed : allocator.closeUnused(nowMs)) {
-                    assertFalse(live.stream().anyMatch(f -> f.slot == closed), "a socket in use was closed");
-                    left.keySet().removeIf(f -> f.slot == closed);
-                }
+                closeUnused();
+            }
+            if (reuseDelayMs == 0) {
+                assertTrue(
+                        allocator.socketCount() <= Math.max(1, maxFlowsPerEndpoint),
+                        "more sockets than flows at the endpoint with the most");
             }
-            if (quietMs == 0) {
+        }
+
+        private boolean open(int endpoint) {
+            int socketsBefore = allocator.socketCount();
+            int socket = allocator.acquire(address(endpoint), nowMs, () -> allocator.socketCount() < maxSockets);
+            if (socket < 0) {
                 assertTrue(
-                        allocator.socketCount() <= Math.max(1, fullest),
-                        "more sockets than flows at the fullest member");
+                        flowsPerEndpoint.getOrDefault(endpoint, 0) >= socketsBefore,
+                        "there was a socket without a flow of this endpoint");
+                return false;
+            }
+            Flow flow = new Flow(endpoint, socket);
+            assertTrue(assigned.add(flow), "two flows of an endpoint on one socket");
+            assertTrue(allocator.socketCount() <= maxSockets);
+            Double sinceMs = releasedMs.remove(flow);
+            if (sinceMs != null && nowMs - sinceMs < reuseDelayMs) {
+                assertEquals(maxSockets, socketsBefore, "reused too early though another socket could be opened");
             }
+            openFlows.add(flow);
+            maxFlowsPerEndpoint = Math.max(maxFlowsPerEndpoint, flowsPerEndpoint.merge(endpoint, 1, Integer::sum));
+            return true;
         }
-        for (Flow f : live) {
-            allocator.release(endpoint(f.member), f.slot, nowMs);
+
+        private void release(Flow flow) {
+            assigned.remove(flow);
+            releasedMs.put(flow, nowMs);
+            allocator.release(address(flow.endpoint), flow.socket, nowMs);
+            flowsPerEndpoint.merge(flow.endpoint, -1, Integer::sum);
+        }
+
+        private void closeUnused() {
+            for (int closed : allocator.closeUnused(nowMs)) {
+                assertFalse(openFlows.stream().anyMatch(flow -> flow.socket == closed), "a socket in use was closed");
+                releasedMs.keySet().removeIf(flow -> flow.socket == closed);
+            }
+        }
+
+        void releaseAll() {
+            for (Flow flow : openFlows) {
+                allocator.release(address(flow.endpoint), flow.socket, nowMs);
+            }
+            allocator.closeUnused(nowMs + reuseDelayMs);
+        }
+    }
+
+    @Property(tries = 300, seed = "91")
+    void noTwoFlowsOfAnEndpointShareASocket(@ForAll long seed) {
+        RandomFlows flows = new RandomFlows(seed);
+        for (int i = 0; i < STEPS; i++) {
+            flows.step();
         }
-        allocator.closeUnused(nowMs + quietMs);
-        assertTrue(allocator.socketCount() <= 1, "all but one are closed once nobody needs them");
-        assertEquals(0, allocator.endpointCount(), "nothing is kept of members without flows");
+        flows.releaseAll();
+        assertTrue(flows.allocator.socketCount() <= 1, "all but one are closed once no flow is open");
+        assertEquals(0, flows.allocator.endpointCount(), "nothing is remembered of endpoints without flows");
     }
 
-    /** 2,000 connections over 20 members need 100 sockets, not 2,000. */
+    /** 2,000 connections over 20 endpoints need 100 sockets, not 2,000. */
     @Test
-    void socketsFollowTheFullestMember() {
+    void socketsFollowTheEndpointWithTheMostFlows() {
         UpstreamPortAllocator allocator = new UpstreamPortAllocator(1000);
         for (int i = 0; i < 2000; i++) {
-            allocator.acquire(endpoint(i % 20), 0, () -> true);
+            allocator.acquire(address(i % 20), 0, () -> true);
         }
         assertEquals(100, allocator.socketCount());
     }
