--- a/node/src/main/java/tulipshed/expression/TypeInference.java
+++ b/node/src/main/java/tulipshed/expression/TypeInference.java
@@ -143,7 +143,8 @@
     private Expression inferString(Form.StringLiteral string) {
         int length = string.value().length();
         if (length > CostModel.MAX_STRING_LENGTH) {
-            return error(string.place(), "a string of " + length + " characters; at most " + CostModel.MAX_STRING_LENGTH);
+            return error(
+                    string.place(), "a string of " + length + " characters; at most " + CostModel.MAX_STRING_LENGTH);
         }
         return interner.literal(string.value(), string.place());
     }
--- a/node/src/main/java/tulipshed/operators/SectionFields.java
+++ b/node/src/main/java/tulipshed/operators/SectionFields.java
@@ -44,7 +44,8 @@
         } else if (byName.putIfAbsent(name, field) != null) {
             diagnostics.add(
                     field.place(),
-                    name + " is given twice; the first is at " + byName.get(name).place());
+                    name + " is given twice; the first is at "
+                            + byName.get(name).place());
         }
     }
 
@@ -124,8 +125,7 @@
         }
         if (value != null) {
             diagnostics.add(
-                    value.place(),
-                    "expected an integer from " + min + " to " + max + ", found " + value.describe());
+                    value.place(), "expected an integer from " + min + " to " + max + ", found " + value.describe());
         }
         return fallback;
     }
--- a/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
+++ b/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
@@ -177,7 +177,8 @@
                 read.explanation().lines().get(0));
         String scanErrors = errors(scans + ")");
         assertTrue(
-                scanErrors.matches("(?s)(.*\\n)?f:1:16: classify may cost [0-9]+ a request, over the max-cost of 100; .*"),
+                scanErrors.matches(
+                        "(?s)(.*\\n)?f:1:16: classify may cost [0-9]+ a request, over the max-cost of 100; .*"),
                 () -> "each alone is cheap: " + scanErrors);
     }
 }
