--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedDiscovery.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedDiscovery.java
@@ -70,7 +70,7 @@
                 member,
                 new EndpointListEntry(
                         new EndpointInfo(
-                                m.name, state, m.site, 0, m.kind.name(), m.kind.share(), Math.round(startedMs * 1000)),
+                                m.name, state, m.site, 0, m.kind.name(), m.kind.weight(), Math.round(startedMs * 1000)),
                         NOWHERE),
                 clockOffMs[member]);
     }
@@ -82,7 +82,7 @@
 
     void onEndpointFailed(double nowMs, int endpoint) {
         schedule(
-                nowMs + world.scenario.discovery().detectMs(),
+                nowMs + world.scenario.discovery().failureDetectionMs(),
                 new DiscoveryMessage.StatusChange(endpoint, EndpointStatus.REMOVED, 0));
     }
 
@@ -111,7 +111,7 @@
         now[member] = state == EndpointStatus.REMOVED ? null : n;
         changes.add(n);
         // In the order in which it happened, also where a late spell ends.
-        lastDueMs = Math.max(lastDueMs, nowMs + world.scenario.discovery().lagMs() + laterMs);
+        lastDueMs = Math.max(lastDueMs, nowMs + world.scenario.discovery().propagationDelayMs() + laterMs);
         schedule(lastDueMs, new DiscoveryMessage.NotificationDue(changes.size() - 1));
     }
 
@@ -151,14 +151,14 @@
         }
         if (nowMs < darkUntilMs
                 || busyUntilMs - nowMs
-                        > world.scenario.discovery().waiting()
-                                / world.scenario.discovery().callsPerS()
+                        > world.scenario.discovery().callQueueLimit()
+                                / world.scenario.discovery().callsPerSecond()
                                 * 1000) {
             fail(nowMs, from);
             return;
         }
         busyUntilMs =
-                Math.max(nowMs, busyUntilMs) + 1000 / world.scenario.discovery().callsPerS();
+                Math.max(nowMs, busyUntilMs) + 1000 / world.scenario.discovery().callsPerSecond();
         schedule(busyUntilMs, new DiscoveryMessage.AnswerDue(from, version));
     }
 
