--- a/emulator/src/main/java/tulipshed/emulator/model/NodeActor.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/NodeActor.java
@@ -71,7 +71,7 @@
                 number,
                 tally().rules,
                 SLACK_MS + longerMs,
-                world.scenario().members().drainGraceMs() + longerMs);
+                world.scenario().endpointModel().drainGraceMs() + longerMs);
     }
 
     @Override
@@ -210,7 +210,7 @@
         if (to == number) {
             schedule(Math.max(nowMs, atMs), message);
         } else {
-            send(Math.max(atMs, nowMs + world.scenario().network().leastMs()), world.nodes[to], message);
+            send(Math.max(atMs, nowMs + world.scenario().network().minLatencyMs()), world.nodes[to], message);
         }
     }
 }
--- a/node/src/main/java/tulipshed/quic/QuicConfig.java
+++ b/node/src/main/java/tulipshed/quic/QuicConfig.java
@@ -4,7 +4,9 @@
 import tulipshed.connectionid.ServerIds;
 import tulipshed.connectionid.StatelessReset;
 import tulipshed.limits.Limits;
+import tulipshed.operators.ConnectionIdSection;
 import tulipshed.operators.QuicSection;
+import tulipshed.operators.RetrySection;
 import tulipshed.time.WallClock;
 
 /**
@@ -34,7 +36,7 @@
     /** The configuration for a valid section of the operators' file. */
     public static QuicConfig of(QuicSection section, Limits limits, WallClock wallClock) {
         ConnectionIdConfigurations ids = new ConnectionIdConfigurations();
-        for (QuicSection.Ids entry : section.ids()) {
+        for (ConnectionIdSection entry : section.ids()) {
             ids = ids.with(
                     new ServerIds(
                             entry.configuration(),
@@ -44,7 +46,7 @@
                             entry.key()),
                     entry.servers());
         }
-        QuicSection.Retry retry = section.retry();
+        RetrySection retry = section.retry();
         return new QuicConfig(
                 section.listen(),
                 section.preferred(),
