--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
@@ -79,7 +79,7 @@
         freeAtMs = new double[kind.cores()];
         standing = new EstablishedLoad(classes, world.scenario.tenants().size(), model.groupLoad());
         faults = new EndpointFaults(random);
-        past = PolicyFactory.looksBack(world.scenario.policy()) ? new EndpointHistory() : null;
+        past = PolicyFactory.readsHistory(world.scenario.policy()) ? new EndpointHistory() : null;
         inTime = new double[classes];
         loadBySecond = new float[(int) Math.ceil(world.scenario.durationMs() / 1000) + 1];
         noteFromMs = world.scenario.requestClasses().stream()
--- a/emulator/src/main/java/tulipshed/emulator/model/World.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/World.java
@@ -69,7 +69,7 @@
     public World(Scenario scenario, long seed, int threads, NodeMaker maker) {
         this.scenario = scenario;
         this.seed = seed;
-        int usable = PolicyFactory.alone(scenario.policy()) ? 1 : threads;
+        int usable = PolicyFactory.needsSingleThread(scenario.policy()) ? 1 : threads;
         engine = new Engine(usable, scenario.network().minLatencyMs());
         tallies = new Counters[usable];
         for (int i = 0; i < usable; i++) {
--- a/emulator/src/main/java/tulipshed/emulator/policy/AttemptingPolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/AttemptingPolicy.java
@@ -4,12 +4,12 @@
 import tulipshed.decision.api.Outcome;
 
 /**
- * Keeps the waits of attempts and transactions for policies that only decide: an attempt that is not up in time ends, and
- * so does one that is out when its client's wait is nearly over.
+ * Timeouts for policies that only choose endpoints: an attempt that is not established in time is cancelled, as is one in
+ * progress shortly before its client's deadline.
  */
 abstract class AttemptingPolicy implements Policy {
-    /** Final answers are due this much before the client gives up, so that they arrive in time. */
-    static final double MARGIN_MS = 5;
+    /** Time before the client's deadline at which an attempt is cancelled, so that the final answer arrives in time. */
+    static final double ANSWER_MARGIN_MS = 5;
 
     final PolicyHost host;
 
@@ -17,19 +17,21 @@
         this.host = host;
     }
 
-    /** A client asks. */
+    /** A request arrived: an attempt must start or a final answer be given. */
     abstract void decide(ClientRequest request);
 
-    abstract void started(EmulatedAttempt attempt, double tookMs);
+    /** An attempt was established after that many milliseconds. */
+    abstract void attemptSucceeded(EmulatedAttempt attempt, double tookMs);
 
-    /** A flow ended; {@code concluded} when nothing more is owed to the client. */
-    abstract void finished(EmulatedAttempt attempt, boolean concluded, Outcome outcome);
+    /** An attempt ended; {@code concluded} where no answer is owed to the client any more. */
+    abstract void attemptFinished(EmulatedAttempt attempt, boolean concluded, Outcome outcome);
 
-    abstract void abandoned(ClientRequest request);
+    /** The client disconnected before it was answered. */
+    abstract void requestAbandoned(ClientRequest request);
 
     @Override
     public final void requestArrived(ClientRequest request) {
-        host.schedule(Math.max(0, request.remainingMs(host.nowMs()) - MARGIN_MS), () -> timeOut(request));
+        host.schedule(Math.max(0, request.remainingMs(host.nowMs()) - ANSWER_MARGIN_MS), () -> timeOut(request));
         decide(request);
     }
 
@@ -40,31 +42,31 @@
         EmulatedAttempt attempt = request.attempt;
         if (attempt != null) {
             host.cancel(attempt);
-            finished(attempt, false, Outcome.TIMEOUT);
+            attemptFinished(attempt, false, Outcome.TIMEOUT);
         }
     }
 
-    /** Sends an attempt, bounded by a time-out where that is above 0. */
+    /** Starts an attempt, with a timeout where that is above 0. */
     final EmulatedAttempt startAttempt(ClientRequest request, int endpoint, double timeoutMs) {
         EmulatedAttempt attempt = host.startAttempt(request, endpoint);
-        double left = request.remainingMs(host.nowMs()) - MARGIN_MS;
+        double left = request.remainingMs(host.nowMs()) - ANSWER_MARGIN_MS;
         if (timeoutMs > 0 && timeoutMs < left) {
             host.schedule(timeoutMs, () -> {
                 if (!attempt.ended && request.answerPending && request.attempt == attempt) {
                     host.cancel(attempt);
-                    finished(attempt, false, Outcome.TIMEOUT);
+                    attemptFinished(attempt, false, Outcome.TIMEOUT);
                 }
             });
         }
         return attempt;
     }
 
-    /** Stops waiting for an attempt. */
+    /** Cancels the attempt in progress, if any. */
     final void cancelUnestablished(ClientRequest request) {
         EmulatedAttempt attempt = request.attempt;
         if (attempt != null && !request.established) {
             host.cancel(attempt);
-            finished(attempt, true, Outcome.CANCELLED);
+            attemptFinished(attempt, true, Outcome.CANCELLED);
         }
     }
 
@@ -75,13 +77,13 @@
         }
         attempt.request.answerPending = false;
         attempt.request.established = true;
-        started(attempt, host.nowMs() - attempt.sentMs);
+        attemptSucceeded(attempt, host.nowMs() - attempt.sentMs);
         return true;
     }
 
     @Override
     public final void attemptEnded(EmulatedAttempt attempt, Outcome outcome) {
-        finished(attempt, !attempt.request.answerPending, outcome);
+        attemptFinished(attempt, !attempt.request.answerPending, outcome);
     }
 
     @Override
@@ -97,8 +99,7 @@
     @Override
     public final void requestCancelled(ClientRequest request) {
         request.answerPending = false;
-        abandoned(request);
-        // Nobody waits for it either way.
+        requestAbandoned(request);
         cancelUnestablished(request);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/BaselinePolicy.java
@@ -5,78 +5,97 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.Outcome;
 
-/** What is common to the policies that the module is compared with: they choose, try again elsewhere, then turn away. */
+/**
+ * What the policies that the decision module is compared with have in common: they choose an endpoint at random or by their
+ * rule, retry at another one when an attempt fails, and reject the request when no attempt is left.
+ */
 abstract class BaselinePolicy extends AttemptingPolicy {
-    private static final double RETRY_MS = 1000;
-    private static final double ASK_MS = 1000;
+    private static final double RETRY_AFTER_MS = 1000;
+    private static final double WATCH_DELAY_MS = 1000;
+
+    /** Remaining wait of a client below which no attempt is started. */
+    private static final double MIN_ATTEMPT_MS = 60;
+    /** Least set-up time that a failed attempt counts as. */
+    private static final double FAILURE_SETUP_MS = 1000;
 
     final UniformRandomProvider random;
-    private int[] serving = new int[0];
-    private int count;
-    private final int[] placeOf;
+    private int[] servingEndpoints = new int[0];
+    private int servingCount;
+    private final int[] indexInServing;
+    /** Weight of each endpoint in the endpoint list. */
     final double[] weight;
-    /** Connections of this node at each member, coming up and standing. */
-    final int[] open;
+    /** Connections of this node at each endpoint, in progress and established. */
+    final int[] connections;
 
     BaselinePolicy(PolicyHost host) {
         super(host);
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {host.seed(), 0x7A11D});
         int n = host.endpointCount();
-        placeOf = new int[n];
-        java.util.Arrays.fill(placeOf, -1);
+        indexInServing = new int[n];
+        java.util.Arrays.fill(indexInServing, -1);
         weight = new double[n];
-        open = new int[n];
-        host.schedule(random.nextDouble() * ASK_MS, host::watchEndpoints);
+        connections = new int[n];
+        host.schedule(random.nextDouble() * WATCH_DELAY_MS, host::watchEndpoints);
     }
 
-    /** A member to try, other than one just tried where there is a choice; below 0 where there is none. */
+    /**
+     * Chooses the endpoint of the next attempt; below 0 to reject the request.
+     *
+     * @param excluded the endpoint of the failed attempt, which is avoided where there is another; below 0 for none
+     */
     abstract int choose(ClientRequest request, int excluded);
 
-    void came(int endpoint) {}
+    /** An endpoint began to serve. */
+    void endpointAdded(int endpoint) {}
 
-    void went(int endpoint) {}
+    /** An endpoint stopped serving. */
+    void endpointRemoved(int endpoint) {}
 
-    void took(int endpoint, double ms) {}
+    /** An attempt at an endpoint was established, or failed, after that many milliseconds. */
+    void setupObserved(int endpoint, double setupMs) {}
 
+    /** The number of serving endpoints. */
     final int servingCount() {
-        return count;
+        return servingCount;
     }
 
-    final int serving(int i) {
-        return serving[i];
+    /** The index of the i-th serving endpoint. */
+    final int servingEndpoint(int i) {
+        return servingEndpoints[i];
     }
 
-    final int any(int excluded) {
-        if (count == 0) {
+    /** A random serving endpoint, other than the excluded one where there is another; below 0 where none serves. */
+    final int randomEndpoint(int excluded) {
+        if (servingCount == 0) {
             return -1;
         }
-        int endpoint = serving[random.nextInt(count)];
-        return endpoint == excluded && count > 1
-                ? serving[(placeOf[endpoint] + 1 + random.nextInt(count - 1)) % count]
+        int endpoint = servingEndpoints[random.nextInt(servingCount)];
+        return endpoint == excluded && servingCount > 1
+                ? servingEndpoints[(indexInServing[endpoint] + 1 + random.nextInt(servingCount - 1)) % servingCount]
                 : endpoint;
     }
 
     @Override
     public void endpointsChanged(EndpointListDelivery delivery) {
         if (delivery.kind() == EndpointListKind.FAILED) {
-            host.schedule(ASK_MS * (0.5 + random.nextDouble()), host::watchEndpoints);
+            host.schedule(WATCH_DELAY_MS * (0.5 + random.nextDouble()), host::watchEndpoints);
             return;
         }
         if (delivery.kind() != EndpointListKind.CHANGES) {
-            while (count > 0) {
-                remove(serving[count - 1]);
+            while (servingCount > 0) {
+                remove(servingEndpoints[servingCount - 1]);
             }
         }
         for (EndpointListing listing : delivery.listings()) {
             weight[listing.endpoint()] = listing.entry().info().weight();
-            if (listing.isServing() && placeOf[listing.endpoint()] < 0) {
-                if (count == serving.length) {
-                    serving = java.util.Arrays.copyOf(serving, Math.max(16, 2 * count));
+            if (listing.isServing() && indexInServing[listing.endpoint()] < 0) {
+                if (servingCount == servingEndpoints.length) {
+                    servingEndpoints = java.util.Arrays.copyOf(servingEndpoints, Math.max(16, 2 * servingCount));
                 }
-                placeOf[listing.endpoint()] = count;
-                serving[count++] = listing.endpoint();
-                came(listing.endpoint());
-            } else if (!listing.isServing() && placeOf[listing.endpoint()] >= 0) {
+                indexInServing[listing.endpoint()] = servingCount;
+                servingEndpoints[servingCount++] = listing.endpoint();
+                endpointAdded(listing.endpoint());
+            } else if (!listing.isServing() && indexInServing[listing.endpoint()] >= 0) {
                 remove(listing.endpoint());
             }
         }
@@ -88,33 +107,33 @@
     }
 
     private void remove(int endpoint) {
-        int at = placeOf[endpoint];
-        int last = serving[--count];
-        serving[at] = last;
-        placeOf[last] = at;
-        placeOf[endpoint] = -1;
-        went(endpoint);
+        int at = indexInServing[endpoint];
+        int last = servingEndpoints[--servingCount];
+        servingEndpoints[at] = last;
+        indexInServing[last] = at;
+        indexInServing[endpoint] = -1;
+        endpointRemoved(endpoint);
     }
 
     @Override
     final void decide(ClientRequest request) {
-        place(request, -1);
+        forward(request, -1);
     }
 
-    private void place(ClientRequest request, int excluded) {
+    private void forward(ClientRequest request, int excluded) {
         double left = request.remainingMs(host.nowMs());
-        int endpoint = request.attemptCount < host.scenario().nodes().maxAttempts() && left > 60
+        int endpoint = request.attemptCount < host.scenario().nodes().maxAttempts() && left > MIN_ATTEMPT_MS
                 ? choose(request, excluded)
                 : -1;
         if (endpoint < 0) {
             request.answerPending = false;
             host.reject(
                     request,
-                    Math.min(RETRY_MS, host.scenario().nodes().maxRetryAfterMs())
+                    Math.min(RETRY_AFTER_MS, host.scenario().nodes().maxRetryAfterMs())
                             * (0.75 + 0.25 * random.nextDouble()));
             return;
         }
-        open[endpoint]++;
+        connections[endpoint]++;
         boolean last = request.attemptCount + 1 >= host.scenario().nodes().maxAttempts();
         startAttempt(request, endpoint, last ? 0 : left / 2);
     }
@@ -123,27 +142,27 @@
     public final void connectionAdopted(ClientRequest request, EmulatedAttempt attempt) {
         request.answerPending = false;
         request.established = true;
-        open[attempt.endpoint]++;
+        connections[attempt.endpoint]++;
     }
 
     @Override
-    void started(EmulatedAttempt attempt, double tookMs) {
-        took(attempt.endpoint, tookMs);
+    void attemptSucceeded(EmulatedAttempt attempt, double tookMs) {
+        setupObserved(attempt.endpoint, tookMs);
     }
 
     @Override
-    void finished(EmulatedAttempt attempt, boolean concluded, Outcome outcome) {
-        open[attempt.endpoint]--;
+    void attemptFinished(EmulatedAttempt attempt, boolean concluded, Outcome outcome) {
+        connections[attempt.endpoint]--;
         if (!attempt.request.established && outcome != Outcome.CANCELLED) {
-            took(attempt.endpoint, Math.max(1000, host.nowMs() - attempt.sentMs));
+            setupObserved(attempt.endpoint, Math.max(FAILURE_SETUP_MS, host.nowMs() - attempt.sentMs));
         }
         if (!concluded) {
-            place(attempt.request, attempt.endpoint);
+            forward(attempt.request, attempt.endpoint);
         }
     }
 
     @Override
-    void abandoned(ClientRequest request) {}
+    void requestAbandoned(ClientRequest request) {}
 
     @Override
     public void latencyReported(EmulatedAttempt attempt, double delayMs) {}
--- a/emulator/src/main/java/tulipshed/emulator/policy/CorePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/CorePolicy.java
@@ -5,10 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import tulipshed.decision.Balancer;
-import tulipshed.decision.api.EndpointInfo;
 import tulipshed.decision.api.Outcome;
 import tulipshed.discovery.EndpointStartTimes;
-import tulipshed.discovery.ListedEndpoint;
 import tulipshed.emulator.scenario.Scenario;
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
@@ -20,41 +18,42 @@
 import tulipshed.proxy.Request;
 import tulipshed.proxy.RequestParameters;
 import tulipshed.proxy.UpstreamConnector;
-import tulipshed.time.WallTime;
 
-/** The node's whole core, with its timers on the virtual clock; the emulated network is its front and its connector. */
+/**
+ * The node's whole core, {@link ProxyCore}, with its timers on the virtual clock. The emulated network takes the place of
+ * the frontend and of the upstream connector.
+ */
 final class CorePolicy implements Policy, EventLoop, UpstreamConnector {
-    private static final int DESCRIPTORS = 1024; // the core itself counts none
+    /** Limit of file descriptors; the core itself opens none. */
+    private static final int DESCRIPTORS = 1024;
 
     private final PolicyHost host;
-    private final Map<String, Integer> numbers;
-    private final ArrayDeque<Runnable> ready = new ArrayDeque<>();
-    private final IdentityHashMap<Request, Client> byTransaction = new IdentityHashMap<>();
-    /** An event that the core cannot handle ends the run: it is a defect of the program. */
+    private final Map<String, Integer> endpointIndexes;
+    private final ArrayDeque<Runnable> readyTasks = new ArrayDeque<>();
+    private final IdentityHashMap<Request, Client> clients = new IdentityHashMap<>();
+    /** An event that the core cannot handle is a defect of the program and ends the run. */
     private static final NodeLog ERRORS = NodeLog.errorsTo(line -> {
         throw new IllegalStateException(line);
     });
 
-    private static final long BEGINNING_EPOCH_MS = 1_700_000_000_000L; // the wall time of the world's beginning
-
     private final ProxyCore core;
     private final EndpointStartTimes startTimes;
     private final boolean trustsClocks;
-    /** The connection that stood before, while the core takes it. */
-    private EmulatedAttempt standing;
+    /** The established connection that the core is adopting; null otherwise. */
+    private EmulatedAttempt adopted;
 
-    CorePolicy(PolicyHost host, Map<String, Integer> numbers) {
-        this(host, numbers, false);
+    CorePolicy(PolicyHost host, Map<String, Integer> endpointIndexes) {
+        this(host, endpointIndexes, false);
     }
 
     /**
-     * A core with a fault or without.
+     * A core, with or without a defect.
      *
-     * @param trustsClocks whether it takes the starts in lists as if all machines read its own clock
+     * @param trustsClocks whether the start times in lists are taken as if all machines read one clock
      */
-    CorePolicy(PolicyHost host, Map<String, Integer> numbers, boolean trustsClocks) {
+    CorePolicy(PolicyHost host, Map<String, Integer> endpointIndexes, boolean trustsClocks) {
         this.host = host;
-        this.numbers = numbers;
+        this.endpointIndexes = endpointIndexes;
         this.trustsClocks = trustsClocks;
         startTimes = new EndpointStartTimes(host::clockMs);
         Scenario scenario = host.scenario();
@@ -69,56 +68,56 @@
         core.setEndpointListSource(host::watchEndpoints);
     }
 
-    /** One client's transaction, as its front would hold it. */
+    /** One client's request, as a frontend would hold it. */
     private final class Client implements ClientConnection {
-        private final ClientRequest t;
-        private final Request transaction;
-
-        Client(ClientRequest request, boolean stoodBefore) {
-            this.t = request;
-            ClientDemand demand = request.demand;
-            Scenario scenario = host.scenario();
-            transaction = new Request(
+        private final ClientRequest clientRequest;
+        private final Request request;
+
+        Client(ClientRequest clientRequest, boolean adopted) {
+            this.clientRequest = clientRequest;
+            ClientDemand demand = clientRequest.demand;
+            boolean sendsLoadHints = host.scenario().clients().sendsLoadHints();
+            request = new Request(
                     this,
                     CorePolicy.this,
                     new RequestParameters(
                             demand.requestClass,
                             demand.tenant,
-                            "k" + request.id,
-                            SettingsFactory.group(demand),
-                            request.remainingMs(host.nowMs()),
-                            scenario.clients().sendsLoadHints() ? demand.usualLoad * 1e6 : 0,
+                            "k" + clientRequest.id,
+                            SettingsFactory.groupName(demand),
+                            clientRequest.remainingMs(host.nowMs()),
+                            sendsLoadHints ? demand.usualLoad * 1e6 : 0,
                             demand.requestCount > 1,
                             demand.reconnecting),
                     host.clockMs(),
-                    stoodBefore);
+                    adopted);
         }
 
         @Override
         public void reject(double retryAfterMs) {
-            t.answerPending = false;
-            forget(t);
-            host.reject(t, retryAfterMs);
+            clientRequest.answerPending = false;
+            forget(clientRequest);
+            host.reject(clientRequest, retryAfterMs);
         }
 
         @Override
         public void fail() {
-            t.answerPending = false;
-            forget(t);
-            host.fail(t);
+            clientRequest.answerPending = false;
+            forget(clientRequest);
+            host.fail(clientRequest);
         }
 
         @Override
         public void migrate() {
-            host.migrate(t);
+            host.migrate(clientRequest);
         }
     }
 
-    // ---- The loop ----
+    // ---- Event loop ----
 
     @Override
     public void execute(Runnable task) {
-        ready.add(task);
+        readyTasks.add(task);
     }
 
     @Override
@@ -129,7 +128,7 @@
     @Override
     public void runReadyTasks() {
         Runnable task;
-        while ((task = ready.poll()) != null) {
+        while ((task = readyTasks.poll()) != null) {
             task.run();
         }
     }
@@ -137,7 +136,7 @@
     @Override
     public void reconfigure() {
         core.reconfigure(SettingsFactory.of(host.scenario(), host.node()));
-        // As the node's own watch does when discovery moves: asked for all, at once.
+        // As in a real node, whose watch of a discovery that moved begins with the complete list.
         host.watchEndpoints();
     }
 
@@ -152,110 +151,83 @@
         runReadyTasks();
     }
 
-    // ---- The connector ----
+    // ---- Upstream connector ----
 
     @Override
     public void open(Attempt attempt) {
-        Client c = client(attempt);
-        if (standing != null) {
-            standing.policyState = attempt;
-            c.t.policyState = c;
+        Client client = client(attempt);
+        if (adopted != null) {
+            adopted.policyState = attempt;
+            client.clientRequest.policyState = client;
             core.attemptEstablished(attempt);
-            standing = null;
+            adopted = null;
             return;
         }
         if (!core.mayForward(attempt)) {
             core.attemptEnded(attempt, Outcome.UNUSED);
             return;
         }
-        EmulatedAttempt emulated =
-                host.startAttempt(c.t, numbers.get(attempt.endpoint().id()));
+        EmulatedAttempt emulated = host.startAttempt(
+                client.clientRequest, endpointIndexes.get(attempt.endpoint().id()));
         emulated.policyState = attempt;
         core.attemptForwarded();
     }
 
     @Override
     public void abandon(Attempt attempt) {
-        Client c = client(attempt);
-        if (c != null && c.t.attempt != null && c.t.attempt.policyState == attempt) {
-            host.cancel(c.t.attempt);
+        Client client = client(attempt);
+        if (client != null
+                && client.clientRequest.attempt != null
+                && client.clientRequest.attempt.policyState == attempt) {
+            host.cancel(client.clientRequest.attempt);
         }
     }
 
     private Client client(Attempt attempt) {
-        return byTransaction.get(attempt.request());
+        return clients.get(attempt.request());
     }
 
     private void forget(ClientRequest request) {
         if (request.policyState instanceof Client c) {
-            byTransaction.remove(c.transaction);
+            clients.remove(c.request);
         }
     }
 
-    // ---- What happens ----
+    // ---- Events of the emulated network ----
 
     @Override
     public void endpointsChanged(EndpointListDelivery delivery) {
         List<EndpointListEntry> entries = trustsClocks
-                ? delivery.listings().stream().map(CorePolicy::asStamped).toList()
+                ? delivery.listings().stream()
+                        .map(ListingTranslation::withStampedStart)
+                        .toList()
                 : startTimes.translate(
                         delivery.kind(),
-                        delivery.listings().stream().map(CorePolicy::asListed).toList());
+                        delivery.listings().stream()
+                                .map(ListingTranslation::withWallTimeStart)
+                                .toList());
         core.endpointsChanged(delivery.kind(), entries);
     }
 
-    /** What discovery says of a member: its start is a wall time, on the clock of the member's machine. */
-    private static ListedEndpoint asListed(EndpointListing listing) {
-        EndpointInfo info = listing.entry().info();
-        WallTime started = info.startedUs() == 0
-                ? ListedEndpoint.LONG_AGO
-                : new WallTime(BEGINNING_EPOCH_MS + Math.round(info.startedUs() / 1000.0 + listing.clockOffsetMs()));
-        return new ListedEndpoint(
-                info.id(),
-                info.status(),
-                info.zone(),
-                info.cell(),
-                info.machineType(),
-                info.weight(),
-                started,
-                listing.entry().address());
-    }
-
-    /** The same as a node would take it that held all clocks for one. */
-    private static EndpointListEntry asStamped(EndpointListing listing) {
-        EndpointInfo info = listing.entry().info();
-        long startedUs = info.startedUs() == 0 ? 0 : info.startedUs() + SettingsFactory.us(listing.clockOffsetMs());
-        return new EndpointListEntry(
-                new EndpointInfo(
-                        info.id(),
-                        info.status(),
-                        info.zone(),
-                        info.cell(),
-                        info.machineType(),
-                        info.weight(),
-                        startedUs),
-                listing.entry().address());
-    }
-
     @Override
     public void requestArrived(ClientRequest request) {
-        Client c = new Client(request, false);
-        request.policyState = c;
-        byTransaction.put(c.transaction, c);
-        core.requestArrived(c.transaction);
+        Client client = new Client(request, false);
+        request.policyState = client;
+        clients.put(client.request, client);
+        core.requestArrived(client.request);
     }
 
     @Override
     public void connectionAdopted(ClientRequest request, EmulatedAttempt attempt) {
-        Client c = new Client(request, true);
-        request.policyState = c;
+        Client client = new Client(request, true);
+        request.policyState = client;
         request.answerPending = false;
         request.established = true;
-        byTransaction.put(c.transaction, c);
-        standing = attempt;
-        core.adoptConnection(c.transaction, host.endpointName(attempt.endpoint));
+        clients.put(client.request, client);
+        adopted = attempt;
+        core.adoptConnection(client.request, host.endpointName(attempt.endpoint));
         runReadyTasks();
-        standing = null;
+        adopted = null;
     }
 
     @Override
@@ -281,7 +253,7 @@
     @Override
     public void requestCancelled(ClientRequest request) {
         request.answerPending = false;
-        core.clientDisconnected(((Client) request.policyState).transaction);
+        core.clientDisconnected(((Client) request.policyState).request);
         runReadyTasks();
         forget(request);
     }
--- a/emulator/src/main/java/tulipshed/emulator/policy/DelayedOraclePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/DelayedOraclePolicy.java
@@ -1,19 +1,20 @@
 package tulipshed.emulator.policy;
 
 /**
- * Sees the true state of every member as it was some time ago, and what it has itself sent there since; no node really
- * can. Chooses in proportion to the room that it sees, as the best would be everybody's best, and first among those that
- * hold the connection's group already: each more would pay for the group again.
+ * Delayed oracle: sees the true state of every endpoint as it was some time ago, and the connections that the node itself
+ * sent there since, which no real node can. Chooses an endpoint with a probability proportional to the capacity that it
+ * sees as available, as the best one would be every node's choice, and prefers endpoints that hold the request's affinity
+ * group, whose load each further endpoint would have to carry again.
  */
 final class DelayedOraclePolicy extends BaselinePolicy {
-    private static final double MOST = 0.9; // of a member's capacity
-    private static final double STRAIN = 0.7; // of what pushes a cold member over
+    private static final double MAX_LOAD_SHARE = 0.9;
+    private static final double MAX_STRAIN = 0.7;
 
     private final double delayMs;
     private final double[] sentRecently;
-    private double[] room = new double[0];
+    private double[] availableLoad = new double[0];
 
-    /** One that sees states that many milliseconds late. */
+    /** An oracle that sees states with a delay in milliseconds. */
     DelayedOraclePolicy(PolicyHost host, double lateMs) {
         super(host);
         this.delayMs = lateMs;
@@ -23,34 +24,36 @@
     @Override
     int choose(ClientRequest request, int excluded) {
         double now = host.nowMs();
-        if (room.length < servingCount()) {
-            room = new double[2 * servingCount()];
+        if (availableLoad.length < servingCount()) {
+            availableLoad = new double[2 * servingCount()];
         }
-        double all = 0;
+        double total = 0;
         double holding = 0;
         for (int i = 0; i < servingCount(); i++) {
-            GroundTruth state = host.groundTruth(serving(i)).at(now - delayMs);
-            boolean bears =
-                    state.alive() && serving(i) != excluded && state.strain() <= STRAIN && state.backlogMs() <= 0;
-            boolean holds =
-                    request.demand.group >= 0 && host.groundTruth(serving(i)).holdsGroup(request.demand.group);
+            GroundTruth state = host.groundTruth(servingEndpoint(i)).at(now - delayMs);
+            boolean bears = state.alive()
+                    && servingEndpoint(i) != excluded
+                    && state.strain() <= MAX_STRAIN
+                    && state.backlogMs() <= 0;
+            boolean holds = request.demand.group >= 0
+                    && host.groundTruth(servingEndpoint(i)).holdsGroup(request.demand.group);
             double more = request.demand.load
                     + (request.demand.group < 0 || holds
                             ? 0
                             : host.scenario().endpointModel().groupLoad());
-            double left = MOST * state.capacity() - state.load() - sentRecently[serving(i)] - more;
-            room[i] = bears && left > 0 ? holds ? -left : left : 0;
-            all += Math.max(0, room[i]);
-            holding += Math.max(0, -room[i]);
+            double left = MAX_LOAD_SHARE * state.capacity() - state.load() - sentRecently[servingEndpoint(i)] - more;
+            availableLoad[i] = bears && left > 0 ? holds ? -left : left : 0;
+            total += Math.max(0, availableLoad[i]);
+            holding += Math.max(0, -availableLoad[i]);
         }
-        // Where some hold the group, they are below 0: only those count.
+        // Endpoints that hold the group are negative; where there are any, only those are considered.
         double sign = holding > 0 ? -1 : 1;
-        all = holding > 0 ? holding : all;
-        double x = all * random.nextDouble();
+        total = holding > 0 ? holding : total;
+        double remaining = total * random.nextDouble();
         for (int i = 0; i < servingCount(); i++) {
-            x -= Math.max(0, sign * room[i]);
-            if (sign * room[i] > 0 && x <= 0) {
-                int endpoint = serving(i);
+            remaining -= Math.max(0, sign * availableLoad[i]);
+            if (sign * availableLoad[i] > 0 && remaining <= 0) {
+                int endpoint = servingEndpoint(i);
                 double load = request.demand.load;
                 sentRecently[endpoint] += load;
                 host.schedule(delayMs, () -> sentRecently[endpoint] -= load);
--- a/emulator/src/main/java/tulipshed/emulator/policy/ForwardingPolicyHost.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ForwardingPolicyHost.java
@@ -2,9 +2,9 @@
 
 import tulipshed.emulator.scenario.Scenario;
 
-/** A host that passes on all that it is asked to another one, but for what a subclass does in its own way. */
+/** A policy host that forwards all calls to another one, except for those that a subclass overrides. */
 abstract class ForwardingPolicyHost implements PolicyHost {
-    /** The one that it is passed on to. */
+    /** The host that calls are forwarded to. */
     final PolicyHost host;
 
     ForwardingPolicyHost(PolicyHost host) {
--- a/emulator/src/main/java/tulipshed/emulator/policy/HotRestart.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/HotRestart.java
@@ -10,12 +10,12 @@
  * of the node's quota and deciding for its own requests; then the older has none of it, sends its clients away and ends.
  */
 public final class HotRestart implements Policy {
-    private static final double SIDE_BY_SIDE_MS = 1000;
-    private static final double HALF = 0.5;
+    private static final double OVERLAP_MS = 1000;
+    private static final double OVERLAP_QUOTA_SHARE = 0.5;
 
     private final PolicyHost host;
     private final Function<PolicyHost, Policy> policies;
-    private int started;
+    private int startedProcesses;
     private NodeProcess serving;
     /** The one that hands over, or null. */
     private NodeProcess older;
@@ -32,13 +32,13 @@
     /** One process: what it started ends with it. */
     private final class NodeProcess extends ForwardingPolicyHost {
         private final long seed;
-        private final List<ClientRequest> tries = new ArrayList<>();
+        private final List<ClientRequest> requests = new ArrayList<>();
         private final Policy policy;
-        private boolean isOver;
+        private boolean hasEnded;
 
         NodeProcess() {
             super(HotRestart.this.host);
-            seed = host.seed() + started++;
+            seed = host.seed() + startedProcesses++;
             policy = policies.apply(this);
         }
 
@@ -50,25 +50,25 @@
         @Override
         public void schedule(double delayMs, Runnable task) {
             host.schedule(delayMs, () -> {
-                if (!isOver) {
+                if (!hasEnded) {
                     task.run();
                 }
             });
         }
 
-        void takes(ClientRequest request) {
+        void add(ClientRequest request) {
             request.process = this;
-            tries.add(request);
+            requests.add(request);
         }
 
         /** Those of its requests and connections that are not over. */
-        List<ClientRequest> held() {
-            tries.removeIf(request -> request.indexAtNode < 0);
-            return List.copyOf(tries);
+        List<ClientRequest> activeRequests() {
+            requests.removeIf(request -> request.indexAtNode < 0);
+            return List.copyOf(requests);
         }
     }
 
-    private static Policy of(ClientRequest request) {
+    private static Policy policyOf(ClientRequest request) {
         return ((NodeProcess) request.process).policy;
     }
 
@@ -86,30 +86,30 @@
         older = serving;
         isOlderServing = true;
         serving = new NodeProcess();
-        older.policy.quotaShareChanged(HALF);
-        serving.policy.quotaShareChanged(HALF);
+        older.policy.quotaShareChanged(OVERLAP_QUOTA_SHARE);
+        serving.policy.quotaShareChanged(OVERLAP_QUOTA_SHARE);
         serving.policy.endpointsChanged(list);
         host.watchEndpoints();
-        host.schedule(SIDE_BY_SIDE_MS, this::leave);
+        host.schedule(OVERLAP_MS, this::endOverlap);
     }
 
-    private void leave() {
+    private void endOverlap() {
         isOlderServing = false;
         older.policy.quotaShareChanged(0);
         serving.policy.quotaShareChanged(1);
         double leaveMs = host.scenario().nodes().shutdownMs();
-        List<ClientRequest> held = older.held();
-        for (int i = 0; i < held.size(); i++) {
-            ClientRequest request = held.get(i);
-            host.schedule(leaveMs * i / held.size(), () -> host.migrate(request));
+        List<ClientRequest> active = older.activeRequests();
+        for (int i = 0; i < active.size(); i++) {
+            ClientRequest request = active.get(i);
+            host.schedule(leaveMs * i / active.size(), () -> host.migrate(request));
         }
-        host.schedule(leaveMs, this::end);
+        host.schedule(leaveMs, this::endOlder);
     }
 
-    private void end() {
-        older.policy.shutDown(older.held());
-        older.held().forEach(host::migrate);
-        older.isOver = true;
+    private void endOlder() {
+        older.policy.shutDown(older.activeRequests());
+        older.activeRequests().forEach(host::migrate);
+        older.hasEnded = true;
         older = null;
     }
 
@@ -124,39 +124,39 @@
     public void requestArrived(ClientRequest request) {
         // Both listen on one address; the system deals out what comes.
         NodeProcess to = isOlderServing && request.id % 2 == 0 ? older : serving;
-        to.takes(request);
+        to.add(request);
         to.policy.requestArrived(request);
     }
 
     @Override
     public void connectionAdopted(ClientRequest request, EmulatedAttempt attempt) {
-        serving.takes(request);
+        serving.add(request);
         serving.policy.connectionAdopted(request, attempt);
     }
 
     @Override
     public boolean attemptEstablished(EmulatedAttempt attempt) {
-        return of(attempt.request).attemptEstablished(attempt);
+        return policyOf(attempt.request).attemptEstablished(attempt);
     }
 
     @Override
     public void attemptEnded(EmulatedAttempt attempt, Outcome outcome) {
-        of(attempt.request).attemptEnded(attempt, outcome);
+        policyOf(attempt.request).attemptEnded(attempt, outcome);
     }
 
     @Override
     public void requestCancelled(ClientRequest request) {
-        of(request).requestCancelled(request);
+        policyOf(request).requestCancelled(request);
     }
 
     @Override
     public void latencyReported(EmulatedAttempt attempt, double delayMs) {
-        of(attempt.request).latencyReported(attempt, delayMs);
+        policyOf(attempt.request).latencyReported(attempt, delayMs);
     }
 
     @Override
     public void loadReported(EmulatedAttempt attempt) {
-        of(attempt.request).loadReported(attempt);
+        policyOf(attempt.request).loadReported(attempt);
     }
 
     @Override
--- a/emulator/src/main/java/tulipshed/emulator/policy/ModulePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/ModulePolicy.java
@@ -14,26 +14,26 @@
 
 /** The real decision module, told by the emulator what the node's core would tell it. */
 final class ModulePolicy extends AttemptingPolicy implements BalancerActions {
-    private final Map<Long, ClientRequest> tries = new HashMap<>();
-    private final Map<String, Integer> numbers;
+    private final Map<Long, ClientRequest> requests = new HashMap<>();
+    private final Map<String, Integer> endpointIndexes;
     private final BalancerApi module;
 
     /**
      * A module of its own.
      *
-     * @param numbers members by name, the same for all nodes
+     * @param endpointIndexes endpoint indexes by id, the same for all nodes
      */
-    ModulePolicy(PolicyHost host, Map<String, Integer> numbers) {
+    ModulePolicy(PolicyHost host, Map<String, Integer> endpointIndexes) {
         super(host);
-        this.numbers = numbers;
+        this.endpointIndexes = endpointIndexes;
         module = new Balancer(SettingsFactory.of(host.scenario(), host.node()), host.seed(), now(), this);
     }
 
     private long now() {
-        return SettingsFactory.us(host.nowMs());
+        return SettingsFactory.toMicros(host.nowMs());
     }
 
-    private NewRequest request(ClientRequest request, double nowMs) {
+    private NewRequest newRequest(ClientRequest request, double nowMs) {
         ClientDemand demand = request.demand;
         double hint = host.scenario().clients().sendsLoadHints() ? demand.usualLoad * 1e6 : 0;
         return new NewRequest(
@@ -41,8 +41,8 @@
                 demand.requestClass,
                 demand.tenant,
                 "k" + request.id,
-                SettingsFactory.group(demand),
-                SettingsFactory.us(request.remainingMs(nowMs)),
+                SettingsFactory.groupName(demand),
+                SettingsFactory.toMicros(request.remainingMs(nowMs)),
                 hint,
                 demand.requestCount > 1,
                 false,
@@ -69,36 +69,36 @@
 
     @Override
     void decide(ClientRequest request) {
-        tries.put(request.id, request);
-        module.requestArrived(now(), request(request, host.nowMs()));
+        requests.put(request.id, request);
+        module.requestArrived(now(), newRequest(request, host.nowMs()));
     }
 
     @Override
     public void connectionAdopted(ClientRequest request, EmulatedAttempt attempt) {
-        tries.put(request.id, request);
+        requests.put(request.id, request);
         request.answerPending = false;
         request.established = true;
-        module.connectionAdopted(now(), request(request, host.nowMs()), host.endpointName(attempt.endpoint));
+        module.connectionAdopted(now(), newRequest(request, host.nowMs()), host.endpointName(attempt.endpoint));
     }
 
     @Override
-    void started(EmulatedAttempt attempt, double tookMs) {
-        module.attemptEstablished(now(), attempt.request.id, attempt.number, SettingsFactory.us(tookMs));
+    void attemptSucceeded(EmulatedAttempt attempt, double tookMs) {
+        module.attemptEstablished(now(), attempt.request.id, attempt.number, SettingsFactory.toMicros(tookMs));
     }
 
     @Override
-    void finished(EmulatedAttempt attempt, boolean concluded, Outcome outcome) {
+    void attemptFinished(EmulatedAttempt attempt, boolean concluded, Outcome outcome) {
         if (concluded) {
-            tries.remove(attempt.request.id);
+            requests.remove(attempt.request.id);
         }
         module.attemptEnded(now(), attempt.request.id, attempt.number, concluded, outcome, LoadReport.NONE);
     }
 
     @Override
-    void abandoned(ClientRequest request) {
+    void requestAbandoned(ClientRequest request) {
         module.requestCancelled(now(), request.id);
         if (request.attempt == null) {
-            tries.remove(request.id);
+            requests.remove(request.id);
         }
     }
 
@@ -116,7 +116,7 @@
 
     @Override
     public void startAttempt(long requestId, String server, long timeoutUs) {
-        startAttempt(tries.get(requestId), numbers.get(server), timeoutUs / 1000.0);
+        startAttempt(requests.get(requestId), endpointIndexes.get(server), timeoutUs / 1000.0);
     }
 
     @Override
@@ -126,21 +126,21 @@
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        ClientRequest request = tries.remove(requestId);
+        ClientRequest request = requests.remove(requestId);
         request.answerPending = false;
         host.reject(request, retryAfterUs / 1000.0);
     }
 
     @Override
     public void fail(long requestId) {
-        ClientRequest request = tries.remove(requestId);
+        ClientRequest request = requests.remove(requestId);
         request.answerPending = false;
         host.fail(request);
     }
 
     @Override
     public void migrate(long requestId) {
-        ClientRequest request = tries.get(requestId);
+        ClientRequest request = requests.get(requestId);
         if (request != null) {
             host.migrate(request);
         }
--- a/emulator/src/main/java/tulipshed/emulator/policy/SettingsFactory.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/SettingsFactory.java
@@ -17,11 +17,11 @@
 
 /** A scenario in the terms in which a node is told of its site. */
 final class SettingsFactory {
-    private static final double REPEAT_MS = 5000;
+    private static final double DEDUPLICATION_WINDOW_MS = 5000;
 
     private SettingsFactory() {}
 
-    static long us(double ms) {
+    static long toMicros(double ms) {
         return Math.round(ms * 1000);
     }
 
@@ -33,23 +33,23 @@
                 ? scenario.clients().establishedAtStart()
                 : scenario.clients().arrivalsPerSecond() * 10;
         List<RequestClass> classes = scenario.requestClasses().stream()
-                .map(c -> new RequestClass(
-                        c.name(),
-                        us(c.latencyObjectiveMs()),
-                        us(c.deadlineMs()),
-                        c.priorityWeight(),
+                .map(requestClass -> new RequestClass(
+                        requestClass.name(),
+                        toMicros(requestClass.latencyObjectiveMs()),
+                        toMicros(requestClass.deadlineMs()),
+                        requestClass.priorityWeight(),
                         Idempotency.IDEMPOTENT,
                         DeduplicationScope.ALL,
-                        us(REPEAT_MS),
-                        us(c.messageObjectiveMs())))
+                        toMicros(DEDUPLICATION_WINDOW_MS),
+                        toMicros(requestClass.messageObjectiveMs())))
                 .toList();
         double quota = scenario.clients().arrivalsPerSecond();
         List<Tenant> tenants = scenario.tenants().stream()
-                .map(t -> new Tenant(
-                        t.name(),
-                        t.quotaShare(),
-                        t.quotaPerSecond() > 0 ? t.quotaPerSecond() : quota * t.quotaShare(),
-                        connections * t.quotaShare()))
+                .map(tenant -> new Tenant(
+                        tenant.name(),
+                        tenant.quotaShare(),
+                        tenant.quotaPerSecond() > 0 ? tenant.quotaPerSecond() : quota * tenant.quotaShare(),
+                        connections * tenant.quotaShare()))
                 .toList();
         return new BalancerSettings(
                 node,
@@ -62,27 +62,27 @@
                 LoadReportSource.NONE,
                 new SiteLimits(
                         nodes.maxAttempts(),
-                        us(nodes.maxRetryAfterMs()),
+                        toMicros(nodes.maxRetryAfterMs()),
                         nodes.cancellation(),
                         false,
                         false,
                         nodes.maxRetryAfterMs() > 0,
-                        us(nodes.connectTimeoutMs()),
-                        us(30_000),
+                        toMicros(nodes.connectTimeoutMs()),
+                        toMicros(30_000),
                         1),
                 new ProtocolRules(
-                        us(endpointModel.drainGraceMs()),
-                        us(scenario.discovery().pollIntervalMs()),
+                        toMicros(endpointModel.drainGraceMs()),
+                        toMicros(scenario.discovery().pollIntervalMs()),
                         endpointModel.slowStartShare(),
-                        us(endpointModel.slowStartMs()),
+                        toMicros(endpointModel.slowStartMs()),
                         endpointModel.overloadFactor(),
-                        us(endpointModel.overloadWindowMs())),
+                        toMicros(endpointModel.overloadWindowMs())),
                 new Prices(0, 0, 0, 0.03, 0.19),
                 classes,
                 tenants);
     }
 
-    static String group(ClientDemand demand) {
+    static String groupName(ClientDemand demand) {
         return demand.group < 0 ? null : "g" + demand.group;
     }
 }
