--- a/emulator/src/main/java/tulipshed/emulator/scenario/ScenarioReader.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/ScenarioReader.java
@@ -11,11 +11,12 @@
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
 import tulipshed.sexpr.NameSuggestions;
+import tulipshed.sexpr.ReaderLimits;
 import tulipshed.sexpr.SexprReader;
 
 /** Reads scenario files; all that is wrong with one is told at once, each with its place. */
 public final class ScenarioReader {
-    private static final SexprReader.Bounds BOUNDS = new SexprReader.Bounds(1 << 20, 16, 20_000);
+    private static final ReaderLimits BOUNDS = new ReaderLimits(1 << 20, 16, 20_000);
     private static final double MINUTE = 60_000;
     private static final double DAY = 24 * 60 * MINUTE;
     private final Diagnostics problems;
@@ -229,7 +230,7 @@
     private List<FaultSettings> troubles() {
         List<FaultSettings> out = new ArrayList<>();
         for (Form.Sequence sequence : top.lists("trouble")) {
-            if (sequence.items().size() < 2 || !(sequence.items().get(1) instanceof Form.Word w)) {
+            if (sequence.items().size() < 2 || !(sequence.items().get(1) instanceof Form.Symbol w)) {
                 problems.add(sequence.place(), "expected (trouble KIND (at-s N) ...)");
                 continue;
             }
