--- a/emulator/src/main/java/tulipshed/emulator/scenario/Overrides.java
+++ b/emulator/src/main/java/tulipshed/emulator/scenario/Overrides.java
@@ -8,19 +8,21 @@
 import java.util.TreeSet;
 import tulipshed.sexpr.NameSuggestions;
 
-/** Figures that replace those of a scenario file, by path, such as {@code clients.per-second}. */
+/** Numbers and words that replace those of a scenario file, by path, such as {@code clients.per-second}. */
 public final class Overrides {
+    /** No overrides. */
     public static final Overrides NONE = new Overrides(Map.of());
 
     private final TreeMap<String, String> values;
     private final Set<String> knownPaths = new TreeSet<>();
     private final Set<String> usedPaths = new HashSet<>();
 
+    /** Overrides by path; whether each path is known shows when a scenario is read. */
     public Overrides(Map<String, String> values) {
         this.values = new TreeMap<>(values);
     }
 
-    /** What replaces the figure at a path, or null. */
+    /** The value that replaces the one at a path, or null. */
     String take(String path) {
         knownPaths.add(path);
         String value = values.get(path);
@@ -30,7 +32,7 @@
         return value;
     }
 
-    /** What was given and no scenario asked for, with the nearest known path; empty where all was used. */
+    /** A line for each override whose path no scenario has, with the nearest known path; empty where all were used. */
     String unused() {
         StringBuilder out = new StringBuilder();
         for (String path : values.keySet()) {
@@ -44,6 +46,7 @@
         return out.toString();
     }
 
+    /** The overrides by path, in the order of the paths. */
     public Map<String, String> values() {
         return Collections.unmodifiableSortedMap(values);
     }
