--- /dev/null
+++ b/emulator/src/main/java/tulipshed/emulator/model/DiscoveryOutageFault.java
@@ -0,0 +1,11 @@
+package tulipshed.emulator.model;
+
+import tulipshed.emulator.scenario.Scenario.Trouble;
+
+/** Discovery fails all calls for a time. */
+record DiscoveryOutageFault() implements FaultKind {
+    @Override
+    public void plan(Trouble trouble, FaultPlan plan) {
+        plan.send(trouble.atMs(), plan.discovery(), new DiscoveryMessage.Outage(trouble.overMs()));
+    }
+}
--- /dev/null
+++ b/emulator/src/main/java/tulipshed/emulator/model/EndpointClockFault.java
@@ -0,0 +1,17 @@
+package tulipshed.emulator.model;
+
+import tulipshed.emulator.scenario.Scenario.Trouble;
+
+/** Clocks of endpoints step ahead or back, for a time or for good. */
+record EndpointClockFault(boolean isAhead) implements FaultKind {
+    @Override
+    public void plan(Trouble trouble, FaultPlan plan) {
+        double offsetMs = 1000 * trouble.factor() * (isAhead ? 1 : -1);
+        for (int endpoint : plan.chooseEndpointsEver(trouble)) {
+            plan.send(trouble.atMs(), plan.discovery(), new DiscoveryMessage.ClockStep(endpoint, offsetMs));
+            if (trouble.overMs() > 0) {
+                plan.send(plan.endMs(trouble), plan.discovery(), new DiscoveryMessage.ClockStep(endpoint, 0));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/emulator/src/main/java/tulipshed/emulator/model/HotRestartFault.java
@@ -0,0 +1,13 @@
+package tulipshed.emulator.model;
+
+import tulipshed.emulator.scenario.Scenario.Trouble;
+
+/** Nodes hand over to new processes. */
+record HotRestartFault() implements FaultKind {
+    @Override
+    public void plan(Trouble trouble, FaultPlan plan) {
+        for (NodeActor node : plan.chooseNodes(trouble)) {
+            plan.send(plan.randomTime(trouble), node, new ProcessMessage.HotRestart());
+        }
+    }
+}
--- /dev/null
+++ b/emulator/src/main/java/tulipshed/emulator/model/ReloadFault.java
@@ -0,0 +1,13 @@
+package tulipshed.emulator.model;
+
+import tulipshed.emulator.scenario.Scenario.Trouble;
+
+/** All nodes read their configuration again. */
+record ReloadFault() implements FaultKind {
+    @Override
+    public void plan(Trouble trouble, FaultPlan plan) {
+        for (NodeActor node : plan.nodes()) {
+            plan.send(plan.randomTime(trouble), node, new ProcessMessage.ReloadConfiguration());
+        }
+    }
+}
--- /dev/null
+++ b/emulator/src/main/java/tulipshed/emulator/model/RollingRestartFault.java
@@ -0,0 +1,18 @@
+package tulipshed.emulator.model;
+
+import java.util.List;
+import tulipshed.emulator.scenario.Scenario.Trouble;
+
+/** All nodes drain and restart, in a number of steps. */
+record RollingRestartFault() implements FaultKind {
+    @Override
+    public void plan(Trouble trouble, FaultPlan plan) {
+        int steps = Math.max(1, trouble.count());
+        List<NodeActor> nodes = plan.shuffledNodes();
+        for (int i = 0; i < nodes.size(); i++) {
+            int step = i * steps / nodes.size();
+            double stopMs = trouble.atMs() + trouble.overMs() * step / steps;
+            plan.send(stopMs, nodes.get(i), new ProcessMessage.StopProcess(true));
+        }
+    }
+}
--- /dev/null
+++ b/emulator/src/main/java/tulipshed/emulator/model/StallNodesFault.java
@@ -0,0 +1,13 @@
+package tulipshed.emulator.model;
+
+import tulipshed.emulator.scenario.Scenario.Trouble;
+
+/** Processes of nodes stall now and then for a time. */
+record StallNodesFault() implements FaultKind {
+    @Override
+    public void plan(Trouble trouble, FaultPlan plan) {
+        for (NodeActor node : plan.chooseNodes(trouble)) {
+            plan.send(trouble.atMs(), node, new ProcessMessage.StallsBegin(trouble.overMs()));
+        }
+    }
+}
--- a/emulator/src/main/java/tulipshed/emulator/model/World.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/World.java
@@ -84,7 +84,7 @@
         listedAtStart = atFirst;
         int more = scenario.troubles().stream()
                 .filter(t -> t.kind().equals("add-members"))
-                .mapToInt(t -> FaultSchedule.count(t, atFirst))
+                .mapToInt(t -> FaultPlan.count(t, atFirst))
                 .sum();
         members = new EmulatedEndpoint[atFirst + more];
         Map<String, Integer> numbers = new HashMap<>();
@@ -93,13 +93,13 @@
             numbers.put(members[m].name, m);
             engine.add(members[m]);
         }
-        FaultSchedule.cuts(this);
+        FaultPlan.planPartitions(this);
         policies = PolicyFactory.of(scenario.policy(), numbers);
         discovery = new EmulatedDiscovery(DISCOVERY, this);
         engine.add(discovery);
         atStart = discovery.atStart();
         nodes = new NodeActor[scenario.nodes().count()];
-        nodeClockOffMs = FaultSchedule.nodeClocks(this);
+        nodeClockOffMs = FaultPlan.nodeClockOffsetsMs(this);
         for (int n = 0; n < nodes.length; n++) {
             nodes[n] = maker.make(FIRST_NODE + n, n, this);
             engine.add(nodes[n]);
@@ -152,7 +152,7 @@
             load[m] += w.load;
             members[m].holds(nodes[random.nextInt(nodes.length)].alreadyOpen(w, m));
         }
-        new FaultSchedule(this, RandomStreams.random(seed, 0, 1)).plan();
+        new FaultPlan(this, RandomStreams.random(seed, 0, 1)).planAll();
     }
 
     /** Where a connection may stand that came before: a group stands at its share of the members, two at least. */
