--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
@@ -1,136 +1,111 @@
 package tulipshed.emulator.model;
 
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
 import tulipshed.decision.api.Outcome;
 import tulipshed.emulator.engine.Actor;
-import tulipshed.emulator.invariants.SlowStartInvariant;
 import tulipshed.emulator.policy.EmulatedAttempt;
 import tulipshed.emulator.policy.GroundTruth;
 import tulipshed.emulator.policy.PolicyFactory;
 import tulipshed.emulator.scenario.Scenario;
 
 /**
- * A pool member: set-ups wait for its cores in order of arrival; standing connections ask for work that goes on, and where
- * that is more than it can do, work piles up and messages take long (docs/emulator-design.md gives the model).
+ * An emulated endpoint: set-ups wait for its cores in order of arrival; established connections need capacity all the time,
+ * and where that is more than it has, work piles up and messages take long (docs/emulator-design.md gives the model).
  */
 final class EmulatedEndpoint extends Actor<EndpointMessage> implements GroundTruth {
+    /** The share of an endpoint that is left for set-ups however full it is. */
+    static final double LEAST_FREE_SHARE = 0.05;
+
     private static final double TICK_MS = 150;
-    private static final double NOTE_MS = 1000;
-    private static final double SILENT_MS = 2000; // until a client gives up a member that says nothing
-    private static final double LEAST_FREE = 0.05; // of a member, left for what is new however full it is
+    private static final double REPORT_INTERVAL_MS = 1000;
+    /** After which time at most a client notices that an endpoint is silent. */
+    private static final double SILENCE_TIMEOUT_MS = 2000;
 
     final int number;
     final String name;
     final String site;
     final Scenario.MemberKind kind;
+    /** Load over capacity in each second of the day; NaN while no process runs. */
     final float[] loadBySecond;
+
     private final World world;
     private final Scenario.MemberModel model;
     private final UniformRandomProvider random;
-    private final SlowStartInvariant cold;
-    private final double noteFromMs;
-    private final EstablishedLoad standing;
+    private final EndpointCapacity capacity;
+    private final SetupQueue setups;
+    private final EstablishedLoad established;
+    private final MessageTimes messageTimes;
+    private final SlowStartAccounting slowStart;
+    private final DelayReports delayReports;
     private final EndpointFaults faults;
-    private final EndpointHistory past;
-    private final double[] freeAtMs;
-    private final double[] inTime;
-    private final double cap;
-    private final double[] promised = new double[1];
-    private int pending;
+    private final EndpointHistory history;
+    private final double connectionLimit;
+    private final double[] committedLoad = new double[1];
     private int generation;
     private boolean alive;
     private boolean resets;
-    private double startedMs;
-    private double slower = 1;
     private double pausedUntilMs;
-    private double backlogMs;
-    private double messageMs;
     private double tickedMs;
-    private double setupWorkMs;
-    private double countedMs;
-    private double notedMs;
-    private boolean noted;
-    private final Set<Integer> noticed = new HashSet<>();
+    private double accountedMs;
+    private double reportedMs;
 
     EmulatedEndpoint(int id, int number, Scenario.MemberKind kind, World world) {
         super(id);
         this.number = number;
         this.kind = kind;
         this.world = world;
-        model = world.scenario.members();
+        Scenario scenario = world.scenario;
+        model = scenario.members();
         name = "m-" + number;
-        site = "s" + number % world.scenario.network().sites();
+        site = "s" + number % scenario.network().sites();
         random = RandomStreams.random(world.seed, id, 0);
-        int classes = world.scenario.classes().size();
-        double shares = world.scenario.classes().stream()
-                .mapToDouble(Scenario.ClassOf::share)
-                .sum();
-        double usual = world.scenario.classes().stream()
+        double usualLoad = usualLoad(scenario);
+        connectionLimit = usualLoad > 0 ? model.cap() * kind.cores() * kind.speed() / usualLoad : Double.MAX_VALUE;
+        capacity = new EndpointCapacity(kind, model);
+        setups = new SetupQueue(kind.cores(), model.queue());
+        established = new EstablishedLoad(
+                scenario.classes().size(), scenario.tenants().size(), model.groupLoad());
+        messageTimes = new MessageTimes(scenario, kind);
+        slowStart = new SlowStartAccounting(number, scenario, capacity, usualLoad);
+        delayReports = new DelayReports(scenario);
+        faults = new EndpointFaults(random);
+        history = PolicyFactory.looksBack(scenario.policy()) ? new EndpointHistory() : null;
+        loadBySecond = new float[(int) Math.ceil(scenario.lengthMs() / 1000) + 1];
+    }
+
+    /** The mean load of a connection, in cores of speed 1. */
+    private static double usualLoad(Scenario scenario) {
+        double shares =
+                scenario.classes().stream().mapToDouble(Scenario.ClassOf::share).sum();
+        return scenario.classes().stream()
                 .mapToDouble(c -> c.share() / shares * c.load())
                 .sum();
-        cold = new SlowStartInvariant(number, model.fallFactor(), model.fallMs(), usual);
-        cap = usual > 0 ? model.cap() * kind.cores() * kind.speed() / usual : Double.MAX_VALUE;
-        freeAtMs = new double[kind.cores()];
-        standing = new EstablishedLoad(classes, world.scenario.tenants().size(), model.groupLoad());
-        faults = new EndpointFaults(random);
-        past = PolicyFactory.looksBack(world.scenario.policy()) ? new EndpointHistory() : null;
-        inTime = new double[classes];
-        loadBySecond = new float[(int) Math.ceil(world.scenario.lengthMs() / 1000) + 1];
-        noteFromMs = world.scenario.classes().stream()
-                        .mapToDouble(Scenario.ClassOf::messageAimMs)
-                        .min()
-                        .orElse(60)
-                / 3;
-        messageMs = model.messageMs() / kind.speed();
-        inTime(0);
-    }
-
-    /** The day begins with it running, warm where it has long run. */
+    }
+
+    /** The day begins; a process that runs has long been warm. */
     void begin(boolean running) {
         alive = running;
         schedule(TICK_MS * random.nextDouble(), new EndpointMessage.Tick());
     }
 
-    /** A connection that stands when the day begins. */
-    void holds(EmulatedAttempt f) {
-        standing.add(f);
+    /** Adds a connection that is established when the day begins. */
+    void adopt(EmulatedAttempt connection) {
+        established.add(connection);
     }
 
-    private Counters tally() {
+    private Counters counters() {
         return world.tallies[shardNumber()];
     }
 
-    private void say(double nowMs, String what) {
+    private void log(double nowMs, String event) {
         if (world.tells(nowMs)) {
-            world.tell(nowMs, name + ": " + what);
+            world.tell(nowMs, name + ": " + event);
         }
     }
 
-    // ---- How it is ----
-
-    private double warm(double nowMs) {
-        return startedMs == 0 || model.warmMs() <= 0
-                ? 1
-                : Math.min(1, model.coldShare() + (1 - model.coldShare()) * (nowMs - startedMs) / model.warmMs());
-    }
-
-    private boolean cold(double nowMs) {
-        return startedMs > 0 && nowMs - startedMs < model.warmMs();
-    }
-
-    private double capacity(double nowMs) {
-        return kind.cores() * kind.speed() * warm(nowMs) / slower;
-    }
-
-    private double able(double nowMs) {
-        double able = capacity(nowMs);
-        double over = standing.cores() / able - 1;
-        return over > 0 ? able / (1 + model.crowding() * over) : able;
-    }
+    // ---- Its true state ----
 
     @Override
     public boolean alive() {
@@ -139,37 +114,37 @@
 
     @Override
     public double capacity() {
-        return capacity(tickedMs);
+        return capacity.total(tickedMs);
     }
 
     @Override
     public double load() {
-        return standing.cores();
+        return established.cores();
     }
 
     @Override
     public double backlogMs() {
-        return backlogMs;
+        return messageTimes.backlogMs();
     }
 
     @Override
     public double strain() {
-        return cold(tickedMs) ? cold.strain() : 0;
+        return slowStart.strain(tickedMs);
     }
 
     @Override
     public double[] committedLoad() {
-        return promised;
+        return committedLoad;
     }
 
     @Override
     public boolean holdsGroup(int group) {
-        return standing.holds(group);
+        return established.holds(group);
     }
 
     @Override
-    public GroundTruth at(double ms) {
-        return past == null ? this : past.at(ms, this);
+    public GroundTruth at(double atMs) {
+        return history == null ? this : history.at(atMs, this);
     }
 
     @Override
@@ -178,11 +153,11 @@
     }
 
     void onLoadChanged(EmulatedAttempt attempt, double cores) {
-        standing.load(attempt, cores);
+        established.load(attempt, cores);
     }
 
     void onSlowdown(double factor) {
-        slower = factor;
+        capacity.slowDown(factor);
     }
 
     void onPause(double nowMs, double durationMs) {
@@ -200,221 +175,196 @@
 
     // ---- Connections ----
 
-    private void tell(double nowMs, EmulatedAttempt f, NodeMessage message) {
-        NodeActor node = (NodeActor) f.source;
-        send(world.cuts.backMs(node.site, this, nowMs) + world.wayMs(site, node.site, random), node, message);
+    private void sendToNode(double nowMs, EmulatedAttempt attempt, NodeMessage message) {
+        NodeActor node = (NodeActor) attempt.source;
+        double departureMs = world.cuts.backMs(node.site, this, nowMs);
+        send(departureMs + world.wayMs(site, node.site, random), node, message);
     }
 
-    private void end(double nowMs, EmulatedAttempt f, Outcome outcome) {
-        tell(nowMs, f, new AttemptMessage.AttemptEnded(f, outcome));
+    private void end(double nowMs, EmulatedAttempt attempt, Outcome outcome) {
+        sendToNode(nowMs, attempt, new AttemptMessage.AttemptEnded(attempt, outcome));
     }
 
-    void onDial(double nowMs, EmulatedAttempt f) {
+    void onDial(double nowMs, EmulatedAttempt attempt) {
         if (!alive) {
             if (resets) {
-                end(nowMs, f, Outcome.CONNECT_FAILED);
+                end(nowMs, attempt, Outcome.CONNECT_FAILED);
             }
             return;
         }
         if (faults.error()) {
-            push(nowMs, f);
-            end(nowMs, f, alive ? Outcome.ERROR : Outcome.RESET);
+            accountSlowStart(nowMs, attempt);
+            end(nowMs, attempt, alive ? Outcome.ERROR : Outcome.RESET);
             return;
         }
-        double work = model.exponential() ? RandomStreams.exponential(random, model.setupMs()) : model.setupMs();
-        push(nowMs, f);
+        double workMs = model.exponential() ? RandomStreams.exponential(random, model.setupMs()) : model.setupMs();
+        accountSlowStart(nowMs, attempt);
         if (!alive) {
-            end(nowMs, f, Outcome.RESET);
+            end(nowMs, attempt, Outcome.RESET);
             return;
         }
-        if (pending >= model.queue() * kind.cores() || standing.size() >= cap) {
-            end(nowMs, f, Outcome.FULL);
+        if (setups.isFull() || established.size() >= connectionLimit) {
+            end(nowMs, attempt, Outcome.FULL);
             return;
         }
-        pending++;
-        setupWorkMs += work;
-        int core = 0;
-        for (int i = 1; i < freeAtMs.length; i++) {
-            core = freeAtMs[i] < freeAtMs[core] ? i : core;
-        }
-        double able = able(nowMs);
-        double each = able / kind.cores() * Math.max(LEAST_FREE, 1 - standing.cores() / able);
-        double start = Math.max(Math.max(nowMs + backlogMs, pausedUntilMs), freeAtMs[core]);
-        freeAtMs[core] = start + work / each;
-        tally().waitUs.recordValue(Math.round((start - nowMs) * 1000));
-        schedule(freeAtMs[core], new EndpointMessage.SetupDone(f, generation));
+        startSetup(nowMs, attempt, workMs);
+    }
+
+    private void startSetup(double nowMs, EmulatedAttempt attempt, double workMs) {
+        setups.add(workMs);
+        double able = capacity.underLoad(nowMs, established.cores());
+        double coreSpeed = able / kind.cores() * Math.max(LEAST_FREE_SHARE, 1 - established.cores() / able);
+        double startMs = setups.nextStartMs(Math.max(nowMs + messageTimes.backlogMs(), pausedUntilMs));
+        double doneMs = setups.occupy(startMs, workMs / coreSpeed);
+        counters().waitUs.recordValue(Math.round((startMs - nowMs) * 1000));
+        schedule(doneMs, new EndpointMessage.SetupDone(attempt, generation));
     }
 
-    void onSetupDone(double nowMs, EmulatedAttempt f, int of) {
-        if (of != generation) {
+    void onSetupDone(double nowMs, EmulatedAttempt attempt, int setupGeneration) {
+        if (setupGeneration != generation) {
             if (resets) {
-                end(nowMs, f, Outcome.RESET);
+                end(nowMs, attempt, Outcome.RESET);
             }
             return;
         }
-        // Set up while nobody could hear of it, it stands once the way is back, if it is still wanted.
-        double until = Math.max(pausedUntilMs, world.cuts.backMs(((NodeActor) f.source).site, this, nowMs));
-        if (nowMs < until) {
-            schedule(until, new EndpointMessage.SetupDone(f, of));
+        // Set up while its node is out of reach, it is established once the node is back, if it is still wanted.
+        double reachableMs = world.cuts.backMs(((NodeActor) attempt.source).site, this, nowMs);
+        double untilMs = Math.max(pausedUntilMs, reachableMs);
+        if (nowMs < untilMs) {
+            schedule(untilMs, new EndpointMessage.SetupDone(attempt, setupGeneration));
             return;
         }
-        pending--;
-        promised[0] = Math.max(0, promised[0] - f.load);
-        if (f.cancelled) {
+        setups.remove();
+        committedLoad[0] = Math.max(0, committedLoad[0] - attempt.load);
+        if (attempt.cancelled) {
             return;
         }
         account(nowMs);
         switch (faults.answer()) {
             case ANSWER_LOST -> {}
-            case ANSWER_SPOILT -> end(nowMs, f, Outcome.ERROR);
-            case RESET -> end(nowMs, f, Outcome.RESET);
+            case ANSWER_SPOILT -> end(nowMs, attempt, Outcome.ERROR);
+            case RESET -> end(nowMs, attempt, Outcome.RESET);
             default -> {
-                standing.add(f);
-                tell(nowMs, f, new AttemptMessage.AttemptUp(f));
+                established.add(attempt);
+                sendToNode(nowMs, attempt, new AttemptMessage.AttemptUp(attempt));
             }
         }
     }
 
-    void onHangup(double nowMs, EmulatedAttempt f) {
-        f.cancelled = true;
-        if (f.indexAtEndpoint >= 0) {
+    void onHangup(double nowMs, EmulatedAttempt attempt) {
+        attempt.cancelled = true;
+        if (attempt.indexAtEndpoint >= 0) {
             account(nowMs);
-            standing.remove(f);
+            established.remove(attempt);
         }
     }
 
-    // ---- Time passes ----
+    // ---- Accounting, as time passes ----
 
-    /** What has stood since it was last counted was served as well as messages were. */
+    /** Counts what was established since the last call, served as well as messages were. */
     private void account(double nowMs) {
-        double passed = nowMs - countedMs;
-        countedMs = nowMs;
-        if (standing.isEmpty() || passed <= 0) {
+        double passedMs = nowMs - accountedMs;
+        accountedMs = nowMs;
+        if (established.isEmpty() || passedMs <= 0) {
             return;
         }
-        standing.count(tally(), nowMs, passed, alive && nowMs >= pausedUntilMs ? inTime : null);
-    }
-
-    /** The part of messages in time, by class: none while more work is piled up than the aim, else as in M/M/1. */
-    private void inTime(double backlog) {
-        for (int c = 0; c < inTime.length; c++) {
-            double left = world.scenario.classes().get(c).messageAimMs() - backlog;
-            inTime[c] = left <= 0 ? 0 : 1 - Math.exp(-left / messageMs);
-        }
-    }
-
-    private double delayMs(double nowMs) {
-        return messageMs + backlogMs + Math.max(0, pausedUntilMs - nowMs);
+        boolean isServing = alive && nowMs >= pausedUntilMs;
+        established.count(counters(), nowMs, passedMs, isServing ? messageTimes.inTimeShares() : null);
     }
 
-    private void push(double nowMs, EmulatedAttempt from) {
-        if (!cold(nowMs)) {
+    private void accountSlowStart(double nowMs, EmulatedAttempt attempt) {
+        if (!slowStart.receive(nowMs, attempt, counters())) {
             return;
         }
-        double able = capacity(nowMs) * model.fills() / model.warmMs();
-        // The rule is one of new connections: what one of them will ask for later nobody knows when it is sent, and a
-        // single
-        // heavy one would push a member over that was sent two in as many seconds.
-        double work = world.scenario.classes().get(from.requestClass).load();
-        cold.pushed(nowMs, work, able, from.notifiedStartMs >= startedMs - 1);
-        tally().strained(cold.strain(), cold.toldStrain());
-        if (cold.falls()) {
-            say(nowMs, "pushed over " + Math.round(nowMs - startedMs) + " ms after its start");
-            tally().felt++;
-            cold.fell(nowMs, tally().rules, nowMs - startedMs);
-            onProcessEnds(nowMs, true);
-            send(nowMs + world.wayToDiscovery(this), world.discovery, new DiscoveryMessage.EndpointFailed(number));
-        }
+        log(nowMs, "pushed over " + Math.round(slowStart.ageMs(nowMs)) + " ms after its start");
+        counters().felt++;
+        slowStart.reportFailure(nowMs, counters().rules);
+        onProcessEnds(nowMs, true);
+        send(nowMs + world.wayToDiscovery(this), world.discovery, new DiscoveryMessage.EndpointFailed(number));
     }
 
     void onTick(double nowMs) {
         schedule(nowMs + TICK_MS, new EndpointMessage.Tick());
         account(nowMs);
-        double passed = nowMs - tickedMs;
-        Counters t = tally();
-        t.queue[Math.min(t.queue.length - 1, pending)]++;
-        double able = able(nowMs);
-        double busy = (standing.cores() + (passed > 0 ? setupWorkMs / passed : 0)) / able;
-        setupWorkMs = 0;
-        backlogMs = Math.max(0, backlogMs + (standing.cores() / able - 1) * passed);
-        // Sakasegawa's approximation of the mean time in M/M/c; a member without room is as slow as one nearly without.
-        int c = kind.cores();
-        double full = Math.min(1 - LEAST_FREE, busy);
-        messageMs = model.messageMs()
-                / kind.speed()
-                / warm(nowMs)
-                * slower
-                * (1 + Math.pow(full, Math.sqrt(2.0 * (c + 1)) - 1) / (c * (1 - full)));
-        inTime(backlogMs);
+        double passedMs = nowMs - tickedMs;
+        long[] queueLengths = counters().queue;
+        queueLengths[Math.min(queueLengths.length - 1, setups.pending())]++;
+        double able = capacity.underLoad(nowMs, established.cores());
+        double setupWorkMs = setups.takeWorkMs();
+        double busy = (established.cores() + (passedMs > 0 ? setupWorkMs / passedMs : 0)) / able;
+        messageTimes.update(passedMs, established.cores() / able, busy, capacity.warmth(nowMs), capacity.slowdown());
         tickedMs = nowMs;
         int second = Math.min(loadBySecond.length - 1, (int) (nowMs / 1000));
-        loadBySecond[second] = alive ? (float) (standing.cores() / capacity()) : Float.NaN;
-        if (past != null) {
-            past.note(nowMs, this);
+        loadBySecond[second] = alive ? (float) (established.cores() / capacity()) : Float.NaN;
+        if (history != null) {
+            history.note(nowMs, this);
         }
-        if (alive && nowMs - notedMs >= NOTE_MS && nowMs >= pausedUntilMs) {
-            note(nowMs);
+        if (alive && nowMs - reportedMs >= REPORT_INTERVAL_MS && nowMs >= pausedUntilMs) {
+            report(nowMs);
         }
     }
 
-    /** Once a second: its clients see how long messages take, and a member far behind cuts some of them off. */
-    private void note(double nowMs) {
-        notedMs = nowMs;
-        say(
+    /** Reports how long messages take, and closes some connections where the endpoint is far behind. */
+    private void report(double nowMs) {
+        reportedMs = nowMs;
+        log(
                 nowMs,
-                standing.size() + " connections, load " + Math.round(standing.cores() * 100) / 100.0 + " of "
-                        + Math.round(capacity() * 100) / 100.0 + " cores, " + Math.round(backlogMs)
+                established.size() + " connections, load " + Math.round(established.cores() * 100) / 100.0 + " of "
+                        + Math.round(capacity() * 100) / 100.0 + " cores, " + Math.round(messageTimes.backlogMs())
                         + " ms of work piled up");
-        double delay = delayMs(nowMs);
-        if (model.tellsDelay() && (delay > noteFromMs || noted)) {
-            // On one connection of each node, once more when it is back under.
-            noted = delay > noteFromMs;
-            noticed.clear();
-            for (EmulatedAttempt f : standing.flows()) {
-                if (noticed.add(((NodeActor) f.source).number)) {
-                    tell(nowMs, f, new AttemptMessage.MessageDelay(f, delay));
+        double delayMs = messageTimes.delayMs() + Math.max(0, pausedUntilMs - nowMs);
+        if (delayReports.begin(delayMs)) {
+            for (EmulatedAttempt connection : established.flows()) {
+                if (delayReports.isFirstOfNode(connection)) {
+                    sendToNode(nowMs, connection, new AttemptMessage.MessageDelay(connection, delayMs));
                 }
             }
         }
-        if (backlogMs > model.resetBacklogMs()) {
-            List<EmulatedAttempt> heaviest = new ArrayList<>(standing.flows());
-            heaviest.sort((a, b) -> a.load != b.load
-                    ? Double.compare(b.load, a.load)
-                    : Integer.compare(a.indexAtEndpoint, b.indexAtEndpoint));
-            int many = (int) Math.ceil(standing.size() * model.resetShare());
-            heaviest.subList(0, Math.min(many, heaviest.size())).forEach(f -> reset(nowMs, f, Outcome.RESET));
-            backlogMs *= 1 - model.resetShare();
+        if (messageTimes.backlogMs() > model.resetBacklogMs()) {
+            shedLoad(nowMs);
         }
     }
 
-    private void reset(double nowMs, EmulatedAttempt f, Outcome outcome) {
+    /** Resets a share of the connections, those of the most load first. */
+    private void shedLoad(double nowMs) {
+        List<EmulatedAttempt> heaviest = new ArrayList<>(established.flows());
+        heaviest.sort((a, b) -> a.load != b.load
+                ? Double.compare(b.load, a.load)
+                : Integer.compare(a.indexAtEndpoint, b.indexAtEndpoint));
+        int count = (int) Math.ceil(established.size() * model.resetShare());
+        heaviest.subList(0, Math.min(count, heaviest.size()))
+                .forEach(connection -> close(nowMs, connection, Outcome.RESET));
+        messageTimes.scaleBacklog(1 - model.resetShare());
+    }
+
+    private void close(double nowMs, EmulatedAttempt connection, Outcome outcome) {
         account(nowMs);
-        standing.remove(f);
-        tally().at(outcome == Outcome.RESET ? tally().resets : tally().moves, nowMs);
-        end(nowMs, f, outcome);
+        established.remove(connection);
+        counters().at(outcome == Outcome.RESET ? counters().resets : counters().moves, nowMs);
+        end(nowMs, connection, outcome);
     }
 
     // ---- Processes and the network ----
 
-    /** A part of the world is out of reach: what stood for it is served nothing, and its nodes notice by themselves. */
+    /** Connections to a part of the network that is out of reach end; their nodes notice by themselves. */
     void onPartitionBegan(double nowMs) {
         account(nowMs);
-        for (int i = standing.size() - 1; i >= 0; i--) {
-            EmulatedAttempt f = standing.get(i);
-            if (world.cuts.backMs(((NodeActor) f.source).site, this, nowMs) > nowMs) {
-                standing.remove(f);
-                tally().at(tally().resets, nowMs);
+        for (int i = established.size() - 1; i >= 0; i--) {
+            EmulatedAttempt connection = established.get(i);
+            if (world.cuts.backMs(((NodeActor) connection.source).site, this, nowMs) > nowMs) {
+                established.remove(connection);
+                counters().at(counters().resets, nowMs);
             }
         }
     }
 
-    /** A drain is over: its clients are sent away in good order, and the process ends. */
+    /** A drain is over: connections are closed in good order, and the process ends. */
     void onDrainOver(double nowMs) {
         if (!alive) {
             return;
         }
-        while (!standing.isEmpty()) {
-            reset(nowMs, standing.get(standing.size() - 1), Outcome.OK);
+        while (!established.isEmpty()) {
+            close(nowMs, established.get(established.size() - 1), Outcome.OK);
         }
         onProcessEnds(nowMs, true);
     }
@@ -423,38 +373,42 @@
         if (!alive) {
             return;
         }
-        say(nowMs, "ends with " + standing.size() + " connections" + (withReset ? "" : ", in silence"));
+        log(nowMs, "ends with " + established.size() + " connections" + (withReset ? "" : ", in silence"));
         resets = withReset;
-        for (int i = standing.size() - 1; i >= 0; i--) {
-            EmulatedAttempt f = standing.get(i);
+        for (int i = established.size() - 1; i >= 0; i--) {
+            EmulatedAttempt connection = established.get(i);
             if (withReset) {
-                reset(nowMs, f, Outcome.RESET);
+                close(nowMs, connection, Outcome.RESET);
             } else {
-                // Nothing says that it is gone; each client finds out by itself.
-                account(nowMs);
-                standing.remove(f);
-                tally().at(tally().resets, nowMs);
-                schedule(nowMs + SILENT_MS * (0.5 + 0.5 * random.nextDouble()), new EndpointMessage.SilenceNoticed(f));
+                abandon(nowMs, connection);
             }
         }
         alive = false;
         generation++;
-        pending = 0;
-        backlogMs = 0;
-        promised[0] = 0;
-        java.util.Arrays.fill(freeAtMs, 0);
+        setups.clear();
+        messageTimes.clearBacklog();
+        committedLoad[0] = 0;
+    }
+
+    /** Ends a connection without a word; its client notices by itself. */
+    private void abandon(double nowMs, EmulatedAttempt connection) {
+        account(nowMs);
+        established.remove(connection);
+        counters().at(counters().resets, nowMs);
+        schedule(
+                nowMs + SILENCE_TIMEOUT_MS * (0.5 + 0.5 * random.nextDouble()),
+                new EndpointMessage.SilenceNoticed(connection));
     }
 
     void onProcessStarts(double nowMs) {
-        say(nowMs, "a new process");
+        log(nowMs, "a new process");
         alive = true;
         resets = true;
-        startedMs = nowMs;
-        slower = 1;
-        cold.restart();
+        capacity.restart(nowMs);
+        slowStart.restart();
     }
 
-    /** The day is over: what stands is counted as far as it went. */
+    /** The day is over: what is established is counted up to now. */
     void end(double nowMs) {
         account(nowMs);
     }
--- a/emulator/src/main/java/tulipshed/emulator/model/World.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/World.java
@@ -150,7 +150,7 @@
             double sizeB = members[b].kind.cores() * members[b].kind.speed();
             int m = load[b] / sizeB < load[a] / sizeA ? b : a;
             load[m] += w.load;
-            members[m].holds(nodes[random.nextInt(nodes.length)].alreadyOpen(w, m));
+            members[m].adopt(nodes[random.nextInt(nodes.length)].alreadyOpen(w, m));
         }
         new FaultPlan(this, RandomStreams.random(seed, 0, 1)).planAll();
     }
