--- a/emulator/src/main/java/tulipshed/emulator/model/Clients.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Clients.java
@@ -5,156 +5,167 @@
 import tulipshed.emulator.policy.ClientRequest;
 import tulipshed.emulator.scenario.Scenario;
 
-/** What clients at one node do: come, wait, try again here or at another node, and come back when they are cut off. */
+/** The clients of one node: they arrive, wait, retry at this or another node, and reconnect when their connections break. */
 public final class Clients {
-    private static final double LEAST_LEFT_MS = 30; // of a wait, to try once more
-    private static final double NO_NODE_MS = 20; // until a client whose node is not there tries another
+    private static final double LEAST_LEFT_MS = 30; // before a deadline, for another request
+    private static final double NO_NODE_MS = 20; // until a client whose node does not run tries another
+    private static final long LONGEST_SETUP_US = 3_600_000_000L;
 
     private final NodeActor node;
     private final World world;
-    private final Scenario.Clients ways;
+    private final Scenario.Clients model;
     private final UniformRandomProvider random;
-    private double factor = 1;
+    private double arrivalFactor = 1;
     private double impatientUntilMs;
-    private double giveUpShare;
+    private double earlyLeaveShare;
 
     Clients(NodeActor node, World world, UniformRandomProvider random) {
         this.node = node;
         this.world = world;
         this.random = random;
-        ways = world.scenario.clients();
-        giveUpShare = ways.giveUpShare();
+        model = world.scenario.clients();
+        earlyLeaveShare = model.giveUpShare();
     }
 
-    void setArrivalFactor(double times) {
-        factor = times;
+    /** From now on clients arrive that many times as often as usual. */
+    void setArrivalFactor(double factor) {
+        arrivalFactor = factor;
     }
 
-    void setImpatientUntil(double ms) {
-        impatientUntilMs = ms;
+    /** Until that virtual time clients that are refused retry at once, whatever they are told. */
+    void setImpatientUntil(double untilMs) {
+        impatientUntilMs = untilMs;
     }
 
+    /** From now on that share of the clients leaves before its answer; 0 to 1. */
     void setEarlyLeaveShare(double share) {
-        giveUpShare = share;
+        earlyLeaveShare = share;
     }
 
-    /** The part of the clients that leave before they are answered. */
+    /** The share of the clients that leaves before its answer, 0 to 1. */
     double earlyLeaveShare() {
-        return giveUpShare;
+        return earlyLeaveShare;
     }
 
-    /** The front layer's next client, after a time by chance. */
+    /** Schedules the next arrival; the times between arrivals are exponentially distributed. */
     public void next(double nowMs) {
-        double perSecond = ways.perSecond() * world.shareOf(node.number) * factor;
+        double perSecond = model.perSecond() * world.shareOf(node.number) * arrivalFactor;
         if (perSecond > 0) {
             node.scheduleSelf(
                     nowMs + RandomStreams.exponential(random, 1000 / perSecond), new ClientMessage.ClientArrival());
-        } else if (ways.perSecond() > 0) {
+        } else if (model.perSecond() > 0) {
             node.scheduleSelf(nowMs + 1000, new ClientMessage.ClientArrival());
         }
     }
 
+    /** The front layer sends a client. */
     void onArrival(double nowMs) {
-        if (factor > 0) {
-            ClientDemand w = world.wish(random, nowMs);
-            world.wants(node.tally(), w, nowMs);
-            w.firstRequestMs = nowMs;
-            asks(nowMs, w);
-            onReturn(nowMs, w);
+        if (arrivalFactor > 0) {
+            ClientDemand demand = world.wish(random, nowMs);
+            world.wants(node.tally(), demand, nowMs);
+            demand.firstRequestMs = nowMs;
+            countRequest(nowMs, demand);
+            onReturn(nowMs, demand);
         }
         next(nowMs);
     }
 
-    private boolean counted(ClientDemand w) {
-        return w.firstRequestMs >= world.scenario.settleMs();
+    /** Whether the demand falls into the part of the day that results are about. */
+    private boolean isCounted(ClientDemand demand) {
+        return demand.firstRequestMs >= world.scenario.settleMs();
     }
 
-    private void asks(double nowMs, ClientDemand w) {
+    private void countRequest(double nowMs, ClientDemand demand) {
         node.tally().at(node.tally().came, nowMs);
-        if (counted(w)) {
-            node.tally().asked[w.requestClass]++;
+        if (isCounted(demand)) {
+            node.tally().asked[demand.requestClass]++;
         }
     }
 
-    void onReturn(double nowMs, ClientDemand w) {
-        double deadline = world.scenario.classes().get(w.requestClass).deadlineMs();
-        double left = w.firstRequestMs + deadline - nowMs;
-        if (left < LEAST_LEFT_MS || w.requestCount >= ways.tries()) {
-            rests(nowMs, w);
+    /** A client sends a request, unless its deadline is too near or it has sent too many. */
+    void onReturn(double nowMs, ClientDemand demand) {
+        double deadlineMs = world.scenario.classes().get(demand.requestClass).deadlineMs();
+        double leftMs = demand.firstRequestMs + deadlineMs - nowMs;
+        if (leftMs < LEAST_LEFT_MS || demand.requestCount >= model.tries()) {
+            pause(nowMs, demand);
         } else if (!node.takes()) {
-            node.elsewhere(w, nowMs + NO_NODE_MS);
+            node.elsewhere(demand, nowMs + NO_NODE_MS);
         } else {
-            w.requestCount++;
-            node.asked(w, Math.min(left, deadline * ways.tryShare()));
+            demand.requestCount++;
+            node.asked(demand, Math.min(leftMs, deadlineMs * model.tryShare()));
         }
     }
 
-    /** After many failures a client waits longer before it begins anew. */
-    private void rests(double nowMs, ClientDemand w) {
-        if (counted(w)) {
-            node.tally().lost[w.requestClass]++;
+    /** After too many failures a client pauses for long before it begins anew. */
+    private void pause(double nowMs, ClientDemand demand) {
+        if (isCounted(demand)) {
+            node.tally().lost[demand.requestClass]++;
         }
-        begins(nowMs + ways.restMs() * (0.5 + random.nextDouble()), w);
+        beginAnew(nowMs + model.restMs() * (0.5 + random.nextDouble()), demand);
     }
 
-    /** A client leaves and does not come back; what it wanted stays wanted. */
+    /** A client leaves for good; its demand counts as not served. */
     public void leavesForGood() {
         node.tally().left++;
     }
 
-    private void begins(double atMs, ClientDemand w) {
-        if (atMs < w.wantedUntilMs) {
-            w.requestCount = 0;
-            w.firstRequestMs = atMs;
-            asks(atMs, w);
-            node.elsewhere(w, atMs);
+    private void beginAnew(double atMs, ClientDemand demand) {
+        if (atMs < demand.wantedUntilMs) {
+            demand.requestCount = 0;
+            demand.firstRequestMs = atMs;
+            countRequest(atMs, demand);
+            node.elsewhere(demand, atMs);
         }
     }
 
-    void onAnswerDue(double nowMs, ClientRequest t) {
-        if (node.unanswered(t)) {
-            again(nowMs, t.demand, backoffMs(t.demand));
+    /** The time in which a request's answer counts is over. */
+    void onAnswerDue(double nowMs, ClientRequest request) {
+        if (node.unanswered(request)) {
+            again(nowMs, request.demand, backoffMs(request.demand));
         }
     }
 
-    private double backoffMs(ClientDemand w) {
-        double most =
-                Math.min(ways.longestBackoffMs(), ways.backoffMs() * Math.pow(2, Math.max(0, w.requestCount - 1)));
-        return most * (0.5 + 0.5 * random.nextDouble());
+    /** Exponential backoff with jitter. */
+    private double backoffMs(ClientDemand demand) {
+        double longestMs = Math.min(
+                model.longestBackoffMs(), model.backoffMs() * Math.pow(2, Math.max(0, demand.requestCount - 1)));
+        return longestMs * (0.5 + 0.5 * random.nextDouble());
     }
 
-    /** Turned away: most wait as they are told, the others as they see fit. */
-    public void refused(double nowMs, ClientRequest t, double retryAfterMs) {
-        boolean heeds = retryAfterMs > 0 && random.nextDouble() < ways.heed();
-        double wait = nowMs < impatientUntilMs
-                ? ways.backoffMs() * random.nextDouble()
-                : heeds ? retryAfterMs * (1 + 0.1 * random.nextDouble()) : backoffMs(t.demand);
-        again(nowMs, t.demand, wait);
+    /** A request was refused: a share of the clients obeys Retry-After, the others back off by themselves. */
+    public void refused(double nowMs, ClientRequest request, double retryAfterMs) {
+        boolean obeys = retryAfterMs > 0 && random.nextDouble() < model.heed();
+        double pauseMs = nowMs < impatientUntilMs
+                ? model.backoffMs() * random.nextDouble()
+                : obeys ? retryAfterMs * (1 + 0.1 * random.nextDouble()) : backoffMs(request.demand);
+        again(nowMs, request.demand, pauseMs);
     }
 
-    public void again(double nowMs, ClientDemand w, double waitMs) {
-        double deadline = world.scenario.classes().get(w.requestClass).deadlineMs();
-        if (nowMs + waitMs + LEAST_LEFT_MS > w.firstRequestMs + deadline || w.requestCount >= ways.tries()) {
-            rests(nowMs, w);
+    /** A client sends another request after a pause, unless its deadline is too near or it has sent too many. */
+    public void again(double nowMs, ClientDemand demand, double pauseMs) {
+        double deadlineMs = world.scenario.classes().get(demand.requestClass).deadlineMs();
+        if (nowMs + pauseMs + LEAST_LEFT_MS > demand.firstRequestMs + deadlineMs
+                || demand.requestCount >= model.tries()) {
+            pause(nowMs, demand);
         } else {
-            node.elsewhere(w, nowMs + waitMs);
+            node.elsewhere(demand, nowMs + pauseMs);
         }
     }
 
-    /** A client has its connection; the way back to it counts. */
-    public void served(double nowMs, ClientRequest t) {
-        ClientDemand w = t.demand;
-        double took = nowMs + world.scenario.network().withinMs() - w.firstRequestMs;
-        Scenario.ClassOf c = world.scenario.classes().get(w.requestClass);
-        node.tally().setupUs.recordValue(Math.min(3_600_000_000L, Math.round(took * 1000)));
-        if (counted(w)) {
-            (took <= c.aimMs() ? node.tally().inAim : node.tally().late)[w.requestClass]++;
+    /** A client has its connection; the time includes that of the answer to the client. */
+    public void served(double nowMs, ClientRequest request) {
+        ClientDemand demand = request.demand;
+        double tookMs = nowMs + world.scenario.network().withinMs() - demand.firstRequestMs;
+        Scenario.ClassOf requestClass = world.scenario.classes().get(demand.requestClass);
+        node.tally().setupUs.recordValue(Math.min(LONGEST_SETUP_US, Math.round(tookMs * 1000)));
+        if (isCounted(demand)) {
+            (tookMs <= requestClass.aimMs() ? node.tally().inAim : node.tally().late)[demand.requestClass]++;
         }
     }
 
-    /** A connection broke, or was moved: its client comes back for the rest of what it wanted. */
-    public void returns(double nowMs, ClientRequest t) {
-        t.demand.reconnecting = true;
-        begins(nowMs + ways.returnMs() * (0.5 + random.nextDouble()), t.demand);
+    /** A connection broke or was migrated: its client reconnects for the rest of its demand. */
+    public void returns(double nowMs, ClientRequest request) {
+        request.demand.reconnecting = true;
+        beginAnew(nowMs + model.returnMs() * (0.5 + random.nextDouble()), request.demand);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/Counters.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Counters.java
@@ -4,10 +4,7 @@
 import tulipshed.emulator.invariants.InvariantReport;
 import tulipshed.emulator.scenario.Scenario;
 
-/**
- * What one thread counts. All of it are whole numbers, so that the sum over threads does not depend on how many there
- * were.
- */
+/** The counters of one thread. All are whole numbers, so that their sum does not depend on the number of threads. */
 public final class Counters {
     private static final long LONGEST_US = 3_600_000_000L;
 
@@ -32,13 +29,18 @@
     final long[] secondWanted;
 
     final long[] secondGood;
-    /** By second in which it happened. */
+    /** Attempts at endpoints, by second. */
     public final long[] attempts;
 
+    /** Requests refused, by second. */
     public final long[] refused;
+    /** Requests failed, by second. */
     public final long[] failed;
+    /** Connections that broke, by second. */
     public final long[] resets;
+    /** Connections that were migrated, by second. */
     public final long[] moves;
+
     final long[] came;
     /** Time of standing connections. */
     long standingUs;
@@ -89,6 +91,7 @@
         return sum;
     }
 
+    /** Adds 1 to a counter by second, at a virtual time. */
     public void at(long[] bySecond, double nowMs) {
         bySecond[Math.min(seconds - 1, (int) (nowMs / 1000))]++;
     }
--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
@@ -1,7 +1,5 @@
 package tulipshed.emulator.model;
 
-import java.util.ArrayList;
-import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 import tulipshed.decision.api.Outcome;
 import tulipshed.emulator.engine.Actor;
@@ -61,7 +59,7 @@
         name = "m-" + number;
         site = "s" + number % scenario.network().sites();
         random = RandomStreams.random(world.seed, id, 0);
-        double usualLoad = usualLoad(scenario);
+        double usualLoad = EndpointCapacity.usualLoad(scenario);
         connectionLimit = usualLoad > 0 ? model.cap() * kind.cores() * kind.speed() / usualLoad : Double.MAX_VALUE;
         capacity = new EndpointCapacity(kind, model);
         setups = new SetupQueue(kind.cores(), model.queue());
@@ -75,15 +73,6 @@
         loadBySecond = new float[(int) Math.ceil(scenario.lengthMs() / 1000) + 1];
     }
 
-    /** The mean load of a connection, in cores of speed 1. */
-    private static double usualLoad(Scenario scenario) {
-        double shares =
-                scenario.classes().stream().mapToDouble(Scenario.ClassOf::share).sum();
-        return scenario.classes().stream()
-                .mapToDouble(c -> c.share() / shares * c.load())
-                .sum();
-    }
-
     /** The day begins; a process that runs has long been warm. */
     void begin(boolean running) {
         alive = running;
@@ -327,13 +316,8 @@
 
     /** Resets a share of the connections, those of the most load first. */
     private void shedLoad(double nowMs) {
-        List<EmulatedAttempt> heaviest = new ArrayList<>(established.flows());
-        heaviest.sort((a, b) -> a.load != b.load
-                ? Double.compare(b.load, a.load)
-                : Integer.compare(a.indexAtEndpoint, b.indexAtEndpoint));
         int count = (int) Math.ceil(established.size() * model.resetShare());
-        heaviest.subList(0, Math.min(count, heaviest.size()))
-                .forEach(connection -> close(nowMs, connection, Outcome.RESET));
+        established.heaviest(count).forEach(connection -> close(nowMs, connection, Outcome.RESET));
         messageTimes.scaleBacklog(1 - model.resetShare());
     }
 
--- a/emulator/src/main/java/tulipshed/emulator/model/EndpointCapacity.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EndpointCapacity.java
@@ -14,6 +14,15 @@
         this.model = model;
     }
 
+    /** The mean load of a connection, in cores of speed 1. */
+    static double usualLoad(Scenario scenario) {
+        double shares =
+                scenario.classes().stream().mapToDouble(Scenario.ClassOf::share).sum();
+        return scenario.classes().stream()
+                .mapToDouble(c -> c.share() / shares * c.load())
+                .sum();
+    }
+
     /** A new process starts, without a slowdown. */
     void restart(double nowMs) {
         startedMs = nowMs;
--- a/emulator/src/main/java/tulipshed/emulator/model/EstablishedLoad.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EstablishedLoad.java
@@ -41,6 +41,15 @@
         return flows;
     }
 
+    /** The connections of the highest load, so many or all; a copy. */
+    List<EmulatedAttempt> heaviest(int count) {
+        List<EmulatedAttempt> heaviest = new ArrayList<>(flows);
+        heaviest.sort((a, b) -> a.load != b.load
+                ? Double.compare(b.load, a.load)
+                : Integer.compare(a.indexAtEndpoint, b.indexAtEndpoint));
+        return heaviest.subList(0, Math.min(count, heaviest.size()));
+    }
+
     /** Work asked for each second, in cores. */
     double cores() {
         return cores;
--- a/emulator/src/main/java/tulipshed/emulator/model/RunResult.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/RunResult.java
@@ -214,6 +214,7 @@
                 tookS);
     }
 
+    /** The value of a figure by its name. */
     public double figure(String name) {
         return figures.get(name);
     }
--- a/emulator/src/main/java/tulipshed/emulator/model/World.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/World.java
@@ -57,6 +57,7 @@
 
     /** Makes the world's side of a node. */
     public interface NodeMaker {
+        /** Creates the node of that number. */
         NodeActor make(int id, int number, World world);
     }
 
@@ -165,6 +166,7 @@
         return (int) Long.remainderUnsigned(RandomStreams.of(seed, w.group, 7 + random.nextInt(places)), listedAtStart);
     }
 
+    /** The scenario that is run. */
     public Scenario scenario() {
         return scenario;
     }
--- a/emulator/src/test/java/tulipshed/emulator/EmulatorPackagesTest.java
+++ b/emulator/src/test/java/tulipshed/emulator/EmulatorPackagesTest.java
@@ -33,6 +33,23 @@
                 .check(classes);
     }
 
+    /** What the package page of the model says. */
+    @Test
+    void theModelUsesEngineScenariosPoliciesAndInvariantsOnly() {
+        noClasses()
+                .that()
+                .resideInAPackage("tulipshed.emulator.model")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "tulipshed.emulator.acceptance",
+                        "tulipshed.emulator.cli",
+                        "tulipshed.emulator.faultinjection",
+                        "tulipshed.emulator.loadtest",
+                        "tulipshed.emulator.results")
+                .check(classes);
+    }
+
     /** What is emulated must not ask the machine for its time or its chance. */
     @Test
     void theWorldHasNoClockButItsOwn() {
