--- a/emulator/src/main/java/tulipshed/emulator/loadtest/LoadTestRun.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/LoadTestRun.java
@@ -26,8 +26,10 @@
 import tulipshed.emulator.model.World;
 import tulipshed.emulator.policy.ClientRequest;
 import tulipshed.emulator.policy.EndpointListing;
+import tulipshed.emulator.scenario.FaultKinds;
+import tulipshed.emulator.scenario.FaultSettings;
+import tulipshed.emulator.scenario.RequestClassSettings;
 import tulipshed.emulator.scenario.Scenario;
-import tulipshed.emulator.scenario.ScenarioReader;
 import tulipshed.time.SystemWallClock;
 
 /**
@@ -95,11 +97,11 @@
     public LoadTestRun(Scenario s, long seed, Path jar, NetworkPaths ways) throws IOException {
         this.ways = ways;
         if (s.nodes().count() > MOST_NODES
-                || s.lengthMs() > LONGEST_MS
-                || s.clients().standing() > MOST_CLIENTS
-                || s.clients().perSecond()
-                                * s.classes().stream()
-                                        .mapToDouble(Scenario.ClassOf::lifeMs)
+                || s.durationMs() > LONGEST_MS
+                || s.clients().establishedAtStart() > MOST_CLIENTS
+                || s.clients().arrivalsPerSecond()
+                                * s.requestClasses().stream()
+                                        .mapToDouble(RequestClassSettings::connectionLifetimeMs)
                                         .max()
                                         .orElse(0)
                                 / 1000
@@ -107,17 +109,17 @@
             throw new IllegalArgumentException("over sockets, at most " + MOST_NODES + " nodes, " + MOST_CLIENTS
                     + " connections and " + Math.round(LONGEST_MS / 1000) + " s");
         }
-        if (s.clients().standing() > 0 && !s.clients().comeAtFirst()) {
+        if (s.clients().establishedAtStart() > 0 && !s.clients().connectAtStart()) {
             throw new IllegalArgumentException("over sockets, set clients.come-at-first to 1");
         }
-        s.troubles().stream()
-                .map(Scenario.Trouble::kind)
-                .filter(ScenarioReader.OVER_LINKS::contains)
+        s.faults().stream()
+                .map(FaultSettings::kind)
+                .filter(FaultKinds.INJECTED_BY_LINKS::contains)
                 .findFirst()
                 .ifPresent(k -> {
                     throw new IllegalArgumentException(k + " needs links between the parts: emulator fault-injection");
                 });
-        if (s.troubles().stream().anyMatch(t -> t.kind().equals("node-clocks"))) {
+        if (s.faults().stream().anyMatch(t -> t.kind().equals("node-clocks"))) {
             throw new IllegalArgumentException(
                     "node-clocks: processes have this machine's clock, the emulator has others");
         }
@@ -140,7 +142,7 @@
             List<InetSocketAddress> reached = new ArrayList<>();
             for (int m = 0; m < members.size(); m++) {
                 InetSocketAddress there = members.get(m).address();
-                reached.add(ways == null ? there : ways.toMember(n, m, there, new MemberEar(m)));
+                reached.add(ways == null ? there : ways.openLinkToEndpoint(n, m, there, new EndpointLinkObserver(m)));
             }
             addresses.add(reached);
             int number = n;
@@ -160,27 +162,27 @@
                     n,
                     seed * 1000 + n,
                     processes.get(n).address(),
-                    ways == null ? discovery : ways.toDiscovery(n, discovery),
+                    ways == null ? discovery : ways.openLinkToDiscovery(n, discovery),
                     world.atStart(),
                     addresses.get(n));
         }
     }
 
     /** One member's, at the node's end; called on the links' thread. */
-    private final class MemberEar implements NetworkPaths.Ear {
+    private final class EndpointLinkObserver implements LinkObserver {
         private final int member;
 
-        MemberEar(int member) {
+        EndpointLinkObserver(int member) {
             this.member = member;
         }
 
         @Override
-        public void first(Object connection, String line) {
+        public void onFirstLine(Object connection, String line) {
             heard.add(new Heard(sinceMs(), member, connection, line));
         }
 
         @Override
-        public void over(Object connection) {
+        public void onClosed(Object connection) {
             heard.add(new Heard(sinceMs(), member, connection, null));
         }
     }
@@ -191,7 +193,7 @@
             if (h.line() == null) {
                 ClientRequest over = carried.remove(h.connection());
                 if (over != null) {
-                    nodeOf(over).rules().over(h.atMs(), over.observed, "over at the node's end");
+                    nodeOf(over).rules().attemptEnded(h.atMs(), over.observed, "over at the node's end");
                 }
                 continue;
             }
@@ -199,7 +201,7 @@
             ClientRequest t = words.length > 1 ? tries.get(words[1]) : null;
             if (t != null) {
                 carried.put(h.connection(), t);
-                nodeOf(t).rules().sent(h.atMs(), t.observed, h.member());
+                nodeOf(t).rules().attemptStarted(h.atMs(), t.observed, h.member());
             } else if (words.length < 2 || !hasLeft(words[1])) {
                 stranger();
             }
@@ -236,7 +238,7 @@
         if (pushed()) {
             // What a node's agent has counts as told, whether the node asks it or not.
             for (int node = 0; node < nodes.size(); node++) {
-                nodes.get(node).rules().told(heardMs(node, nowMs()), n.endpoint(), n.isServing());
+                nodes.get(node).rules().endpointNotified(heardMs(node, nowMs()), n.endpoint(), n.isServing());
             }
         }
         if (e.startedUs() > 0) {
@@ -256,8 +258,9 @@
             Told now = t;
             double atMs = heardMs(t.node(), t.atMs());
             t.states()
-                    .forEach((id, state) ->
-                            nodes.get(now.node()).rules().told(atMs, numbers.get(id), state.equals("SERVING")));
+                    .forEach((id, state) -> nodes.get(now.node())
+                            .rules()
+                            .endpointNotified(atMs, numbers.get(id), state.equals("SERVING")));
         }
     }
 
@@ -267,7 +270,7 @@
 
     /** From when on a node can hear what discovery or its agent has at that moment of the day. */
     private double heardMs(int node, double atMs) {
-        return ways == null ? atMs : ways.hearsMs(node, atMs);
+        return ways == null ? atMs : ways.receivableAtMs(node, atMs);
     }
 
     private double sinceMs() {
@@ -305,8 +308,8 @@
             lightUp.add(nowMs() + ms);
         });
         beganNs = System.nanoTime();
-        double window = world.scenario().network().leastMs();
-        while (nowMs() < world.scenario().lengthMs()) {
+        double window = world.scenario().network().minLatencyMs();
+        while (nowMs() < world.scenario().durationMs()) {
             double before = nowMs();
             hearAll(before);
             while (served.size() <= before / 1000) {
@@ -329,7 +332,7 @@
     private void hearAll(double atMs) {
         latestMs = atMs;
         if (ways != null) {
-            ways.turn(atMs);
+            ways.advanceTo(atMs);
         }
         hear();
         hearLinks();
@@ -409,9 +412,9 @@
         return processes.stream().map(p -> p.address().toString()).toList();
     }
 
-    /** Has a node's process stand still, or go on where it stood. */
-    public void still(int node, boolean on) {
-        nodes.get(node).still(on);
+    /** Suspends the process of a node (SIGSTOP), or resumes it (SIGCONT). */
+    public void setSuspended(int node, boolean suspended) {
+        nodes.get(node).setSuspended(suspended);
     }
 
     boolean linked() {
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
@@ -141,12 +141,12 @@
             } else if (t.answerPending) {
                 t.answerPending = false;
                 if (process.killed()) {
-                    rules.left(t.observed);
+                    rules.clientLeft(t.observed);
                 } else {
-                    rules.closed(nowMs, t.observed);
+                    rules.connectionClosed(nowMs, t.observed);
                 }
                 goOn(() -> clients.again(
-                        nowMs, t.demand, world.scenario().clients().returnMs()));
+                        nowMs, t.demand, world.scenario().clients().reconnectDelayMs()));
             }
         }
 
@@ -176,7 +176,10 @@
         double sum = 0;
         for (Client c : standing) {
             if (!(atMs - c.saidMs > HEARS_MS)) {
-                sum += world.scenario().classes().get(c.t.demand.requestClass).worth();
+                sum += world.scenario()
+                        .requestClasses()
+                        .get(c.t.demand.requestClass)
+                        .priorityWeight();
             }
         }
         return sum;
@@ -202,9 +205,9 @@
      * much later as it was stopped.
      */
     private void judgeAnswer(ClientRequest t, String how) {
-        rules.heldUp(Double.POSITIVE_INFINITY, dueMs(t) - latestMs(t));
+        rules.allowStall(Double.POSITIVE_INFINITY, dueMs(t) - latestMs(t));
         rules.answered(nowMs, t.observed, how);
-        rules.heldUp(0, 0);
+        rules.allowStall(0, 0);
     }
 
     private static double latestMs(ClientRequest t) {
@@ -223,7 +226,7 @@
                 w,
                 nowMs,
                 nowMs + graceMs,
-                rules.asked(nowMs, lastTry, nowMs + graceMs));
+                rules.requestArrived(nowMs, lastTry, nowMs + graceMs));
         Client c = new Client(t);
         t.policyState = c;
         try {
@@ -241,7 +244,7 @@
                 "OPEN %s k%s c=%s,t=%s,d=%d%s%s",
                 id,
                 id,
-                s.classes().get(w.requestClass).name(),
+                s.requestClasses().get(w.requestClass).name(),
                 s.tenants().get(w.tenant).name(),
                 Math.round(graceMs),
                 w.group < 0 ? "" : ",g=g" + w.group,
@@ -265,7 +268,7 @@
 
     private void waitedInVain(ClientRequest t) {
         t.answerPending = false;
-        rules.waited(nowMs, t.observed);
+        rules.waitEnded(nowMs, t.observed);
         ((Client) t.policyState).gone();
     }
 
@@ -287,7 +290,7 @@
         t.attempt = t.attempt == null || t.attempt.ended ? f : t.attempt;
         f.policyState = wire;
         if (!run.linked()) {
-            rules.sent(nowMs, t.observed, member);
+            rules.attemptStarted(nowMs, t.observed, member);
         }
         count(tally().attempts);
         sendDial(f);
@@ -307,17 +310,17 @@
     /** Over links, the node's end of them says when a flow is over. */
     private void over(EmulatedAttempt f, String how) {
         if (!run.linked()) {
-            rules.over(nowMs, f.request.observed, how);
+            rules.attemptEnded(nowMs, f.request.observed, how);
         }
     }
 
-    /** Has its process stand still, or go on. */
-    void still(boolean on) {
-        if (on) {
+    /** Suspends its process, or resumes it. */
+    void setSuspended(boolean suspended) {
+        if (suspended) {
             pauses.begin(run.nowMs());
-            process.still(true);
+            process.setSuspended(true);
         } else {
-            process.still(false);
+            process.setSuspended(false);
             pauses.end(run.nowMs());
         }
     }
@@ -357,7 +360,7 @@
             schedule(nowMs + 50, new ProcessMessage.StartProcess());
         } else {
             // Another process, which knows what its file says until it is told.
-            rules.starts();
+            rules.processStarted();
             pauses.end(run.nowMs());
             process.start();
         }
--- a/emulator/src/main/java/tulipshed/emulator/model/Clients.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/Clients.java
@@ -3,7 +3,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import tulipshed.emulator.policy.ClientDemand;
 import tulipshed.emulator.policy.ClientRequest;
-import tulipshed.emulator.scenario.Scenario;
+import tulipshed.emulator.scenario.ClientSettings;
+import tulipshed.emulator.scenario.RequestClassSettings;
 
 /** The clients of one node: they arrive, wait, retry at this or another node, and reconnect when their connections break. */
 public final class Clients {
@@ -13,7 +14,7 @@
 
     private final NodeActor node;
     private final World world;
-    private final Scenario.Clients model;
+    private final ClientSettings model;
     private final UniformRandomProvider random;
     private double arrivalFactor = 1;
     private double impatientUntilMs;
@@ -24,7 +25,7 @@
         this.world = world;
         this.random = random;
         model = world.scenario.clients();
-        earlyLeaveShare = model.giveUpShare();
+        earlyLeaveShare = model.abandonShare();
     }
 
     /** From now on clients arrive that many times as often as usual. */
@@ -49,11 +50,11 @@
 
     /** Schedules the next arrival; the times between arrivals are exponentially distributed. */
     public void next(double nowMs) {
-        double perSecond = model.perSecond() * world.shareOf(node.number) * arrivalFactor;
+        double perSecond = model.arrivalsPerSecond() * world.shareOf(node.number) * arrivalFactor;
         if (perSecond > 0) {
             node.scheduleSelf(
                     nowMs + RandomStreams.exponential(random, 1000 / perSecond), new ClientMessage.ClientArrival());
-        } else if (model.perSecond() > 0) {
+        } else if (model.arrivalsPerSecond() > 0) {
             node.scheduleSelf(nowMs + 1000, new ClientMessage.ClientArrival());
         }
     }
@@ -84,15 +85,16 @@
 
     /** A client sends a request, unless its deadline is too near or it has sent too many. */
     void onReturn(double nowMs, ClientDemand demand) {
-        double deadlineMs = world.scenario.classes().get(demand.requestClass).deadlineMs();
+        double deadlineMs =
+                world.scenario.requestClasses().get(demand.requestClass).deadlineMs();
         double leftMs = demand.firstRequestMs + deadlineMs - nowMs;
-        if (leftMs < LEAST_LEFT_MS || demand.requestCount >= model.tries()) {
+        if (leftMs < LEAST_LEFT_MS || demand.requestCount >= model.maxRequests()) {
             pause(nowMs, demand);
         } else if (!node.takes()) {
             node.elsewhere(demand, nowMs + NO_NODE_MS);
         } else {
             demand.requestCount++;
-            node.asked(demand, Math.min(leftMs, deadlineMs * model.tryShare()));
+            node.asked(demand, Math.min(leftMs, deadlineMs * model.requestTimeoutShare()));
         }
     }
 
@@ -101,7 +103,7 @@
         if (isCounted(demand)) {
             node.tally().lost[demand.requestClass]++;
         }
-        beginAnew(nowMs + model.restMs() * (0.5 + random.nextDouble()), demand);
+        beginAnew(nowMs + model.pauseMs() * (0.5 + random.nextDouble()), demand);
     }
 
     /** A client leaves for good; its demand counts as not served. */
@@ -128,24 +130,25 @@
     /** Exponential backoff with jitter. */
     private double backoffMs(ClientDemand demand) {
         double longestMs = Math.min(
-                model.longestBackoffMs(), model.backoffMs() * Math.pow(2, Math.max(0, demand.requestCount - 1)));
+                model.maxBackoffMs(), model.initialBackoffMs() * Math.pow(2, Math.max(0, demand.requestCount - 1)));
         return longestMs * (0.5 + 0.5 * random.nextDouble());
     }
 
     /** A request was refused: a share of the clients obeys Retry-After, the others back off by themselves. */
     public void refused(double nowMs, ClientRequest request, double retryAfterMs) {
-        boolean obeys = retryAfterMs > 0 && random.nextDouble() < model.heed();
+        boolean obeys = retryAfterMs > 0 && random.nextDouble() < model.retryAfterCompliance();
         double pauseMs = nowMs < impatientUntilMs
-                ? model.backoffMs() * random.nextDouble()
+                ? model.initialBackoffMs() * random.nextDouble()
                 : obeys ? retryAfterMs * (1 + 0.1 * random.nextDouble()) : backoffMs(request.demand);
         again(nowMs, request.demand, pauseMs);
     }
 
     /** A client sends another request after a pause, unless its deadline is too near or it has sent too many. */
     public void again(double nowMs, ClientDemand demand, double pauseMs) {
-        double deadlineMs = world.scenario.classes().get(demand.requestClass).deadlineMs();
+        double deadlineMs =
+                world.scenario.requestClasses().get(demand.requestClass).deadlineMs();
         if (nowMs + pauseMs + LEAST_LEFT_MS > demand.firstRequestMs + deadlineMs
-                || demand.requestCount >= model.tries()) {
+                || demand.requestCount >= model.maxRequests()) {
             pause(nowMs, demand);
         } else {
             node.elsewhere(demand, nowMs + pauseMs);
@@ -155,17 +158,18 @@
     /** A client has its connection; the time includes that of the answer to the client. */
     public void served(double nowMs, ClientRequest request) {
         ClientDemand demand = request.demand;
-        double tookMs = nowMs + world.scenario.network().withinMs() - demand.firstRequestMs;
-        Scenario.ClassOf requestClass = world.scenario.classes().get(demand.requestClass);
+        double tookMs = nowMs + world.scenario.network().withinSiteMs() - demand.firstRequestMs;
+        RequestClassSettings requestClass = world.scenario.requestClasses().get(demand.requestClass);
         node.tally().setupUs.recordValue(Math.min(LONGEST_SETUP_US, Math.round(tookMs * 1000)));
         if (isCounted(demand)) {
-            (tookMs <= requestClass.aimMs() ? node.tally().inAim : node.tally().late)[demand.requestClass]++;
+            (tookMs <= requestClass.latencyObjectiveMs() ? node.tally().inAim : node.tally().late)
+                    [demand.requestClass]++;
         }
     }
 
     /** A connection broke or was migrated: its client reconnects for the rest of its demand. */
     public void returns(double nowMs, ClientRequest request) {
         request.demand.reconnecting = true;
-        beginAnew(nowMs + model.returnMs() * (0.5 + random.nextDouble()), request.demand);
+        beginAnew(nowMs + model.reconnectDelayMs() * (0.5 + random.nextDouble()), request.demand);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/ConnectionHandler.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/ConnectionHandler.java
@@ -24,7 +24,7 @@
         EmulatedAttempt attempt = new EmulatedAttempt(request, endpoint, 0, Double.NaN, node);
         request.attempt = attempt;
         request.attemptCount = 1;
-        node.process().invariants().sent(0, request.observed, endpoint);
+        node.process().invariants().attemptStarted(0, request.observed, endpoint);
         node.process().invariants().answered(0, request.observed, "served");
         node.process().policy().connectionAdopted(request, attempt);
         scheduleLife(attempt);
@@ -35,7 +35,7 @@
         node.scheduleSelf(
                 Math.max(node.nowMs, attempt.request.demand.wantedUntilMs),
                 new AttemptMessage.ConnectionExpired(attempt));
-        double changesPerS = world.scenario.clients().loadChangesPerS();
+        double changesPerS = world.scenario.clients().loadChangesPerSecond();
         if (changesPerS > 0) {
             scheduleLoadChange(attempt, changesPerS);
         }
@@ -55,13 +55,13 @@
         request.attempt = attempt;
         node.log(request, "attempt " + request.attemptCount + " to " + node.endpointName(attempt));
         double sentMs = node.turns().writeMs();
-        node.process().invariants().sent(sentMs, request.observed, endpoint);
+        node.process().invariants().attemptStarted(sentMs, request.observed, endpoint);
         node.tally().at(node.tally().attempts, node.nowMs);
         double reachableMs = world.cuts.backMs(node.site, world.members[endpoint], sentMs);
         if (reachableMs > sentMs) {
             // Never established; reset once the endpoint is back in reach, should anybody still wait.
             node.scheduleSelf(
-                    reachableMs + world.scenario.network().leastMs(), new AttemptMessage.AttemptTimedOut(attempt));
+                    reachableMs + world.scenario.network().minLatencyMs(), new AttemptMessage.AttemptTimedOut(attempt));
         } else {
             node.sendDial(attempt);
         }
@@ -77,7 +77,7 @@
         if (attempt.request.attempt == attempt) {
             attempt.request.attempt = null;
         }
-        node.process().invariants().over(node.nowMs, attempt.request.observed, "given up");
+        node.process().invariants().attemptEnded(node.nowMs, attempt.request.observed, "given up");
         node.sendHangup(attempt);
     }
 
@@ -115,7 +115,7 @@
                         + outcome);
         attempt.ended = true;
         request.attempt = null;
-        node.process().invariants().over(node.nowMs, request.observed, outcome.name());
+        node.process().invariants().attemptEnded(node.nowMs, request.observed, outcome.name());
         if (wasEstablished) {
             node.requests().remove(request);
         }
@@ -157,10 +157,10 @@
         request.demand.load = request.demand.usualLoad
                 * RandomStreams.lognormal(node.random, world.scenario.clients().loadSwing());
         node.sendToEndpoint(attempt.endpoint, new EndpointMessage.LoadChanged(attempt, request.demand.load));
-        if (world.scenario.clients().tellsLoad()) {
+        if (world.scenario.clients().reportsLoad()) {
             node.process().policy().loadReported(attempt);
         }
-        scheduleLoadChange(attempt, world.scenario.clients().loadChangesPerS());
+        scheduleLoadChange(attempt, world.scenario.clients().loadChangesPerSecond());
     }
 
     /** Closes an established connection gracefully; its client reconnects. */
@@ -195,7 +195,7 @@
                 node.scheduleSelf(
                         Math.min(
                                 noticedMs,
-                                reachableMs + world.scenario.network().leastMs()),
+                                reachableMs + world.scenario.network().minLatencyMs()),
                         new AttemptMessage.AttemptTimedOut(attempt));
             }
         }
--- a/emulator/src/main/java/tulipshed/emulator/model/DelayReports.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/DelayReports.java
@@ -3,6 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import tulipshed.emulator.policy.EmulatedAttempt;
+import tulipshed.emulator.scenario.RequestClassSettings;
 import tulipshed.emulator.scenario.Scenario;
 
 /** Decides which connections of an endpoint are told how long messages take: one of each node while messages are slow. */
@@ -15,9 +16,9 @@
     private boolean wasSlow;
 
     DelayReports(Scenario scenario) {
-        isEnabled = scenario.members().tellsDelay();
-        slowFromMs = scenario.classes().stream()
-                        .mapToDouble(Scenario.ClassOf::messageAimMs)
+        isEnabled = scenario.endpointModel().reportsLatency();
+        slowFromMs = scenario.requestClasses().stream()
+                        .mapToDouble(RequestClassSettings::messageObjectiveMs)
                         .min()
                         .orElse(DEFAULT_AIM_MS)
                 / 3;
--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedEndpoint.java
@@ -6,6 +6,8 @@
 import tulipshed.emulator.policy.EmulatedAttempt;
 import tulipshed.emulator.policy.GroundTruth;
 import tulipshed.emulator.policy.PolicyFactory;
+import tulipshed.emulator.scenario.EndpointModel;
+import tulipshed.emulator.scenario.EndpointType;
 import tulipshed.emulator.scenario.Scenario;
 
 /**
@@ -24,12 +26,12 @@
     final int number;
     final String name;
     final String site;
-    final Scenario.MemberKind kind;
+    final EndpointType kind;
     /** Load over capacity in each second of the day; NaN while no process runs. */
     final float[] loadBySecond;
 
     private final World world;
-    private final Scenario.MemberModel model;
+    private final EndpointModel model;
     private final UniformRandomProvider random;
     private final EndpointCapacity capacity;
     private final SetupQueue setups;
@@ -49,28 +51,30 @@
     private double accountedMs;
     private double reportedMs;
 
-    EmulatedEndpoint(int id, int number, Scenario.MemberKind kind, World world) {
+    EmulatedEndpoint(int id, int number, EndpointType kind, World world) {
         super(id);
         this.number = number;
         this.kind = kind;
         this.world = world;
         Scenario scenario = world.scenario;
-        model = scenario.members();
+        model = scenario.endpointModel();
         name = "m-" + number;
         site = "s" + number % scenario.network().sites();
         random = RandomStreams.random(world.seed, id, 0);
         double usualLoad = EndpointCapacity.usualLoad(scenario);
-        connectionLimit = usualLoad > 0 ? model.cap() * kind.cores() * kind.speed() / usualLoad : Double.MAX_VALUE;
+        connectionLimit = usualLoad > 0
+                ? model.connectionLimitFactor() * kind.cores() * kind.speed() / usualLoad
+                : Double.MAX_VALUE;
         capacity = new EndpointCapacity(kind, model);
-        setups = new SetupQueue(kind.cores(), model.queue());
+        setups = new SetupQueue(kind.cores(), model.queuePerCore());
         established = new EstablishedLoad(
-                scenario.classes().size(), scenario.tenants().size(), model.groupLoad());
+                scenario.requestClasses().size(), scenario.tenants().size(), model.groupLoad());
         messageTimes = new MessageTimes(scenario, kind);
         slowStart = new SlowStartAccounting(number, scenario, capacity, usualLoad);
         delayReports = new DelayReports(scenario);
         faults = new EndpointFaults(random);
         history = PolicyFactory.looksBack(scenario.policy()) ? new EndpointHistory() : null;
-        loadBySecond = new float[(int) Math.ceil(scenario.lengthMs() / 1000) + 1];
+        loadBySecond = new float[(int) Math.ceil(scenario.durationMs() / 1000) + 1];
     }
 
     /** The day begins; a process that runs has long been warm. */
@@ -94,8 +98,6 @@
         }
     }
 
-    // ---- Its true state ----
-
     @Override
     public boolean alive() {
         return alive;
@@ -186,7 +188,7 @@
             end(nowMs, attempt, alive ? Outcome.ERROR : Outcome.RESET);
             return;
         }
-        double workMs = model.exponential() ? RandomStreams.exponential(random, model.setupMs()) : model.setupMs();
+        double workMs = model.exponentialSetup() ? RandomStreams.exponential(random, model.setupMs()) : model.setupMs();
         accountSlowStart(nowMs, attempt);
         if (!alive) {
             end(nowMs, attempt, Outcome.RESET);
@@ -248,8 +250,6 @@
         }
     }
 
-    // ---- Accounting, as time passes ----
-
     /** Counts what was established since the last call, served as well as messages were. */
     private void account(double nowMs) {
         double passedMs = nowMs - accountedMs;
--- a/emulator/src/main/java/tulipshed/emulator/model/EmulatedProcess.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EmulatedProcess.java
@@ -29,8 +29,7 @@
         this.node = node;
         this.world = world;
         host = new EmulatedPolicyHost(node, world);
-        isHotRestarted =
-                world.scenario.troubles().stream().anyMatch(t -> t.kind().equals("hot-restart-nodes"));
+        isHotRestarted = world.scenario.faults().stream().anyMatch(t -> t.kind().equals("hot-restart-nodes"));
     }
 
     Policy policy() {
@@ -88,7 +87,7 @@
             return;
         }
         acceptsClients = false;
-        double drainMs = world.scenario.nodes().leaveMs();
+        double drainMs = world.scenario.nodes().shutdownMs();
         for (ClientRequest request : node.requests().all()) {
             node.scheduleSelf(node.nowMs + drainMs * node.random.nextDouble(), new AttemptMessage.MoveDue(request));
         }
@@ -108,7 +107,7 @@
         policy.runReadyTasks();
         for (ClientRequest request : node.requests().all()) {
             if (request.answerPending) {
-                invariants.closed(node.turns().writeMs(), request.observed);
+                invariants.connectionClosed(node.turns().writeMs(), request.observed);
             }
         }
         end();
@@ -139,8 +138,8 @@
             node.clients.returns(node.nowMs, request);
         } else if (request.answerPending) {
             // Nobody answers for a process that was killed; one that ended gracefully has been judged.
-            invariants.left(request.observed);
-            double pauseMs = world.scenario.clients().returnMs() * (0.5 + node.random.nextDouble());
+            invariants.clientLeft(request.observed);
+            double pauseMs = world.scenario.clients().reconnectDelayMs() * (0.5 + node.random.nextDouble());
             node.clients.again(node.nowMs, request.demand, pauseMs);
         }
     }
--- a/emulator/src/main/java/tulipshed/emulator/model/EndpointCapacity.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/EndpointCapacity.java
@@ -1,24 +1,28 @@
 package tulipshed.emulator.model;
 
+import tulipshed.emulator.scenario.EndpointModel;
+import tulipshed.emulator.scenario.EndpointType;
+import tulipshed.emulator.scenario.RequestClassSettings;
 import tulipshed.emulator.scenario.Scenario;
 
 /** How much load an endpoint can serve: its size, its slow start after a start of its process, a slowdown, crowding. */
 final class EndpointCapacity {
-    private final Scenario.MemberKind kind;
-    private final Scenario.MemberModel model;
+    private final EndpointType kind;
+    private final EndpointModel model;
     private double startedMs;
     private double slowdown = 1;
 
-    EndpointCapacity(Scenario.MemberKind kind, Scenario.MemberModel model) {
+    EndpointCapacity(EndpointType kind, EndpointModel model) {
         this.kind = kind;
         this.model = model;
     }
 
     /** The mean load of a connection, in cores of speed 1. */
     static double usualLoad(Scenario scenario) {
-        double shares =
-                scenario.classes().stream().mapToDouble(Scenario.ClassOf::share).sum();
-        return scenario.classes().stream()
+        double shares = scenario.requestClasses().stream()
+                .mapToDouble(RequestClassSettings::share)
+                .sum();
+        return scenario.requestClasses().stream()
                 .mapToDouble(c -> c.share() / shares * c.load())
                 .sum();
     }
@@ -45,13 +49,16 @@
 
     /** The share of its size that the endpoint has during slow start, up to 1. */
     double warmth(double nowMs) {
-        return startedMs == 0 || model.warmMs() <= 0
+        return startedMs == 0 || model.slowStartMs() <= 0
                 ? 1
-                : Math.min(1, model.coldShare() + (1 - model.coldShare()) * (nowMs - startedMs) / model.warmMs());
+                : Math.min(
+                        1,
+                        model.slowStartShare()
+                                + (1 - model.slowStartShare()) * (nowMs - startedMs) / model.slowStartMs());
     }
 
     boolean isInSlowStart(double nowMs) {
-        return startedMs > 0 && nowMs - startedMs < model.warmMs();
+        return startedMs > 0 && nowMs - startedMs < model.slowStartMs();
     }
 
     /** The load that the endpoint can serve, in cores of speed 1. */
@@ -63,6 +70,6 @@
     double underLoad(double nowMs, double cores) {
         double total = total(nowMs);
         double excess = cores / total - 1;
-        return excess > 0 ? total / (1 + model.crowding() * excess) : total;
+        return excess > 0 ? total / (1 + model.contention() * excess) : total;
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/FaultKinds.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/FaultKinds.java
@@ -1,7 +1,7 @@
 package tulipshed.emulator.model;
 
 import java.util.Map;
-import tulipshed.emulator.scenario.Scenario.Trouble;
+import tulipshed.emulator.scenario.FaultSettings;
 
 /** The kinds of faults by their names in scenario files. */
 final class FaultKinds {
@@ -44,7 +44,7 @@
     private FaultKinds() {}
 
     /** The kind of a fault; one that an emulated world cannot have fails with an IllegalArgumentException when planned. */
-    static FaultKind of(Trouble trouble) {
+    static FaultKind of(FaultSettings trouble) {
         return BY_NAME.getOrDefault(trouble.kind(), NONE);
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/model/FaultPlan.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/FaultPlan.java
@@ -7,8 +7,8 @@
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.emulator.engine.Actor;
 import tulipshed.emulator.engine.Payload;
+import tulipshed.emulator.scenario.FaultSettings;
 import tulipshed.emulator.scenario.Scenario;
-import tulipshed.emulator.scenario.Scenario.Trouble;
 
 /** The faults of a run as messages to the actors that they strike; what {@link FaultKind}s use to plan themselves. */
 final class FaultPlan {
@@ -44,7 +44,7 @@
 
     /** Plans all faults of the world's scenario. */
     void planAll() {
-        for (Trouble trouble : world.scenario.troubles()) {
+        for (FaultSettings trouble : world.scenario.faults()) {
             FaultKinds.of(trouble).plan(trouble, this);
         }
     }
@@ -52,7 +52,7 @@
     /** Records all partitions of the world's scenario; they are known before any actor starts. */
     static void planPartitions(World world) {
         UniformRandomProvider random = RandomStreams.random(world.seed, 0, 2);
-        for (Trouble trouble : world.scenario.troubles()) {
+        for (FaultSettings trouble : world.scenario.faults()) {
             FaultKinds.of(trouble).planPartitions(trouble, random, world);
         }
     }
@@ -61,19 +61,19 @@
     static double[] nodeClockOffsetsMs(World world) {
         UniformRandomProvider random = RandomStreams.random(world.seed, 0, 3);
         double[] offsetsMs = new double[world.nodes.length];
-        for (Trouble trouble : world.scenario.troubles()) {
+        for (FaultSettings trouble : world.scenario.faults()) {
             FaultKinds.of(trouble).planNodeClocks(trouble, random, offsetsMs);
         }
         return offsetsMs;
     }
 
     /** How many of a number of actors a fault strikes: its count, or its share of them, at least 1. */
-    static int count(Trouble trouble, int of) {
+    static int count(FaultSettings trouble, int of) {
         return trouble.count() > 0 ? trouble.count() : (int) Math.max(1, Math.round(trouble.share() * of));
     }
 
     /** Chooses the actors that a fault strikes, by number. */
-    static List<Integer> choose(UniformRandomProvider random, Trouble trouble, int of) {
+    static List<Integer> choose(UniformRandomProvider random, FaultSettings trouble, int of) {
         List<Integer> all = shuffled(random, of);
         return all.subList(0, Math.min(of, count(trouble, of)));
     }
@@ -88,11 +88,11 @@
     }
 
     /** The site that a fault names by its count. */
-    static String site(Trouble trouble, World world) {
+    static String site(FaultSettings trouble, World world) {
         return "s" + trouble.count() % world.scenario.network().sites();
     }
 
-    String site(Trouble trouble) {
+    String site(FaultSettings trouble) {
         return site(trouble, world);
     }
 
@@ -128,28 +128,28 @@
     }
 
     /** How many of the endpoints that run at the beginning a fault strikes. */
-    int count(Trouble trouble) {
+    int count(FaultSettings trouble) {
         return count(trouble, world.listedAtStart);
     }
 
     /** Takes as many endpoints as a fault strikes from those that have not run; returns the first one's number. */
-    int takeSpareEndpoints(Trouble trouble) {
+    int takeSpareEndpoints(FaultSettings trouble) {
         int first = firstSpareEndpoint;
         firstSpareEndpoint += count(trouble);
         return first;
     }
 
     /** Chooses among the endpoints that run at the beginning. */
-    List<Integer> chooseEndpoints(Trouble trouble) {
+    List<Integer> chooseEndpoints(FaultSettings trouble) {
         return choose(random, trouble, world.listedAtStart);
     }
 
     /** Chooses among the endpoints that there may ever be. */
-    List<Integer> chooseEndpointsEver(Trouble trouble) {
+    List<Integer> chooseEndpointsEver(FaultSettings trouble) {
         return choose(random, trouble, world.members.length);
     }
 
-    List<NodeActor> chooseNodes(Trouble trouble) {
+    List<NodeActor> chooseNodes(FaultSettings trouble) {
         return nodes(choose(random, trouble, world.nodes.length));
     }
 
@@ -163,13 +163,13 @@
     }
 
     /** When a fault is over, in virtual milliseconds. */
-    double endMs(Trouble trouble) {
-        return trouble.atMs() + trouble.overMs();
+    double endMs(FaultSettings trouble) {
+        return trouble.atMs() + trouble.durationMs();
     }
 
     /** A random time between the beginning and the end of a fault, in virtual milliseconds. */
-    double randomTime(Trouble trouble) {
-        return trouble.atMs() + trouble.overMs() * random.nextDouble();
+    double randomTime(FaultSettings trouble) {
+        return trouble.atMs() + trouble.durationMs() * random.nextDouble();
     }
 
     <P extends Payload> void send(double deliveryMs, Actor<P> receiver, P payload) {
@@ -182,13 +182,13 @@
     }
 
     /** Gives a share of an endpoint's requests a fate while a fault lasts. */
-    void setFaultShare(Trouble trouble, int endpoint, EndpointFaults.Fate fate, double share) {
+    void setFaultShare(FaultSettings trouble, int endpoint, EndpointFaults.Fate fate, double share) {
         send(trouble.atMs(), endpoint(endpoint), new EndpointMessage.FaultShare(fate, share));
         send(endMs(trouble), endpoint(endpoint), new EndpointMessage.FaultShare(fate, 0));
     }
 
     /** Tells all nodes and endpoints that a part of the network is out of reach from the beginning of a fault. */
-    void announcePartition(Trouble trouble) {
+    void announcePartition(FaultSettings trouble) {
         for (NodeActor node : world.nodes) {
             send(trouble.atMs(), node, new ProcessMessage.NetworkPartitioned());
         }
--- a/emulator/src/main/java/tulipshed/emulator/model/MessageTimes.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/MessageTimes.java
@@ -1,20 +1,21 @@
 package tulipshed.emulator.model;
 
+import tulipshed.emulator.scenario.EndpointType;
 import tulipshed.emulator.scenario.Scenario;
 
 /** How long messages over the connections of an endpoint take, and which share of them is in time. */
 final class MessageTimes {
     private final Scenario scenario;
-    private final Scenario.MemberKind kind;
+    private final EndpointType kind;
     private final double[] inTimeShares;
     private double backlogMs;
     private double serviceMs;
 
-    MessageTimes(Scenario scenario, Scenario.MemberKind kind) {
+    MessageTimes(Scenario scenario, EndpointType kind) {
         this.scenario = scenario;
         this.kind = kind;
-        inTimeShares = new double[scenario.classes().size()];
-        serviceMs = scenario.members().messageMs() / kind.speed();
+        inTimeShares = new double[scenario.requestClasses().size()];
+        serviceMs = scenario.endpointModel().messageMs() / kind.speed();
         updateInTimeShares(0);
     }
 
@@ -56,7 +57,7 @@
         // without.
         int cores = kind.cores();
         double used = Math.min(1 - EmulatedEndpoint.LEAST_FREE_SHARE, busy);
-        serviceMs = scenario.members().messageMs()
+        serviceMs = scenario.endpointModel().messageMs()
                 / kind.speed()
                 / warmth
                 * slowdown
@@ -67,7 +68,7 @@
     /** No message is in time while the backlog is more than the aim, else the share is that of M/M/1. */
     private void updateInTimeShares(double backlog) {
         for (int c = 0; c < inTimeShares.length; c++) {
-            double leftMs = scenario.classes().get(c).messageAimMs() - backlog;
+            double leftMs = scenario.requestClasses().get(c).messageObjectiveMs() - backlog;
             inTimeShares[c] = leftMs <= 0 ? 0 : 1 - Math.exp(-leftMs / serviceMs);
         }
     }
--- a/emulator/src/main/java/tulipshed/emulator/model/NodeEndpointList.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/NodeEndpointList.java
@@ -57,10 +57,10 @@
     void notify(EndpointListDelivery delivery) {
         NodeInvariants invariants = node.process().invariants();
         for (EndpointListing listing : delivery.listings()) {
-            invariants.told(node.nowMs, listing.endpoint(), listing.isServing());
+            invariants.endpointNotified(node.nowMs, listing.endpoint(), listing.isServing());
             notified.started(listing);
         }
-        notified.missing(delivery).forEach(endpoint -> invariants.told(node.nowMs, endpoint, false));
+        notified.missing(delivery).forEach(endpoint -> invariants.endpointNotified(node.nowMs, endpoint, false));
     }
 
     /** The process reads a delivery. */
--- a/emulator/src/main/java/tulipshed/emulator/model/ProcessTurns.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/ProcessTurns.java
@@ -23,7 +23,7 @@
 
     /** Has the process's invariants allow for stalls. */
     void excuseStalls() {
-        node.process().invariants().heldUp(stalls.excusesUntilMs(), ProcessStalls.LONGEST_MS);
+        node.process().invariants().allowStall(stalls.excusesUntilMs(), ProcessStalls.LONGEST_MS);
     }
 
     boolean isStalled() {
--- a/emulator/src/main/java/tulipshed/emulator/model/ReloadFault.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/ReloadFault.java
@@ -1,11 +1,11 @@
 package tulipshed.emulator.model;
 
-import tulipshed.emulator.scenario.Scenario.Trouble;
+import tulipshed.emulator.scenario.FaultSettings;
 
 /** All nodes read their configuration again. */
 record ReloadFault() implements FaultKind {
     @Override
-    public void plan(Trouble trouble, FaultPlan plan) {
+    public void plan(FaultSettings trouble, FaultPlan plan) {
         for (NodeActor node : plan.nodes()) {
             plan.send(plan.randomTime(trouble), node, new ProcessMessage.ReloadConfiguration());
         }
--- a/emulator/src/main/java/tulipshed/emulator/model/RequestHandler.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/RequestHandler.java
@@ -1,6 +1,6 @@
 package tulipshed.emulator.model;
 
-import tulipshed.emulator.invariants.NodeInvariants;
+import tulipshed.emulator.invariants.ObservedRequest;
 import tulipshed.emulator.policy.ClientDemand;
 import tulipshed.emulator.policy.ClientRequest;
 
@@ -19,7 +19,7 @@
     /** Adds a request to those that the node holds and that its invariants follow. */
     ClientRequest open(ClientDemand demand, double arrivalMs, double deadlineMs) {
         long id = ++lastRequestId;
-        NodeInvariants.Watched observed = node.process().invariants().asked(arrivalMs, id, deadlineMs);
+        ObservedRequest observed = node.process().invariants().requestArrived(arrivalMs, id, deadlineMs);
         ClientRequest request = new ClientRequest(id, demand, arrivalMs, deadlineMs, observed);
         node.requests().add(request);
         return request;
@@ -52,7 +52,7 @@
             return;
         }
         node.log(request, "the client leaves before it is answered");
-        node.process().invariants().left(request.observed);
+        node.process().invariants().clientLeft(request.observed);
         node.clients.leavesForGood();
         if (node.turns().isStalled()) {
             node.requests().remove(request);
@@ -88,7 +88,7 @@
 
     /** An answer, should it come, would not count as late any more. */
     void answerOverdue(ClientRequest request) {
-        node.process().invariants().waited(node.nowMs, request.observed);
+        node.process().invariants().waitEnded(node.nowMs, request.observed);
         node.turns().run(() -> {
             if (request.indexAtNode >= 0 && !request.established) {
                 cancel(request);
--- a/emulator/src/main/java/tulipshed/emulator/model/SlowEndpointsFault.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/SlowEndpointsFault.java
@@ -1,11 +1,11 @@
 package tulipshed.emulator.model;
 
-import tulipshed.emulator.scenario.Scenario.Trouble;
+import tulipshed.emulator.scenario.FaultSettings;
 
 /** Endpoints are slower for a time. */
 record SlowEndpointsFault() implements FaultKind {
     @Override
-    public void plan(Trouble trouble, FaultPlan plan) {
+    public void plan(FaultSettings trouble, FaultPlan plan) {
         double factor = Math.max(1, trouble.factor());
         for (int endpoint : plan.chooseEndpoints(trouble)) {
             plan.send(trouble.atMs(), plan.endpoint(endpoint), new EndpointMessage.Slowdown(factor));
--- a/emulator/src/main/java/tulipshed/emulator/model/SlowStartAccounting.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/SlowStartAccounting.java
@@ -3,6 +3,7 @@
 import tulipshed.emulator.invariants.InvariantReport;
 import tulipshed.emulator.invariants.SlowStartInvariant;
 import tulipshed.emulator.policy.EmulatedAttempt;
+import tulipshed.emulator.scenario.EndpointModel;
 import tulipshed.emulator.scenario.Scenario;
 
 /** The work that an endpoint receives during slow start, held against what makes its process fail. */
@@ -19,8 +20,8 @@
     SlowStartAccounting(int endpoint, Scenario scenario, EndpointCapacity capacity, double usualLoad) {
         this.scenario = scenario;
         this.capacity = capacity;
-        Scenario.MemberModel model = scenario.members();
-        invariant = new SlowStartInvariant(endpoint, model.fallFactor(), model.fallMs(), usualLoad);
+        EndpointModel model = scenario.endpointModel();
+        invariant = new SlowStartInvariant(endpoint, model.overloadFactor(), model.overloadWindowMs(), usualLoad);
     }
 
     /** Work received over what makes the process fail; 0 after slow start. */
@@ -30,7 +31,7 @@
 
     /** A new process starts. */
     void restart() {
-        invariant.restart();
+        invariant.processRestarted();
     }
 
     /** Accounts for an attempt during slow start; returns whether the process fails by it. */
@@ -38,18 +39,18 @@
         if (!capacity.isInSlowStart(nowMs)) {
             return false;
         }
-        Scenario.MemberModel model = scenario.members();
-        double growth = capacity.total(nowMs) * model.fills() / model.warmMs();
+        EndpointModel model = scenario.endpointModel();
+        double growth = capacity.total(nowMs) * model.connectionRateFills() / model.slowStartMs();
         // The usual load of the class: what one connection will need later nobody knows when it is sent.
-        double work = scenario.classes().get(attempt.requestClass).load();
-        invariant.pushed(nowMs, work, growth, attempt.notifiedStartMs >= capacity.startedMs() - 1);
-        counters.strained(invariant.strain(), invariant.toldStrain());
-        return invariant.falls();
+        double work = scenario.requestClasses().get(attempt.requestClass).load();
+        invariant.workArrived(nowMs, work, growth, attempt.notifiedStartMs >= capacity.startedMs() - 1);
+        counters.strained(invariant.strain(), invariant.notifiedStrain());
+        return invariant.isExceeded();
     }
 
     /** Reports that the process has failed. */
     void reportFailure(double nowMs, InvariantReport report) {
-        invariant.fell(nowMs, report, ageMs(nowMs));
+        invariant.endpointFailed(nowMs, report, ageMs(nowMs));
     }
 
     /** How long the process runs. */
--- a/emulator/src/main/java/tulipshed/emulator/model/TrafficShiftFault.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/TrafficShiftFault.java
@@ -1,11 +1,11 @@
 package tulipshed.emulator.model;
 
-import tulipshed.emulator.scenario.Scenario.Trouble;
+import tulipshed.emulator.scenario.FaultSettings;
 
 /** Nodes of one site get several times their clients for a time, at the cost of all others. */
 record TrafficShiftFault() implements FaultKind {
     @Override
-    public void plan(Trouble trouble, FaultPlan plan) {
+    public void plan(FaultSettings trouble, FaultPlan plan) {
         String site = plan.site(trouble);
         double siteShare = 0;
         for (NodeActor node : plan.nodes()) {
--- a/emulator/src/main/java/tulipshed/emulator/policy/CorePolicy.java
+++ b/emulator/src/main/java/tulipshed/emulator/policy/CorePolicy.java
@@ -18,6 +18,7 @@
 import tulipshed.proxy.EventLoop;
 import tulipshed.proxy.ProxyCore;
 import tulipshed.proxy.Request;
+import tulipshed.proxy.RequestParameters;
 import tulipshed.proxy.UpstreamConnector;
 import tulipshed.time.WallTime;
 
@@ -65,7 +66,7 @@
                 this,
                 ERRORS,
                 Balancer::new);
-        core.endpointListSource(host::watchEndpoints);
+        core.setEndpointListSource(host::watchEndpoints);
     }
 
     /** One client's transaction, as its front would hold it. */
@@ -80,13 +81,13 @@
             transaction = new Request(
                     this,
                     CorePolicy.this,
-                    new Request.Attributes(
+                    new RequestParameters(
                             demand.requestClass,
                             demand.tenant,
                             "k" + request.id,
                             SettingsFactory.group(demand),
                             request.remainingMs(host.nowMs()),
-                            scenario.clients().hints() ? demand.usualLoad * 1e6 : 0,
+                            scenario.clients().sendsLoadHints() ? demand.usualLoad * 1e6 : 0,
                             demand.requestCount > 1,
                             demand.reconnecting),
                     host.clockMs(),
@@ -142,7 +143,7 @@
 
     @Override
     public void quotaShareChanged(double share) {
-        core.quotaShare(share);
+        core.setQuotaShare(share);
     }
 
     @Override
--- a/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
+++ b/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
@@ -6,6 +6,7 @@
 import java.util.Optional;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
+import tulipshed.expression.CompiledExpression;
 import tulipshed.expression.CostModel;
 import tulipshed.expression.EvaluationFrame;
 import tulipshed.expression.Expression;
@@ -29,7 +30,7 @@
             metaVar = "NAME=VALUE",
             usage =
                     "an attribute's value, as often as there are attributes; a name "
-                            + "that is not an attribute of a transaction or a member becomes one, of the type that its value looks like")
+                            + "that is not an attribute of a request or an endpoint becomes one, of the type that its value looks like")
     private List<String> assignments = new ArrayList<>();
 
     @Override
@@ -62,7 +63,7 @@
         if (!problems.none()) {
             return Optional.empty();
         }
-        Expression checked = new TypeChecker(schema, problems).any(forms.get(0));
+        Expression checked = new TypeChecker(schema, problems).infer(forms.get(0));
         if (checked != null && checked.type() == Type.ADDRESS) {
             problems.add(checked.place(), "an address can only be compared or looked for in networks");
         }
@@ -71,12 +72,12 @@
 
     private static void evaluate(Expression checked, AttributeValues values) {
         Program.Builder builder = new Program.Builder(values.schema());
-        Program.Value value = builder.value(checked);
+        CompiledExpression value = builder.value(checked);
         EvaluationFrame frame = builder.build().frame();
         frame.begin();
         values.setIn(frame, checked);
         System.out.println("type: " + checked.type());
-        System.out.println("value: " + value.boxed(frame));
+        System.out.println("value: " + value.boxedValue(frame));
         System.out.println("cost: " + frame.spent() + ", at most " + new CostModel().bound(checked));
     }
 }
--- a/node/src/main/java/tulipshed/peer/PeerSocket.java
+++ b/node/src/main/java/tulipshed/peer/PeerSocket.java
@@ -9,6 +9,7 @@
 import tulipshed.config.PeerConfig;
 import tulipshed.decision.api.BalancerActions;
 import tulipshed.limits.Limits;
+import tulipshed.limits.PeerLimits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.NodeMetrics;
 import tulipshed.proxy.PeerSender;
@@ -28,7 +29,7 @@
  */
 public final class PeerSocket implements PeerSender {
     private final Clock clock;
-    private final Limits.Peers limits;
+    private final PeerLimits limits;
     private final XnioEventLoop loop;
     private final ProxyCore core;
     private final ProtocolErrorLog errors;
@@ -56,7 +57,7 @@
         errors = new ProtocolErrorLog("peer", "peer datagrams dropped", limits, log);
         // One byte more than is accepted, which reveals a datagram that is too long.
         readBuffer = ByteBuffer.allocateDirect(this.limits.maxBodyBytes() + 1);
-        core.peerSender(this);
+        core.setPeerSender(this);
         publishCounters(core.metrics());
     }
 
--- a/node/src/main/java/tulipshed/proxy/AttemptManager.java
+++ b/node/src/main/java/tulipshed/proxy/AttemptManager.java
@@ -76,7 +76,7 @@
                 && request.attemptCount() < settings.maxAttempts();
     }
 
-    /** Tells the decision module that an attempt which it decided on was not started. */
+    /** Notifies the decision module that an attempt which it decided on was not started. */
     private void reportUnused(Request request) {
         int number = request.attemptCount();
         events.add((balancer, nowMs, nowUs) -> balancer.attemptEnded(
@@ -140,14 +140,14 @@
         attempt.markEnded();
         Request request = attempt.request();
         request.closeAttempt();
-        if (!outcome.neverRan) {
+        if (!outcome.neverExecuted) {
             request.recordExecution(attempt.startedMs());
         }
         if (request.isEstablished()) {
             responses.complete(request);
             established.remove(request);
         } else if (request.isAdopted() && request.isPending()) {
-            // The decision module counts it as established and will not answer it; the client needs a response still.
+            // The decision module counts it as established and gives no response; the client still needs one.
             responses.fail(request);
         }
         events.add((balancer, nowMs, nowUs) -> {
--- a/node/src/test/java/tulipshed/proxy/RequestRoutingTest.java
+++ b/node/src/test/java/tulipshed/proxy/RequestRoutingTest.java
@@ -29,14 +29,14 @@
     }
 
     private void setEligible(int inPoolA, int inPoolB) {
-        fixture.eligibleByPool.put("a", inPoolA);
-        fixture.eligibleByPool.put("b", inPoolB);
+        fixture.balancer.eligibleByPool.put("a", inPoolA);
+        fixture.balancer.eligibleByPool.put("b", inPoolB);
     }
 
     @Test
     void classifiesArrivalAndAssignsItsPool() {
         setEligible(1, 1);
-        fixture.core.useRouter(router(POOLS + "(classify (rule r (when (= key \"k\")) (class \"slot-booking\")))"
+        fixture.core.setRouter(router(POOLS + "(classify (rule r (when (= key \"k\")) (class \"slot-booking\")))"
                 + "(route r (when (= class \"slot-booking\")) (to b))"));
         assertEquals(List.of("pools {a=[s-1], b=[]}"), fixture.takeRecorded());
         fixture.requestArrives(2000);
@@ -47,17 +47,17 @@
     void reroutesPendingRequestsWhenTheirPoolBecomesIneligible() {
         fixture.updateEndpoint("s-3", EndpointStatus.SERVING);
         setEligible(1, 1);
-        fixture.core.useRouter(router(POOLS + "(route r (to a b))"));
+        fixture.core.setRouter(router(POOLS + "(route r (to a b))"));
         fixture.requestArrives(2000);
         fixture.takeRecorded();
-        fixture.eligibleByPool.put("a", 0);
+        fixture.balancer.eligibleByPool.put("a", 0);
         fixture.advance(99);
         assertEquals(List.of(), fixture.takeRecorded());
         fixture.advance(2);
         assertEquals(
                 List.of("INFO route: r uses pool b instead of its preferred pool", "route 1 b"),
                 fixture.takeRecorded());
-        fixture.eligibleByPool.put("a", 1);
+        fixture.balancer.eligibleByPool.put("a", 1);
         fixture.updateEndpoint("s-2", EndpointStatus.SERVING);
         assertEquals(
                 List.of(
@@ -73,12 +73,12 @@
     @Test
     void keepsEstablishedConnectionWhenRouterIsRemoved() {
         setEligible(1, 1);
-        fixture.core.useRouter(router(POOLS + "(route r (to a))"));
+        fixture.core.setRouter(router(POOLS + "(route r (to a))"));
         Attempt attempt = fixture.startAttempt(2000);
         assertTrue(fixture.core.attemptEstablished(attempt));
         fixture.requestArrives(1500);
         fixture.takeRecorded();
-        fixture.core.useRouter(null);
+        fixture.core.setRouter(null);
         assertEquals(List.of("pools {}", "route 2 null"), fixture.takeRecorded());
         assertTrue(attempt.request().isEstablished());
         fixture.advance(300);
@@ -88,10 +88,10 @@
     /** BalancerSettings may drop a class that a rule assigns, before the rules are reloaded. */
     @Test
     void ignoresClassThatSettingsNoLongerName() {
-        fixture.core.useRouter(router("(classify (rule r (when true) (class \"slot-booking\")))"));
-        BalancerSettings settings = ProxyCoreFixture.nodeSettings();
+        fixture.core.setRouter(router("(classify (rule r (when true) (class \"slot-booking\")))"));
+        BalancerSettings settings = NodeJsonSettings.nodeSettings();
         fixture.core.reconfigure(
-                ProxyCoreFixture.withClasses(settings, settings.classes().subList(0, 2)));
+                NodeJsonSettings.withClasses(settings, settings.classes().subList(0, 2)));
         fixture.takeRecorded();
         fixture.requestArrives(1000);
         assertEquals(List.of("request 1000"), fixture.takeRecorded());
--- a/node/src/test/java/tulipshed/quic/EndsTest.java
+++ b/node/src/test/java/tulipshed/quic/EndsTest.java
@@ -15,14 +15,13 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.connectionid.ConnectionId;
 import tulipshed.decision.api.Outcome;
-import tulipshed.quic.QuicMetrics.Figure;
 import tulipshed.quic.StandIns.Client;
 import tulipshed.quic.StandIns.Client.Heard;
 import tulipshed.quic.StandIns.Server;
 import tulipshed.quic.StandIns.Server.Manner;
 
 /** How connections end: servers that lose their state, places that are used again, floods, and what the kernel drops. */
-class EndsTest extends FrontSetup {
+class EndsTest extends QuicFrontendFixture {
     /** Without telling the server's resets from packets the module would count its connections until they are idle. */
     @Test
     void aServerThatHasLostItsStateEndsItsConnectionsAtOnce() throws IOException {
@@ -39,7 +38,7 @@
             assertEquals("reset", number(client, 6).what());
         }
         assertEquals(0, (int) onLoop(() -> core.metrics().activeRequests()));
-        assertEquals(10, counted(Figure.RESETS_PASSED));
+        assertEquals(10, counted(QuicCounter.RESETS_FORWARDED));
         int heard = servers.get(0).numbers.size();
         for (Client client : clients) {
             assertEquals("reset", number(client, 7).what(), "what it still sends is answered by the node");
@@ -69,15 +68,18 @@
                 stranger.send(new DatagramPacket(reset, reset.length, conn.active));
             }
             assertEquals(new Heard("number", 3), number(client, 3));
-            assertEquals(0, counted(Figure.RESETS_PASSED));
-            assertEquals(50, counted(Figure.DROPPED_STRAY), "what is not from a member is not read any further");
+            assertEquals(0, counted(QuicCounter.RESETS_FORWARDED));
+            assertEquals(
+                    50,
+                    counted(QuicCounter.DROPPED_UNKNOWN_SOURCE),
+                    "what is not from a member is not read any further");
         }
     }
 
     /** A place is used by other clients later; what its member still sends to the first must not make the second stand. */
     @Test
     void whatIsLateForOneClientDoesNotServeAnother() throws IOException {
-        seatQuietMs = 0;
+        socketReuseDelayMs = 0;
         deadlineMs = 4000;
         front(Manner.SERVES);
         try (Client first = new Client(front.address(), 1);
@@ -87,10 +89,11 @@
             first.send(InitialKeys.client(Version.V1, first.first)
                     .seal(first.first, first.own, 1, Arrays.copyOf(InitialFrames.close(0, "never mind"), 1180)));
             assertEquals("served", open(first).what());
-            QuicSession session = onLoop(() -> front.table.path(first.server).session());
+            QuicSession session =
+                    onLoop(() -> front.context().table().path(first.server).session());
             onLoop(() -> {
-                core.attemptEnded(core.metrics().activeRequests() > 0 ? session.flow() : null, Outcome.RESET);
-                session.abandon(session.flow());
+                core.attemptEnded(core.metrics().activeRequests() > 0 ? session.attempt() : null, Outcome.RESET);
+                session.abandon(session.attempt());
                 return null;
             });
             servers.get(0).manner = Manner.SILENT;
@@ -98,7 +101,7 @@
             while (servers.get(0).conns.size() < 2) {
                 Thread.onSpinWait();
             }
-            assertEquals(1, (int) onLoop(front.sockets::count), "it has the place of the first");
+            assertEquals(1, (int) onLoop(front.context().sockets()::count), "it has the place of the first");
             for (int i = 0; i < 5; i++) {
                 servers.get(0).push(old, i);
             }
@@ -122,7 +125,7 @@
                 byte[] big = Arrays.copyOf(StandIns.shortPacket(conn.clientId, i), 1400);
                 servers.get(0).socket.send(new DatagramPacket(big, big.length, conn.active));
             }
-            while (counted(Figure.DROPPED_AMPLIFICATION) < 38) {
+            while (counted(QuicCounter.DROPPED_AMPLIFICATION) < 38) {
                 Thread.onSpinWait();
             }
             assertEquals(new Heard("number", 0), client.hear());
@@ -161,7 +164,7 @@
     @SuppressWarnings("ReferenceEquality") // the very datagram that was queued
     @Test
     void whoIsKnownGoesBeforeStrangers() throws Exception {
-        mostSessions = 1000;
+        maxConnections = 1000;
         numberedFront(1);
         try (Client known = new Client(front.address(), 1);
                 Client stranger = new Client(front.address(), 2)) {
@@ -187,14 +190,13 @@
             assertEquals(new Heard("number", 7), known.hear());
             assertEquals(1, servers.get(0).initialsBefore, "its own");
             taken(42);
-            while (counted(Figure.OPENED_V1) < 41) {
+            while (counted(QuicCounter.OPENED_V1) < 41) {
                 Thread.onSpinWait();
             }
         }
         UnknownDatagramQueue few = new UnknownDatagramQueue(2);
-        UnknownDatagramQueue.Datagram[] d = {
-            new UnknownDatagramQueue.Datagram(null, null, null, null, null),
-            new UnknownDatagramQueue.Datagram(null, null, new byte[1], null, null)
+        UnknownDatagram[] d = {
+            new UnknownDatagram(null, null, null, null, null), new UnknownDatagram(null, null, new byte[1], null, null)
         };
         assertTrue(few.offer(d[0]) && few.offer(d[1]) && !few.offer(d[0]));
         assertEquals(d[0], few.poll());
@@ -204,8 +206,8 @@
     /** Ids in the clear can be forged: what no member answers gives way, and nobody who stands does. */
     @Test
     void forgedIdsDoNotFillTheTable() throws IOException {
-        carriedOn = 10;
-        mostSessions = 40;
+        maxUnconfirmedConnections = 10;
+        maxConnections = 40;
         front(Manner.SERVES);
         try (Client client = new Client(front.address(), 1);
                 Client forger = new Client(front.address(), 2)) {
@@ -221,8 +223,8 @@
                 forger.sendNumber(i);
                 taken(3 + i);
             }
-            assertEquals(1 + 10, (int) onLoop(front::sessionCount));
-            assertTrue(counted(Figure.GAVE_WAY) >= 180, "a port may come twice");
+            assertEquals(1 + 10, (int) onLoop(front.context().table()::sessionCount));
+            assertTrue(counted(QuicCounter.UNCONFIRMED_EVICTED) >= 180, "a port may come twice");
             assertEquals(11, (int) onLoop(() -> core.metrics().activeRequests()));
             servers.get(0).manner = Manner.SERVES;
             try (Client late = new Client(front.address(), 3)) {
@@ -237,7 +239,7 @@
      */
     @Test
     void aFloodHoldsNothingAndDisturbsNobody() throws IOException {
-        mostSessions = 60;
+        maxConnections = 60;
         numberedFront(3);
         List<Client> standing = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
@@ -271,15 +273,16 @@
                 assertEquals(new Heard("number", i), heard);
             }
         }
-        assertTrue(onLoop(front::sessionCount) <= 60);
-        assertTrue(onLoop(front::idCount) <= 60 * 8);
-        assertTrue(onLoop(front.table::others) <= 60 * 2);
-        assertTrue(onLoop(front.sockets::count) <= 60);
+        assertTrue(onLoop(front.context().table()::sessionCount) <= 60);
+        assertTrue(onLoop(front.context().table()::idCount) <= 60 * 8);
+        assertTrue(onLoop(front.context().table()::addressAndNumberCount) <= 60 * 2);
+        assertTrue(onLoop(front.context().sockets()::count) <= 60);
         assertTrue(
-                counted(Figure.DROPPED_REPLAYED) > 300,
+                counted(QuicCounter.DROPPED_REPLAYED) > 300,
                 "without this the first client's packets would go to the flood");
         assertTrue(
-                counted(Figure.DROPPED_UNKNOWN_ID) + counted(Figure.DROPPED_MALFORMED) > 100, "of what names nobody");
+                counted(QuicCounter.DROPPED_UNKNOWN_ID) + counted(QuicCounter.DROPPED_MALFORMED) > 100,
+                "of what names nobody");
         for (Client client : standing) {
             client.drain();
             assertEquals(new Heard("number", 1), number(client, 1));
@@ -297,8 +300,8 @@
     private void openAndCloseInOneTurn(Client client) {
         onLoop(() -> {
             client.send(client.initial());
-            long read = front.counted.get(Figure.DATAGRAMS);
-            while (front.counted.get(Figure.DATAGRAMS) == read) {
+            long read = front.context().metrics().get(QuicCounter.DATAGRAMS);
+            while (front.context().metrics().get(QuicCounter.DATAGRAMS) == read) {
                 front.receiveAvailable();
             }
             client.send(close(client));
@@ -333,9 +336,9 @@
             onLoop(() -> {
                 client.send(close(client));
                 // Its attempt fails in the turn in which the close is still unread.
-                QuicSession session = front.table.path(client.first).session();
-                core.attemptEnded(session.flow(), Outcome.FULL);
-                session.abandon(session.flow());
+                QuicSession session = front.context().table().path(client.first).session();
+                core.attemptEnded(session.attempt(), Outcome.FULL);
+                session.abandon(session.attempt());
                 return null;
             });
             taken(2);
--- a/node/src/test/java/tulipshed/quic/KwikTest.java
+++ b/node/src/test/java/tulipshed/quic/KwikTest.java
@@ -172,14 +172,14 @@
                     loop,
                     NodeLog.silent(),
                     Balancer::new);
-            core.useRouter(OperatorsFile.read(
+            core.setRouter(OperatorsFile.read(
                             "f",
                             ("(pool one (where true)) (route r (when (= (default server-name \"\") \"localhost\"))"
                                             + "(to one)) (classify (rule r (when (= (default alpn \"\") \"slots\")) (class \"gate-status\")))")
                                     .getBytes(UTF_8),
                             config.nameIndex())
                     .router());
-            tell(EndpointStatus.SERVING, EndpointStatus.SERVING);
+            notifyStatus(EndpointStatus.SERVING, EndpointStatus.SERVING);
             front = new QuicFrontend(
                     new SystemClock(),
                     Limits.forDescriptors(1024),
@@ -229,7 +229,7 @@
     }
 
     /** Discovery's news of both servers. */
-    private void tell(EndpointStatus first, EndpointStatus second) {
+    private void notifyStatus(EndpointStatus first, EndpointStatus second) {
         List<EndpointListEntry> listed = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             listed.add(new EndpointListEntry(
@@ -239,8 +239,8 @@
         core.endpointsChanged(EndpointListKind.COMPLETE, listed);
     }
 
-    private <T> T onLoop(FrontSetup.Task<T> what) {
-        return FrontSetup.onLoop(loop, what);
+    private <T> T onLoop(QuicFrontendFixture.Task<T> what) {
+        return QuicFrontendFixture.onLoop(loop, what);
     }
 
     @AfterEach
@@ -296,8 +296,8 @@
         large.connect();
         echoes(large, 5, 2);
         large.close();
-        assertEquals(2, (long) onLoop(() -> front.counted.get(QuicMetrics.Figure.OPENED_V1)));
-        assertEquals(1, (long) onLoop(() -> front.counted.get(QuicMetrics.Figure.OPENED_V2)));
+        assertEquals(2, (long) onLoop(() -> front.context().metrics().get(QuicCounter.OPENED_V1)));
+        assertEquals(1, (long) onLoop(() -> front.context().metrics().get(QuicCounter.OPENED_V2)));
         assertEquals(3, (long)
                 onLoop(() -> core.metrics().responses().get("gate-status").established()));
     }
@@ -321,8 +321,8 @@
         }
         echoes(connection, 10, 7);
         System.out.println(echoed + 10 + " of " + (echoed + 10) + " echoes over " + rebinds + " rebinds");
-        assertTrue(onLoop(() -> front.counted.get(QuicMetrics.Figure.REBINDS)) >= rebinds);
-        assertEquals(1, (int) onLoop(front::sessionCount));
+        assertTrue(onLoop(() -> front.context().metrics().get(QuicCounter.REBINDS)) >= rebinds);
+        assertEquals(1, (int) onLoop(front.context().table()::sessionCount));
         assertEquals(1, (int) onLoop(() -> core.metrics().activeRequests()));
         connection.close();
     }
@@ -347,7 +347,7 @@
             }
         }
         onLoop(() -> {
-            tell(EndpointStatus.DRAINING, EndpointStatus.SERVING);
+            notifyStatus(EndpointStatus.DRAINING, EndpointStatus.SERVING);
             return null;
         });
         int atDrained = streams.get(0);
--- a/node/src/test/java/tulipshed/quic/QuicLabProcess.java
+++ b/node/src/test/java/tulipshed/quic/QuicLabProcess.java
@@ -22,6 +22,7 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.limits.Limits;
+import tulipshed.limits.QuicLimits;
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.EndpointListEntry;
 import tulipshed.proxy.ProxyCore;
@@ -88,8 +89,8 @@
 
     private static void node(List<InetSocketAddress> members) throws Exception {
         Limits l = Limits.forDescriptors(20_000);
-        Limits.Quic q = l.quic();
-        Limits limits = l.with(new Limits.Quic(
+        QuicLimits q = l.quic();
+        Limits limits = l.with(new QuicLimits(
                 q.datagramBytes(),
                 20_000,
                 q.maxIdsPerConnection(),
@@ -121,7 +122,7 @@
                     members.get(i - 1)));
         }
         RetryTokens tokens = new RetryTokens(Map.of(1, new byte[16]), 1, 10_000, 0, () -> new WallTime(0));
-        QuicFrontend front = FrontSetup.onLoop(loop, () -> {
+        QuicFrontend front = QuicFrontendFixture.onLoop(loop, () -> {
             ProxyCore core = new ProxyCore(
                     new SystemClock(), limits, config.settings(), 1, loop, NodeLog.silent(), Balancer::new);
             core.endpointsChanged(EndpointListKind.COMPLETE, listed);
@@ -149,13 +150,15 @@
             System.gc();
             Runtime r = Runtime.getRuntime();
             long heap = r.totalMemory() - r.freeMemory();
-            System.out.println(heap + " " + FrontSetup.onLoop(loop, front::sessionCount) + " "
-                    + FrontSetup.onLoop(loop, front::idCount) + " " + FrontSetup.onLoop(loop, front.sockets::count));
-            System.err.println(FrontSetup.onLoop(
+            System.out.println(heap + " "
+                    + QuicFrontendFixture.onLoop(loop, front.context().table()::sessionCount) + " "
+                    + QuicFrontendFixture.onLoop(loop, front.context().table()::idCount) + " "
+                    + QuicFrontendFixture.onLoop(loop, front.context().sockets()::count));
+            System.err.println(QuicFrontendFixture.onLoop(
                     loop,
-                    () -> java.util.Arrays.stream(QuicMetrics.Figure.values())
-                            .filter(f -> front.counted.get(f) > 0)
-                            .map(f -> f + "=" + front.counted.get(f))
+                    () -> java.util.Arrays.stream(QuicCounter.values())
+                            .filter(f -> front.context().metrics().get(f) > 0)
+                            .map(f -> f + "=" + front.context().metrics().get(f))
                             .toList()));
         }
     }
