--- a/emulator/src/main/java/tulipshed/emulator/model/World.java
+++ b/emulator/src/main/java/tulipshed/emulator/model/World.java
@@ -62,6 +62,7 @@
 
     /** Makes the world's side of a node. */
     public interface NodeMaker {
+        /** Creates the node of that number. */
         NodeActor make(int id, int number, World world);
     }
 
@@ -87,7 +88,7 @@
         listedAtStart = atFirst;
         int more = scenario.faults().stream()
                 .filter(t -> t.kind().equals("add-members"))
-                .mapToInt(t -> FaultSchedule.count(t, atFirst))
+                .mapToInt(t -> FaultPlan.count(t, atFirst))
                 .sum();
         members = new EmulatedEndpoint[atFirst + more];
         Map<String, Integer> numbers = new HashMap<>();
@@ -96,13 +97,13 @@
             numbers.put(members[m].name, m);
             engine.add(members[m]);
         }
-        FaultSchedule.cuts(this);
+        FaultPlan.planPartitions(this);
         policies = PolicyFactory.of(scenario.policy(), numbers);
         discovery = new EmulatedDiscovery(DISCOVERY, this);
         engine.add(discovery);
         atStart = discovery.atStart();
         nodes = new NodeActor[scenario.nodes().count()];
-        nodeClockOffMs = FaultSchedule.nodeClocks(this);
+        nodeClockOffMs = FaultPlan.nodeClockOffsetsMs(this);
         for (int n = 0; n < nodes.length; n++) {
             nodes[n] = maker.make(FIRST_NODE + n, n, this);
             engine.add(nodes[n]);
@@ -168,9 +169,9 @@
             double sizeB = members[b].kind.cores() * members[b].kind.speed();
             int m = load[b] / sizeB < load[a] / sizeA ? b : a;
             load[m] += w.load;
-            members[m].holds(nodes[random.nextInt(nodes.length)].alreadyOpen(w, m));
+            members[m].adopt(nodes[random.nextInt(nodes.length)].alreadyOpen(w, m));
         }
-        new FaultSchedule(this, RandomStreams.random(seed, 0, 1)).plan();
+        new FaultPlan(this, RandomStreams.random(seed, 0, 1)).planAll();
     }
 
     /** Where a connection may stand that came before: a group stands at its share of the members, two at least. */
@@ -183,6 +184,7 @@
         return (int) Long.remainderUnsigned(RandomStreams.of(seed, w.group, 7 + random.nextInt(places)), listedAtStart);
     }
 
+    /** The scenario that is run. */
     public Scenario scenario() {
         return scenario;
     }
