--- a/emulator/src/main/java/tulipshed/emulator/loadtest/LoadTestRun.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/LoadTestRun.java
@@ -1,415 +1,330 @@
 package tulipshed.emulator.loadtest;
 
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.Iterator;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import java.util.Queue;
 import java.util.Set;
-import java.util.TreeMap;
-import java.util.concurrent.ConcurrentLinkedQueue;
-import java.util.stream.Stream;
-import tulipshed.decision.api.EndpointStatus;
-import tulipshed.demo.StubDiscovery;
 import tulipshed.emulator.model.RunResult;
 import tulipshed.emulator.model.World;
 import tulipshed.emulator.policy.ClientRequest;
 import tulipshed.emulator.policy.EndpointListing;
-import tulipshed.emulator.scenario.FaultKinds;
-import tulipshed.emulator.scenario.FaultSettings;
-import tulipshed.emulator.scenario.RequestClassSettings;
 import tulipshed.emulator.scenario.Scenario;
 import tulipshed.time.SystemWallClock;
 
 /**
- * A scenario with real nodes: each a process, with the world's clients, members and discovery on loopback sockets. The
- * world's clock is the machine's. Clients come when the scenario says, however slow answers are, and their waits count from
- * the moment at which they wanted to ask, so that a stalled node cannot hide its stall.
+ * Runs a scenario with real nodes in real time: each node is a process, and the clients, endpoints and discovery of the
+ * emulated world speak to it over loopback sockets. Load is open: clients arrive when the scenario says, however slow
+ * responses are, and their timeouts count from the moment at which they wanted to send their request, so that a stalled
+ * node cannot hide its stall (coordinated omission).
  */
 public final class LoadTestRun implements AutoCloseable {
-    /** Where in a try's number its node's stands. */
-    static final int TRIES = 40;
+    private static final long SELECT_TIMEOUT_MS = 1;
+    private static final double MILLIS_PER_SECOND = 1000;
+    private static final double MICROS_PER_MILLI = 1000;
 
-    private static final int MOST_NODES = 16;
-    private static final int MOST_MEMBERS = 3200;
-    /** Over links each node has a listener of its own for each member. */
-    private static final int MOST_LINKED_MEMBERS = 500;
+    private final Selector selector = Selector.open();
+    private final RunClock clock = new RunClock();
+    private final NodeProcesses processes;
+    private final DiscoveryStubs discoveries = new DiscoveryStubs(clock);
+    private final LinkEvents linkEvents = new LinkEvents(clock);
 
-    private static final int MOST_CLIENTS = 5000;
-    private static final double LONGEST_MS = 600_000;
-    private static final double START_MS = 30_000;
+    /** Null where nodes reach endpoints and discovery directly. */
+    private final NetworkPaths paths;
 
-    private final Selector selector = Selector.open();
-    private final Path folder = Files.createTempDirectory("tulipshed-load");
-    /** One for each node, so that it is known what each has been told. */
-    private final List<StubDiscovery> discoveries = new ArrayList<>();
-
-    private final Queue<Told> told = new ConcurrentLinkedQueue<>();
-    private final List<SocketEndpoint> members = new ArrayList<>();
-    /** By node: where it reaches each member. */
-    private final List<List<InetSocketAddress>> addresses = new ArrayList<>();
-
-    private final NetworkPaths ways;
-    private final Queue<Heard> heard = new ConcurrentLinkedQueue<>();
-    private final Map<Object, ClientRequest> carried = new HashMap<>();
-    private final Set<String> left = new HashSet<>();
-    private final List<Double> served = new ArrayList<>();
-    private final List<NodeProcess> processes = new ArrayList<>();
+    private final OpenRequests requests;
+    private final Map<Object, ClientRequest> requestByConnection = new HashMap<>();
     private final List<SocketNode> nodes = new ArrayList<>();
-    private final Map<String, ClientRequest> tries = new HashMap<>();
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private final Map<Integer, Double> started = new HashMap<>();
-    private final World world;
-    private volatile long beganNs;
-    private double latestMs;
-    private double behindMs;
-    private boolean dayIsOver;
-    private long strangers;
-    private long accepted;
+    private final List<SocketEndpoint> endpoints = new ArrayList<>();
+    private final Map<String, Integer> endpointIndexById = new HashMap<>();
+
+    /** By endpoint, its start in milliseconds of the run as the list last said. */
+    private final Map<Integer, Double> listedStartMs = new HashMap<>();
+
+    /** By node, then endpoint: where the node reaches it. */
+    private final List<List<InetSocketAddress>> endpointAddresses = new ArrayList<>();
 
-    private record Told(int node, double atMs, Map<String, String> states) {}
+    /** By second: the priority weight of the connections that were served. */
+    private final List<Double> servedWeight = new ArrayList<>();
 
-    /** What the node's end of a link to a member shows: a first line, or an end where that is null. */
-    private record Heard(double atMs, int member, Object connection, String line) {}
+    private final World world;
+    private double maxTurnMs;
+    private boolean isScenarioOver;
+    private long unknownFirstLines;
+    private long acceptedConnections;
 
-    /** Sets everything up but the nodes, which reach members and discovery straight. */
-    public LoadTestRun(Scenario s, long seed, Path jar) throws IOException {
-        this(s, seed, jar, null);
+    /** Sets up a run whose nodes reach endpoints and discovery directly; otherwise as the other constructor. */
+    public LoadTestRun(Scenario scenario, long seed, Path jar) throws IOException {
+        this(scenario, seed, jar, null);
     }
 
     /**
-     * Sets everything up but the nodes.
+     * Sets up everything but starts no node.
      *
-     * @param ways of nodes to members and discovery; null for straight ones
-     * @throws IllegalArgumentException where the scenario is larger than one machine's sockets are good for
+     * @param jar the jar of the node
+     * @param paths the links of nodes to endpoints and discovery; null for direct connections
+     * @throws IllegalArgumentException if the scenario is too large for the sockets of one machine
+     * @throws IOException if sockets or files cannot be created
      */
-    public LoadTestRun(Scenario s, long seed, Path jar, NetworkPaths ways) throws IOException {
-        this.ways = ways;
-        if (s.nodes().count() > MOST_NODES
-                || s.durationMs() > LONGEST_MS
-                || s.clients().establishedAtStart() > MOST_CLIENTS
-                || s.clients().arrivalsPerSecond()
-                                * s.requestClasses().stream()
-                                        .mapToDouble(RequestClassSettings::connectionLifetimeMs)
-                                        .max()
-                                        .orElse(0)
-                                / 1000
-                        > MOST_CLIENTS) {
-            throw new IllegalArgumentException("over sockets, at most " + MOST_NODES + " nodes, " + MOST_CLIENTS
-                    + " connections and " + Math.round(LONGEST_MS / 1000) + " s");
-        }
-        if (s.clients().establishedAtStart() > 0 && !s.clients().connectAtStart()) {
-            throw new IllegalArgumentException("over sockets, set clients.come-at-first to 1");
-        }
-        s.faults().stream()
-                .map(FaultSettings::kind)
-                .filter(FaultKinds.INJECTED_BY_LINKS::contains)
-                .findFirst()
-                .ifPresent(k -> {
-                    throw new IllegalArgumentException(k + " needs links between the parts: emulator fault-injection");
-                });
-        if (s.faults().stream().anyMatch(t -> t.kind().equals("node-clocks"))) {
-            throw new IllegalArgumentException(
-                    "node-clocks: processes have this machine's clock, the emulator has others");
-        }
-        world = new World(s, seed, 1, (id, number, w) -> {
-            NodeProcess p = process(jar, number);
-            SocketNode n = new SocketNode(id, number, w, this, p);
-            nodes.add(n);
-            return n;
+    public LoadTestRun(Scenario scenario, long seed, Path jar, NetworkPaths paths) throws IOException {
+        this.paths = paths;
+        LoadTestLimits.check(scenario);
+        requests = new OpenRequests(paths != null);
+        processes = new NodeProcesses(jar);
+        world = new World(scenario, seed, 1, (id, number, emulatedWorld) -> {
+            SocketNode node = new SocketNode(id, number, emulatedWorld, this, processes.add());
+            nodes.add(node);
+            return node;
         });
-        int mostMembers = ways == null ? MOST_MEMBERS : MOST_LINKED_MEMBERS;
-        if (world.memberCount() > mostMembers) {
-            throw new IllegalArgumentException("over sockets, at most " + mostMembers + " members");
-        }
-        Descriptors.require(s, world.memberCount());
-        for (int m = 0; m < world.memberCount(); m++) {
-            members.add(new SocketEndpoint(m, this, selector));
-            numbers.put(world.nameOf(m), m);
-        }
-        for (int n = 0; n < processes.size(); n++) {
-            List<InetSocketAddress> reached = new ArrayList<>();
-            for (int m = 0; m < members.size(); m++) {
-                InetSocketAddress there = members.get(m).address();
-                reached.add(ways == null ? there : ways.openLinkToEndpoint(n, m, there, new EndpointLinkObserver(m)));
-            }
-            addresses.add(reached);
-            int number = n;
-            StubDiscovery d = new StubDiscovery();
-            d.onNotified(states -> told.add(new Told(number, sinceMs(), states)));
-            discoveries.add(d);
-        }
-        world.atStart().listings().forEach(this::news);
-        world.onNews(this::news);
-        NodeConfigWriter writer = new NodeConfigWriter();
-        for (int n = 0; n < processes.size(); n++) {
-            Files.createDirectories(folder.resolve("tmp-" + n));
-            InetSocketAddress discovery = discoveries.get(n).address();
-            writer.write(
-                    folder.resolve("node-" + n + ".json"),
-                    s,
-                    n,
-                    seed * 1000 + n,
-                    processes.get(n).address(),
-                    ways == null ? discovery : ways.openLinkToDiscovery(n, discovery),
-                    world.atStart(),
-                    addresses.get(n));
+        LoadTestLimits.checkEndpoints(world.memberCount(), paths != null);
+        Descriptors.require(scenario, world.memberCount());
+        openEndpoints();
+        for (int node = 0; node < processes.size(); node++) {
+            openLinksToEndpoints(node);
+            discoveries.addNode();
         }
+        world.atStart().listings().forEach(this::publish);
+        world.onNews(this::publish);
+        writeConfigurations(scenario, seed);
     }
 
-    /** One member's, at the node's end; called on the links' thread. */
-    private final class EndpointLinkObserver implements LinkObserver {
-        private final int member;
-
-        EndpointLinkObserver(int member) {
-            this.member = member;
-        }
-
-        @Override
-        public void onFirstLine(Object connection, String line) {
-            heard.add(new Heard(sinceMs(), member, connection, line));
-        }
-
-        @Override
-        public void onClosed(Object connection) {
-            heard.add(new Heard(sinceMs(), member, connection, null));
+    private void openEndpoints() throws IOException {
+        for (int endpoint = 0; endpoint < world.memberCount(); endpoint++) {
+            endpoints.add(new SocketEndpoint(endpoint, this, selector));
+            endpointIndexById.put(world.nameOf(endpoint), endpoint);
         }
     }
 
-    /** What was seen at the nodes' ends of links, in the order in which it was seen. */
-    private void hearLinks() {
-        for (Heard h = heard.poll(); h != null; h = heard.poll()) {
-            if (h.line() == null) {
-                ClientRequest over = carried.remove(h.connection());
-                if (over != null) {
-                    nodeOf(over).rules().attemptEnded(h.atMs(), over.observed, "over at the node's end");
-                }
-                continue;
-            }
-            String[] words = h.line().split(" ");
-            ClientRequest t = words.length > 1 ? tries.get(words[1]) : null;
-            if (t != null) {
-                carried.put(h.connection(), t);
-                nodeOf(t).rules().attemptStarted(h.atMs(), t.observed, h.member());
-            } else if (words.length < 2 || !hasLeft(words[1])) {
-                stranger();
-            }
+    private void openLinksToEndpoints(int node) throws IOException {
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        for (int endpoint = 0; endpoint < endpoints.size(); endpoint++) {
+            InetSocketAddress target = endpoints.get(endpoint).address();
+            addresses.add(
+                    paths == null
+                            ? target
+                            : paths.openLinkToEndpoint(node, endpoint, target, linkEvents.observerOf(endpoint)));
         }
+        endpointAddresses.add(addresses);
     }
 
-    private NodeProcess process(Path jar, int number) {
-        try {
-            processes.add(
-                    new NodeProcess(jar, folder.resolve("node-" + number + ".json"), folder.resolve("tmp-" + number)));
-            return processes.get(number);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+    private void writeConfigurations(Scenario scenario, long seed) throws IOException {
+        NodeConfigWriter writer = new NodeConfigWriter();
+        for (int node = 0; node < processes.size(); node++) {
+            Files.createDirectories(processes.temporaryFolder(node));
+            InetSocketAddress discovery = discoveries.address(node);
+            writer.write(
+                    processes.configurationFile(node),
+                    scenario,
+                    node,
+                    seed * 1000 + node,
+                    processes.get(node).address(),
+                    paths == null ? discovery : paths.openLinkToDiscovery(node, discovery),
+                    world.atStart(),
+                    endpointAddresses.get(node));
         }
     }
 
-    private void news(EndpointListing n) {
-        var e = n.entry().info();
-        long startedMs = startedEpochMs(n, new SystemWallClock().now().epochMs(), nowMs());
-        String state =
-                e.status() == EndpointStatus.REMOVED ? "DELETED" : e.status().name();
-        for (int d = 0; d < discoveries.size(); d++) {
-            discoveries
-                    .get(d)
-                    .publish(
-                            e.id(),
-                            addresses.get(d).get(n.endpoint()),
-                            e.zone(),
-                            e.machineType(),
-                            state,
-                            e.weight(),
-                            startedMs);
+    /** Publishes an entry of the endpoint list to all nodes. */
+    private void publish(EndpointListing listing) {
+        long startedEpochMs =
+                startedEpochMs(listing, new SystemWallClock().now().epochMs(), nowMs());
+        for (int node = 0; node < endpointAddresses.size(); node++) {
+            InetSocketAddress address = endpointAddresses.get(node).get(listing.endpoint());
+            discoveries.publish(node, listing, address, startedEpochMs);
         }
-        if (pushed()) {
-            // What a node's agent has counts as told, whether the node asks it or not.
+        if (world.scenario().discovery().pushed()) {
+            // What a node's agent has counts as notified, whether the node polls it or not.
             for (int node = 0; node < nodes.size(); node++) {
-                nodes.get(node).rules().endpointNotified(heardMs(node, nowMs()), n.endpoint(), n.isServing());
+                double notifiedMs = receivableAtMs(node, nowMs());
+                nodes.get(node).rules().endpointNotified(notifiedMs, listing.endpoint(), listing.isServing());
             }
         }
-        if (e.startedUs() > 0) {
-            started.put(n.endpoint(), e.startedUs() / 1000.0);
+        long startedUs = listing.entry().info().startedUs();
+        if (startedUs > 0) {
+            listedStartMs.put(listing.endpoint(), startedUs / MICROS_PER_MILLI);
         }
     }
 
-    /** When a member says that it started, by its own clock; 0 where it does not say. */
-    static long startedEpochMs(EndpointListing n, long epochMs, double nowMs) {
-        long startedUs = n.entry().info().startedUs();
-        return startedUs == 0 ? 0 : epochMs - Math.round(nowMs - startedUs / 1000.0 - n.clockOffsetMs());
-    }
-
-    /** What answers have told meanwhile, in the order in which they were given. */
-    private void hear() {
-        for (Told t = told.poll(); t != null; t = told.poll()) {
-            Told now = t;
-            double atMs = heardMs(t.node(), t.atMs());
-            t.states()
-                    .forEach((id, state) -> nodes.get(now.node())
-                            .rules()
-                            .endpointNotified(atMs, numbers.get(id), state.equals("SERVING")));
-        }
+    /** The start of an endpoint as its own clock shows it, in milliseconds since the epoch; 0 where it reports none. */
+    static long startedEpochMs(EndpointListing listing, long epochMs, double nowMs) {
+        long startedUs = listing.entry().info().startedUs();
+        return startedUs == 0
+                ? 0
+                : epochMs - Math.round(nowMs - startedUs / MICROS_PER_MILLI - listing.clockOffsetMs());
     }
 
-    private boolean pushed() {
-        return world.scenario().discovery().pushed();
+    /** When a node can receive what discovery, or its agent, has at a moment. */
+    private double receivableAtMs(int node, double sentAtMs) {
+        return paths == null ? sentAtMs : paths.receivableAtMs(node, sentAtMs);
     }
 
-    /** From when on a node can hear what discovery or its agent has at that moment of the day. */
-    private double heardMs(int node, double atMs) {
-        return ways == null ? atMs : ways.receivableAtMs(node, atMs);
-    }
-
-    private double sinceMs() {
-        return beganNs == 0 ? 0 : (System.nanoTime() - beganNs) / 1e6;
-    }
-
-    /** Milliseconds of the day, which has not begun below 0. */
+    /** Milliseconds of the run, 0 before its start. */
     double nowMs() {
-        return Math.max(latestMs, sinceMs());
+        return clock.nowMs();
     }
 
-    /** Starts the nodes, plays the day and tells what came of it. */
+    /**
+     * Starts the nodes, runs the scenario and returns what came of it.
+     *
+     * @throws IOException if the nodes do not accept clients in time, or sockets fail
+     */
     public RunResult run() throws IOException, InterruptedException {
-        processes.forEach(NodeProcess::start);
-        UsageSampler sampler =
-                new UsageSampler(processes.stream().map(NodeProcess::usage).toList());
+        processes.startAll();
+        UsageSampler sampler = new UsageSampler(processes.usage());
         try {
-            return play();
+            return runScenario();
         } finally {
             sampler.close();
         }
     }
 
-    private RunResult play() throws IOException, InterruptedException {
-        long waitFrom = System.nanoTime();
-        while (!processes.stream().allMatch(NodeProcess::serves)) {
-            if ((System.nanoTime() - waitFrom) / 1e6 > START_MS) {
-                throw new IOException("the nodes do not serve after " + START_MS + " ms");
-            }
-            Thread.sleep(20);
-        }
-        List<Double> lightUp = new ArrayList<>();
-        world.onDark(ms -> {
-            discoveries.forEach(d -> d.setUnavailable(true));
-            lightUp.add(nowMs() + ms);
+    private RunResult runScenario() throws IOException, InterruptedException {
+        processes.awaitServing();
+        List<Double> outageEndsMs = new ArrayList<>();
+        world.onDark(durationMs -> {
+            discoveries.setUnavailable(true);
+            outageEndsMs.add(nowMs() + durationMs);
         });
-        beganNs = System.nanoTime();
-        double window = world.scenario().network().minLatencyMs();
+        clock.start();
+        double windowMs = world.scenario().network().minLatencyMs();
         while (nowMs() < world.scenario().durationMs()) {
-            double before = nowMs();
-            hearAll(before);
-            while (served.size() <= before / 1000) {
-                served.add(nodes.stream().mapToDouble(n -> n.wellServed(before)).sum());
-            }
-            world.runUntil(Math.max(0, before - window));
-            if (!lightUp.isEmpty() && before >= lightUp.get(0)) {
-                lightUp.remove(0);
-                discoveries.forEach(d -> d.setUnavailable(false));
+            double turnMs = nowMs();
+            handleNotifications(turnMs);
+            sampleServedWeight(turnMs);
+            world.runUntil(Math.max(0, turnMs - windowMs));
+            if (!outageEndsMs.isEmpty() && turnMs >= outageEndsMs.get(0)) {
+                outageEndsMs.remove(0);
+                discoveries.setUnavailable(false);
             }
             handleSockets();
-            behindMs = Math.max(behindMs, nowMs() - before);
+            maxTurnMs = Math.max(maxTurnMs, nowMs() - turnMs);
+        }
+        double elapsedSeconds = clock.elapsedSeconds();
+        awaitResponses();
+        return world.finish(elapsedSeconds);
+    }
+
+    private void sampleServedWeight(double nowMs) {
+        while (servedWeight.size() <= nowMs / MILLIS_PER_SECOND) {
+            servedWeight.add(
+                    nodes.stream().mapToDouble(node -> node.servedWeight(nowMs)).sum());
+        }
+    }
+
+    /** Handles what nodes were notified of, and what links showed, up to a moment of the run. */
+    private void handleNotifications(double nowMs) {
+        clock.advanceTo(nowMs);
+        if (paths != null) {
+            paths.advanceTo(nowMs);
+        }
+        for (var next = discoveries.pollNotification(); next != null; next = discoveries.pollNotification()) {
+            handleNotification(next);
+        }
+        handleLinkEvents();
+    }
+
+    private void handleNotification(DiscoveryStubs.ListNotification notification) {
+        double notifiedMs = receivableAtMs(notification.node(), notification.sentAtMs());
+        SocketNode node = nodes.get(notification.node());
+        notification
+                .statusById()
+                .forEach((id, status) ->
+                        node.rules().endpointNotified(notifiedMs, endpointIndexById.get(id), status.equals("SERVING")));
+    }
+
+    private void handleLinkEvents() {
+        for (var next = linkEvents.poll(); next != null; next = linkEvents.poll()) {
+            if (next.isEnd()) {
+                handleConnectionEnd(next);
+            } else {
+                handleFirstLine(next);
+            }
+        }
+    }
+
+    private void handleConnectionEnd(LinkEvents.LinkEvent event) {
+        ClientRequest request = requestByConnection.remove(event.connection());
+        if (request != null) {
+            nodeOf(request).rules().attemptEnded(event.atMs(), request.observed, "over at the node's end");
         }
-        double tookS = (System.nanoTime() - beganNs) / 1e9;
-        awaitAnswers();
-        return world.finish(tookS);
     }
 
-    /** What was told and seen until a moment of the day. */
-    private void hearAll(double atMs) {
-        latestMs = atMs;
-        if (ways != null) {
-            ways.advanceTo(atMs);
+    private void handleFirstLine(LinkEvents.LinkEvent event) {
+        String[] words = event.firstLine().split(" ");
+        ClientRequest request = words.length > 1 ? requests.find(words[1]) : null;
+        if (request != null) {
+            requestByConnection.put(event.connection(), request);
+            nodeOf(request).rules().attemptStarted(event.atMs(), request.observed, event.endpoint());
+        } else if (words.length < 2 || !requests.isClosed(words[1])) {
+            countUnknownFirstLine();
         }
-        hear();
-        hearLinks();
     }
 
     private void handleSockets() throws IOException {
-        selector.select(1);
+        selector.select(SELECT_TIMEOUT_MS);
         // What can be read now may follow from what links have shown meanwhile, never the other way round.
-        hearLinks();
+        handleLinkEvents();
         Set<SelectionKey> ready = selector.selectedKeys();
-        for (Iterator<SelectionKey> i = ready.iterator(); i.hasNext(); ) {
-            SelectionKey k = i.next();
-            i.remove();
-            if (k.attachment() instanceof SocketEndpoint m) {
-                m.accept();
-            } else if (k.isValid()) {
-                ((LineConnection) k.attachment()).ready();
+        for (Iterator<SelectionKey> keys = ready.iterator(); keys.hasNext(); ) {
+            SelectionKey key = keys.next();
+            keys.remove();
+            if (key.attachment() instanceof SocketEndpoint endpoint) {
+                endpoint.accept();
+            } else if (key.isValid()) {
+                ((LineConnection) key.attachment()).ready();
             }
         }
     }
 
     /**
-     * Waits for the answers that are owed at the day's end, and holds the rules until then. The emulated members have stopped
-     * and say nothing more, so that a node has to answer by its own clock; nothing is counted of that time.
+     * Waits for the responses that are pending at the end of the scenario, and checks the invariants until then. The
+     * emulated endpoints have stopped and say nothing more, so that a node has to answer by its own clock; nothing is
+     * counted of that time.
      */
-    private void awaitAnswers() throws IOException {
-        dayIsOver = true;
-        while (tries.values().stream().anyMatch(t -> t.answerPending)) {
-            double before = nowMs();
-            hearAll(before);
+    private void awaitResponses() throws IOException {
+        isScenarioOver = true;
+        while (requests.isAnyPending()) {
+            double turnMs = nowMs();
+            handleNotifications(turnMs);
             handleSockets();
-            List.copyOf(tries.values()).forEach(t -> nodeOf(t).judgeOverdue(t));
-            behindMs = Math.max(behindMs, nowMs() - before);
+            requests.copy().forEach(request -> nodeOf(request).judgeOverdue(request));
+            maxTurnMs = Math.max(maxTurnMs, nowMs() - turnMs);
         }
     }
 
-    /** By second of the day: the share of what clients wanted that stood and brought their lines back; NaN where nothing was wanted. */
+    /**
+     * By second of the run, the share of client demand whose connections were established and returned their lines, from
+     * 0 to 1; NaN where there was no demand.
+     */
     public List<Double> servedBySecond() {
-        List<Double> out = new ArrayList<>();
-        for (int i = 0; i < served.size(); i++) {
-            double wanted = world.wanted(i);
-            out.add(wanted > 0 ? Math.min(1, served.get(i) / wanted) : Double.NaN);
+        List<Double> shares = new ArrayList<>();
+        for (int second = 0; second < servedWeight.size(); second++) {
+            double wanted = world.wanted(second);
+            shares.add(wanted > 0 ? Math.min(1, servedWeight.get(second) / wanted) : Double.NaN);
         }
-        return out;
+        return shares;
     }
 
-    /** Nodes whose process ended although nobody had ended it. */
+    /** The nodes whose process ended although nothing had ended it. */
     public List<Integer> crashed() {
-        List<Integer> out = new ArrayList<>();
-        for (int n = 0; n < processes.size(); n++) {
-            if (processes.get(n).crashed()) {
-                out.add(n);
-            }
-        }
-        return out;
+        return processes.crashed();
     }
 
-    /** What the nodes' processes said between two moments of the day, on one clock. */
+    /** What the nodes logged between two moments of the run, in milliseconds, in the order of time. */
     public List<String> said(double fromMs, double toMs) {
-        Map<Double, String> lines = new TreeMap<>();
-        for (int n = 0; n < processes.size(); n++) {
-            for (NodeProcess.Line l : processes.get(n).said()) {
-                double atMs = (l.atNs() - beganNs) / 1e6;
-                if (atMs >= fromMs && atMs <= toMs) {
-                    lines.merge(
-                            atMs,
-                            String.format(Locale.ROOT, "%9.1f ms  n%d  %s", atMs, n, l.text()),
-                            (a, b) -> a + "\n" + b);
-                }
-            }
-        }
-        return List.copyOf(lines.values());
+        return processes.logged(fromMs, toMs, clock);
     }
 
-    /** Where the nodes listen. */
+    /** The addresses at which the nodes listen. */
     public List<String> nodes() {
-        return processes.stream().map(p -> p.address().toString()).toList();
+        return processes.addresses();
     }
 
     /** Suspends the process of a node (SIGSTOP), or resumes it (SIGCONT). */
@@ -417,103 +332,83 @@
         nodes.get(node).setSuspended(suspended);
     }
 
-    boolean linked() {
-        return ways != null;
-    }
-
-    /** Whether only what was asked before the day's end is still waited for. */
-    boolean dayIsOver() {
-        return dayIsOver;
-    }
-
-    boolean runs(int member) {
-        return world.runs(member);
-    }
-
-    /** Whether it is the id of a client that has gone. */
-    boolean hasLeft(String id) {
-        return left.contains(id);
-    }
-
-    /** The longest turn of the tool itself: waits of less than this may be its own doing. */
+    /** The longest turn of the tool's own loop, in milliseconds: delays below this may be its own. */
     public double behindMs() {
-        return behindMs;
+        return maxTurnMs;
     }
 
-    /** First lines at members that no client of ours has sent. */
+    /** How many first lines at endpoints belong to no request that a client has sent. */
     public long strangers() {
-        return strangers;
+        return unknownFirstLines;
     }
 
-    /** What each node used so far; final once the run is over. */
+    /** What each node has used so far; final once the run is over. */
     public List<NodeUsage> usage() {
-        List<NodeUsage> out = new ArrayList<>();
-        for (int n = 0; n < nodes.size(); n++) {
-            out.add(nodes.get(n).usage(discoveries.get(n).listBytes()));
+        List<NodeUsage> usage = new ArrayList<>();
+        for (int node = 0; node < nodes.size(); node++) {
+            usage.add(nodes.get(node).usage(discoveries.listBytes(node)));
         }
-        return out;
+        return usage;
     }
 
-    /** Connections that endpoints accepted, with those on which no request came: health checks, and attempts given up. */
+    /** Connections that endpoints accepted, also those without a request: health checks, and attempts given up. */
     public long acceptedConnections() {
-        return accepted;
+        return acceptedConnections;
     }
 
-    // ---- For nodes and members ----
-
-    LineConnection connect(InetSocketAddress to, LineConnection.Listener listener) throws IOException {
-        return LineConnection.connect(selector, to, listener);
+    /** Whether nodes reach endpoints over links, which show when an attempt starts and ends. */
+    boolean hasLinks() {
+        return paths != null;
     }
 
-    /** What a client's connection is called on the wire; it is found by it until it is forgotten. */
-    String remember(ClientRequest t) {
-        String id = id(t);
-        tries.put(id, t);
-        return id;
+    /** Whether the scenario has ended, so that only pending responses are waited for. */
+    boolean isScenarioOver() {
+        return isScenarioOver;
     }
 
-    void forget(ClientRequest t) {
-        if (tries.remove(id(t)) != null && ways != null) {
-            left.add(id(t));
-        }
+    /** Whether an emulated endpoint runs. */
+    boolean isRunning(int endpoint) {
+        return world.runs(endpoint);
     }
 
-    private static String id(ClientRequest t) {
-        return String.format("%016x", t.id);
+    /** Opens a client's connection. */
+    LineConnection connect(InetSocketAddress to, LineConnection.Listener listener) throws IOException {
+        return LineConnection.connect(selector, to, listener);
     }
 
-    ClientRequest find(String id) {
-        return tries.get(id);
+    /** The requests that are open. */
+    OpenRequests requests() {
+        return requests;
     }
 
-    SocketNode nodeOf(ClientRequest t) {
-        return nodes.get((int) (t.id >>> TRIES));
+    /** The node to which a request was sent. */
+    SocketNode nodeOf(ClientRequest request) {
+        return nodes.get(OpenRequests.nodeIndex(request));
     }
 
-    double toldStartMs(int member) {
-        return started.getOrDefault(member, Double.NaN);
+    /** The start of an endpoint as the list last said, in milliseconds of the run; NaN where it said none. */
+    double listedStartMs(int endpoint) {
+        return listedStartMs.getOrDefault(endpoint, Double.NaN);
     }
 
-    void accepted() {
-        accepted++;
+    /** Counts a connection that an endpoint accepted. */
+    void countAcceptedConnection() {
+        acceptedConnections++;
     }
 
-    void stranger() {
-        strangers++;
+    /** Counts a first line that belongs to no request. */
+    void countUnknownFirstLine() {
+        unknownFirstLines++;
     }
 
     @Override
     public void close() throws IOException {
-        processes.forEach(p -> p.stop(false));
-        discoveries.forEach(StubDiscovery::close);
-        for (SocketEndpoint m : members) {
-            m.close();
+        processes.stopAll();
+        discoveries.close();
+        for (SocketEndpoint endpoint : endpoints) {
+            endpoint.close();
         }
         selector.close();
-        try (Stream<Path> files = Files.walk(folder)) {
-            for (Path p : files.sorted(Comparator.reverseOrder()).toList()) {
-                Files.deleteIfExists(p);
-            }
-        }
+        processes.deleteFolder();
     }
 }
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketEndpoint.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketEndpoint.java
@@ -34,7 +34,7 @@
 
     void accept() throws IOException {
         for (SocketChannel c = listener.accept(); c != null; c = listener.accept()) {
-            run.accepted();
+            run.countAcceptedConnection();
             // Its key in the selector keeps it.
             new LineConnection(c, selector, new Arriving(), true);
         }
@@ -51,20 +51,21 @@
         @Override
         public void line(LineConnection wire, String line) {
             if (flow != null) {
-                if (!flow.ended && line.startsWith("M ") && run.runs(number)) {
+                if (!flow.ended && line.startsWith("M ") && run.isRunning(number)) {
                     wire.say(line);
                 }
                 return;
             }
             String[] words = line.split(" ");
-            ClientRequest t = words.length > 1 && words[0].equals("OPEN") ? run.find(words[1]) : null;
-            if (t == null && words.length > 1 && run.hasLeft(words[1])) {
+            ClientRequest t =
+                    words.length > 1 && words[0].equals("OPEN") ? run.requests().find(words[1]) : null;
+            if (t == null && words.length > 1 && run.requests().isClosed(words[1])) {
                 // Held on its way for longer than its client waited.
                 wire.reset();
                 return;
             }
             if (t == null) {
-                run.stranger();
+                run.countUnknownFirstLine();
                 wire.sayAndClose("SYNTAX");
                 return;
             }
--- a/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/SocketNode.java
@@ -167,12 +167,12 @@
         private void drop() {
             here = false;
             standing.remove(this);
-            run.forget(t);
+            run.requests().remove(t);
         }
     }
 
     /** Worth of the connections that stand and on which no line of the client's is waited for any more than it should. */
-    double wellServed(double atMs) {
+    double servedWeight(double atMs) {
         double sum = 0;
         for (Client c : standing) {
             if (!(atMs - c.saidMs > HEARS_MS)) {
@@ -195,7 +195,7 @@
 
     /** What follows from an event for clients and figures, unless the day is over: then it is judged and no more. */
     private void goOn(Runnable what) {
-        if (!run.dayIsOver()) {
+        if (!run.isScenarioOver()) {
             what.run();
         }
     }
@@ -222,7 +222,7 @@
     @Override
     protected void asked(ClientDemand w, double graceMs) {
         ClientRequest t = new ClientRequest(
-                (long) number << LoadTestRun.TRIES | ++lastTry,
+                (long) number << OpenRequests.NODE_INDEX_SHIFT | ++lastTry,
                 w,
                 nowMs,
                 nowMs + graceMs,
@@ -237,7 +237,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException("the tool cannot open a client's connection", e);
         }
-        String id = run.remember(t);
+        String id = run.requests().add(t);
         var s = world.scenario();
         c.wire.say(String.format(
                 Locale.ROOT,
@@ -284,12 +284,12 @@
     EmulatedAttempt dialled(ClientRequest t, int member, LineConnection wire) {
         now();
         endpointConnections++;
-        EmulatedAttempt f = new EmulatedAttempt(t, member, nowMs, run.toldStartMs(member), this);
+        EmulatedAttempt f = new EmulatedAttempt(t, member, nowMs, run.listedStartMs(member), this);
         t.attemptCount++;
         // One that was held on its way comes after the one that took its place.
         t.attempt = t.attempt == null || t.attempt.ended ? f : t.attempt;
         f.policyState = wire;
-        if (!run.linked()) {
+        if (!run.hasLinks()) {
             rules.attemptStarted(nowMs, t.observed, member);
         }
         count(tally().attempts);
@@ -309,7 +309,7 @@
 
     /** Over links, the node's end of them says when a flow is over. */
     private void over(EmulatedAttempt f, String how) {
-        if (!run.linked()) {
+        if (!run.hasLinks()) {
             rules.attemptEnded(nowMs, f.request.observed, how);
         }
     }
