--- a/emulator/src/main/java/tulipshed/emulator/faultinjection/FaultInjectionEvaluation.java
+++ b/emulator/src/main/java/tulipshed/emulator/faultinjection/FaultInjectionEvaluation.java
@@ -78,7 +78,7 @@
                 breaches.add(String.format(
                         Locale.ROOT,
                         "rule %s broken %d times, first at %.0f ms: %s",
-                        invariant.name().toLowerCase(Locale.ROOT).replace('_', '-'),
+                        invariant.label(),
                         report.violations(invariant),
                         atMs,
                         report.firstViolation(invariant).what()));
