--- a/example/tulipshed.sexp
+++ b/example/tulipshed.sexp
@@ -12,7 +12,7 @@
 (define large (>= (default containers 0) 40))
 (define (from-yard yard) (prefix (default berth "") yard))
 
-; What a request is: the first rule that holds counts, and what it does not give stays as it came.
+; What a transaction is: the first rule that holds counts, and what it does not give stays as it came.
 (classify
   (rule night-gate (when (and (= class "gate-status") (in-network source-address ["10.20.0.0/16" "127.0.0.0/8"])
                               (= front "quic")))
@@ -25,7 +25,7 @@
 (pool new-halls (where (and (= member.kind "std-4c") (>= member.age-ms 0))))
 (pool near (where (= member.zone "decin")))
 
-; Which pool a request is held to: the first route that holds counts; without one, any member may serve it.
+; Which pool a transaction is held to: the first route that holds counts; without one, any member may serve it.
 (route large-bookings
   (when (and (= class "slot-booking") large))
   (to (new-halls (below 0.4) (back 0.6)) old-halls))
--- a/node/src/main/java/tulipshed/decision/Balancer.java
+++ b/node/src/main/java/tulipshed/decision/Balancer.java
@@ -14,7 +14,7 @@
 import tulipshed.decision.api.RequestClass;
 
 /**
- * Dispatches the events of one balancer to its parts. A new connection is admitted by
+ * Dispatches the events of one balancer, which api/BalancerApi.java declares, to its parts. A new connection is admitted by
  * its tenant's token bucket, which refills by the pending depth, and goes to the less loaded of two random ready
  * endpoints; docs/design.md explains the deviations from that. Confined to the event-loop thread.
  */
