--- a/node/src/main/java/tulipshed/decision/ActiveSettings.java
+++ b/node/src/main/java/tulipshed/decision/ActiveSettings.java
@@ -4,13 +4,13 @@
 import tulipshed.decision.api.RequestClass;
 import tulipshed.decision.api.Tenant;
 
-/** The settings in force, shared by the parts of a balancer, and sums over them. Confined to the event-loop thread. */
+/** The current settings, shared by the components of a balancer, and totals derived from them. Confined to the event-loop thread. */
 final class ActiveSettings {
     private BalancerSettings current;
     private double shortestMessageLatencyObjectiveMs;
     private double quotaPerS;
     private double quotaConnectionsPerNode;
-    /** Share of the balancer's quotas that this instance has, from 0 to 1. */
+    /** This instance's share of the balancer's quotas, from 0 to 1. */
     double quotaShare = 1;
 
     ActiveSettings(BalancerSettings settings) {
@@ -42,12 +42,12 @@
         return shortestMessageLatencyObjectiveMs;
     }
 
-    /** The tenants' quotas of new connections for all balancers together, in connections a second. */
+    /** The tenants' quotas of new connections for all balancers together, in connections per second. */
     double quotaPerS() {
         return quotaPerS;
     }
 
-    /** This balancer's even part of the tenants' quotas of open connections. */
+    /** This balancer's equal share of the tenants' quotas of open connections. */
     double quotaConnectionsPerNode() {
         return quotaConnectionsPerNode;
     }
--- a/node/src/main/java/tulipshed/decision/AdmissionControl.java
+++ b/node/src/main/java/tulipshed/decision/AdmissionControl.java
@@ -4,14 +4,18 @@
 import java.util.SplittableRandom;
 import tulipshed.decision.api.Tenant;
 
-/** Admits new connections by the pool's depth, a token bucket per tenant and load shedding. Confined to the event loop. */
+/**
+ * Admits new connections by one token bucket per tenant and by load shedding. The refill rate of the buckets falls with the
+ * depth of the pool. Confined to the event-loop thread.
+ */
 final class AdmissionControl {
-    /** Result for an admitted request; any other result is the time after which to retry. */
+    /** Result for an admitted request; any other result is the Retry-After time in microseconds. */
     static final long ADMITTED = -1;
 
-    private static final double CURVE_START_SHARES = 4; // equal shares of the quota at which the curve starts
-    private static final double DEFAULT_QUOTA_PER_S = 1; // new connections of a tenant whose quota is not stated
-    private static final int EJECTION_CHECKS_PER_REQUEST = 4; // faster than endpoints become ejected
+    private static final double CURVE_START_FACTOR =
+            4; // start of the curve, as a multiple of a tenant's equal quota share
+    private static final double DEFAULT_QUOTA_PER_S = 1; // for a tenant without a quota
+    private static final int EJECTION_CHECKS_PER_REQUEST = 4; // expires ejections faster than new ones are made
     private static final String NO_TENANT = "";
 
     private final ActiveSettings settings;
@@ -39,10 +43,10 @@
     void settingsChanged() {
         int tenants = Math.max(1, settings.current().tenants().size());
         double perTenant = settings.quotaPerS() / settings.current().nodeCount() / tenants;
-        curve = new DepthCurve((perTenant > 0 ? perTenant : DEFAULT_QUOTA_PER_S) * CURVE_START_SHARES);
+        curve = new DepthCurve((perTenant > 0 ? perTenant : DEFAULT_QUOTA_PER_S) * CURVE_START_FACTOR);
     }
 
-    /** {@link #ADMITTED}, or the time in microseconds after which the rejected client may retry. */
+    /** Returns {@link #ADMITTED}, or the time in microseconds after which the rejected client may retry. */
     long admit(long nowUs, RequestState request) {
         if (request.arrival.exemptFromAdmission()) {
             return ADMITTED;
@@ -54,8 +58,8 @@
         if (!shed && bucket.tryTake(nowUs, ratePerS)) {
             return ADMITTED;
         }
-        rejectionLog.rejected(nowUs, pool);
-        return shed ? OutlierEjection.LATE_EJECTION_US : bucket.untilTokenUs(ratePerS);
+        rejectionLog.logRejection(nowUs, pool);
+        return shed ? OutlierEjection.LATENCY_EJECTION_US : bucket.untilTokenUs(ratePerS);
     }
 
     /** Buckets are stored by name, as reconfiguration may change a tenant's index. */
@@ -70,7 +74,10 @@
         return Hashing.uniform(request.randomHash, 0, 0) < probability;
     }
 
-    /** Pending share, or ejected share if more: endpoints overloaded by established connections have none pending. */
+    /**
+     * The depth of a pool: the used share of its pending limits, or the ejected share of its endpoints if that is greater,
+     * as endpoints overloaded by established connections have no pending attempts.
+     */
     private double depth(long nowUs, EndpointPool pool) {
         for (int i = 0; i < EJECTION_CHECKS_PER_REQUEST && !pool.ejected.isEmpty(); i++) {
             EndpointState endpoint = pool.ejected.get(random.nextInt(pool.ejected.size()));
@@ -79,7 +86,7 @@
             }
         }
         double pending = pool.pendingLimits == 0 ? 0 : (double) pool.pending / pool.pendingLimits;
-        // 2 more, so that one known endpoint is not all of them
-        return Math.max(pending, pool.ejected.size() / (pool.known.size() + 2.0));
+        // adding 2 keeps the ejection of a single observed endpoint from raising the depth to 1
+        return Math.max(pending, pool.ejected.size() / (pool.observed.size() + 2.0));
     }
 }
--- a/node/src/main/java/tulipshed/decision/Balancer.java
+++ b/node/src/main/java/tulipshed/decision/Balancer.java
@@ -14,15 +14,15 @@
 import tulipshed.decision.api.RequestClass;
 
 /**
- * Dispatches the events of one balancer, which api/BalancerApi.java declares, to its parts. A new connection is admitted by
- * its tenant's token bucket, which refills by the pending depth, and goes to the less loaded of two random ready
- * endpoints; docs/design.md explains the deviations from that. Confined to the event-loop thread.
+ * Dispatches the events of {@link BalancerApi} to the components of one balancer. A new connection is admitted by its
+ * tenant's token bucket, whose refill rate falls with the share of pending attempts, and goes to the less loaded of two
+ * random ready endpoints; docs/design.md explains the deviations from that. Confined to the event-loop thread.
  */
 public final class Balancer implements BalancerApi {
     static final double LOAD_GAIN = 0.1; // weight of a reported load in the average of its class
-    private static final double UNREPORTED_LOAD = 1; // of a connection where no load is reported
-    private static final double MIN_QUOTA_SHARE = 1e-9; // not 0: an unlimited rate stays unlimited
-    private static final long READY_RETRY_US = 200_000; // between searches for a ready endpoint
+    private static final double UNREPORTED_LOAD = 1; // of a connection without a load report
+    private static final double MIN_QUOTA_SHARE = 1e-9; // not 0, so that an infinite rate stays infinite
+    private static final long READY_RETRY_US = 200_000; // delay between searches for a ready endpoint
 
     private final BalancerActions actions;
     final BalancerParts parts;
@@ -37,8 +37,8 @@
     }
 
     @Override
-    public void reconfigure(long nowUs, BalancerSettings changed) {
-        parts.settings.replace(changed);
+    public void reconfigure(long nowUs, BalancerSettings settings) {
+        parts.settings.replace(settings);
         parts.admission.settingsChanged();
     }
 
@@ -138,7 +138,7 @@
         } else if (request.pool.ready.isEmpty() && request.deadlineUs - nowUs > 2 * READY_RETRY_US) {
             resumeAfter(request, READY_RETRY_US);
         } else {
-            rejectOrFail(request, OutlierEjection.LATENCY_VALID_US); // a later retry finds new reports
+            rejectOrFail(request, OutlierEjection.LATENCY_VALID_US); // by then latencies have been reported anew
         }
     }
 
@@ -176,14 +176,14 @@
     }
 
     @Override
-    public void attemptEstablished(long nowUs, long requestId, int attempt, long tookUs) {
+    public void attemptEstablished(long nowUs, long requestId, int attempt, long setupTimeUs) {
         RequestState request = requests.withEndpoint(requestId);
         if (request != null && !request.established) {
             request.establish();
             request.endpoint.clearFailures();
             PendingLimit.increase(request.endpoint);
             request.joinGroup(nowUs, parts.groupAffinity.groupOf(nowUs, request));
-            parts.placement.recordSetup(request, tookUs);
+            parts.placement.recordSetup(request, setupTimeUs);
         }
     }
 
@@ -230,9 +230,9 @@
         if (outcome == Outcome.RESET && request.established && endpoint.isReady()) {
             parts.loadShedder.recordDrop(nowUs);
         }
-        parts.endpoints.forgetIfUnused(endpoint);
+        parts.endpoints.discardIfUnused(endpoint);
     }
 
     @Override
-    public void peerMessageReceived(long nowUs, int from, byte[] body) {}
+    public void peerMessageReceived(long nowUs, int senderIndex, byte[] body) {}
 }
--- a/node/src/main/java/tulipshed/decision/BalancerParts.java
+++ b/node/src/main/java/tulipshed/decision/BalancerParts.java
@@ -4,12 +4,12 @@
 import tulipshed.decision.api.BalancerActions;
 import tulipshed.decision.api.BalancerSettings;
 
-/** The parts of one balancer, connected to each other. Takes no decision. Confined to the event-loop thread. */
+/** Creates and connects the components of one balancer; makes no decisions itself. Confined to the event-loop thread. */
 final class BalancerParts {
     final ActiveSettings settings;
     final EndpointPools pools = new EndpointPools(GroupAffinity.MEMORY_US);
     final RequestTable requests;
-    /** Averages of the reported loads by request class, in microseconds of work a second. */
+    /** Averages of the reported loads by request class, in microseconds of work per second. */
     final MovingAverages averageLoads = new MovingAverages(Balancer.LOAD_GAIN);
 
     final EndpointTable endpoints;
@@ -23,7 +23,7 @@
     final Placement placement;
     final DiscoveryPolling discoveryPolling;
 
-    /** Creates the parts, which share one source of random numbers with this seed. */
+    /** Creates the components, which share one random number generator with this seed. */
     BalancerParts(BalancerSettings initialSettings, long seed, BalancerActions actions) {
         SplittableRandom random = new SplittableRandom(seed);
         requests = new RequestTable(Hashing.mix(seed));
@@ -51,7 +51,7 @@
         discoveryPolling = new DiscoveryPolling(settings, random, actions);
     }
 
-    /** Describes the sums over endpoints that differ from a recount; empty if none does. For tests. */
+    /** Describes the maintained sums over endpoints that differ from a recount; empty if none does. For tests. */
     String inconsistencies() {
         return pools.inconsistencies(endpoints.all());
     }
--- a/node/src/main/java/tulipshed/decision/ConnectionGroup.java
+++ b/node/src/main/java/tulipshed/decision/ConnectionGroup.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Connections that share work on each endpoint that holds any of them. Confined to the event-loop thread. */
+/** An affinity group: connections that share work when they are on the same endpoint. Confined to the event-loop thread. */
 final class ConnectionGroup {
     final long hash;
     final DecayingCounter arrivals;
@@ -18,9 +18,9 @@
     /**
      * Creates an empty group.
      *
-     * @param name name of the group, from which its preferred endpoints follow
+     * @param name name of the group, which determines its preferred endpoints
      * @param preferredCount initial capacity for preferred endpoints
-     * @param memoryUs time constant of the count of arrivals, in microseconds
+     * @param memoryUs time constant of the arrival count, in microseconds
      */
     ConnectionGroup(String name, int preferredCount, double memoryUs) {
         hash = Hashing.of(name);
@@ -28,7 +28,7 @@
         preferred = new EndpointState[preferredCount];
     }
 
-    /** The preferred endpoint of this rank in this version of the pool, or null if it is not computed. */
+    /** The preferred endpoint of this rank for this version of the pool, or null if it is not computed. */
     EndpointState preferred(int rank, int poolVersion) {
         if (preferredVersion != poolVersion) {
             Arrays.fill(preferred, null);
--- a/node/src/main/java/tulipshed/decision/ConnectionReuse.java
+++ b/node/src/main/java/tulipshed/decision/ConnectionReuse.java
@@ -3,50 +3,53 @@
 import java.util.ArrayDeque;
 import tulipshed.decision.api.Outcome;
 
-/** Prefers endpoints with an idle connection where opening one has a price. Confined to the event-loop thread. */
+/** Prefers endpoints with an idle connection where opening a connection has a price. Confined to the event-loop thread. */
 final class ConnectionReuse {
-    private static final double MAX_MEAN_LOADS = 1; // load up to which an endpoint is preferred
+    private static final double MAX_LOAD_FACTOR = 1; // of the mean load; a more loaded endpoint is not preferred
 
     private final ActiveSettings settings;
     private final EndpointEvaluator evaluator;
-    private final ArrayDeque<IdleConnection> latestFirst = new ArrayDeque<>();
+    private final ArrayDeque<IdleConnection> newestFirst = new ArrayDeque<>();
 
     ConnectionReuse(ActiveSettings settings, EndpointEvaluator evaluator) {
         this.settings = settings;
         this.evaluator = evaluator;
     }
 
-    /** Keeps the connection of an attempt that has ended, if it can be reused. */
+    /** Stores the connection of an attempt that has ended as idle, if it can be reused. */
     void recordEnded(long nowUs, EndpointState endpoint, Outcome outcome, boolean established) {
         boolean reusable = outcome == Outcome.OK || (outcome == Outcome.CANCELLED && established);
         if (settings.current().prices().handshake() > 0 && reusable) {
-            while (!latestFirst.isEmpty() && latestFirst.peekLast().untilUs() <= nowUs) {
-                latestFirst.pollLast();
+            while (!newestFirst.isEmpty() && newestFirst.peekLast().expiresAtUs() <= nowUs) {
+                newestFirst.pollLast();
             }
-            long untilUs = nowUs + settings.current().limits().connectionIdleUs();
-            latestFirst.addFirst(new IdleConnection(endpoint, untilUs));
+            long expiresAtUs = nowUs + settings.current().limits().connectionIdleUs();
+            newestFirst.addFirst(new IdleConnection(endpoint, expiresAtUs));
         }
     }
 
-    /** Takes the latest idle connection to a usable endpoint, the same zone first where crossing has a price; or null. */
+    /**
+     * Removes the newest idle connection to a usable endpoint and returns the endpoint, or null if there is none. Endpoints
+     * in the same zone come first where crossing zones has a price.
+     */
     EndpointState take(long nowUs, RequestState request) {
-        double meanLoad = MAX_MEAN_LOADS * request.pool.load / request.pool.nonZeroWeight();
+        double meanLoad = MAX_LOAD_FACTOR * request.pool.load / request.pool.nonZeroWeight();
         boolean zoneMatters = settings.current().prices().crossZone() > 0;
         IdleConnection found = null;
-        for (IdleConnection candidate : latestFirst) {
+        for (IdleConnection candidate : newestFirst) {
             EndpointState endpoint = candidate.endpoint();
-            boolean nearer = found == null
+            boolean isBetter = found == null
                     || (zoneMatters
                             && endpoint.isInSameZone()
                             && !found.endpoint().isInSameZone());
-            if (nearer
-                    && nowUs < candidate.untilUs()
+            if (isBetter
+                    && nowUs < candidate.expiresAtUs()
                     && evaluator.isUsable(nowUs, request, endpoint)
                     && endpoint.openLoad <= meanLoad * endpoint.weight()) {
                 found = candidate;
             }
         }
-        latestFirst.removeLastOccurrence(found); // the oldest of equal ones
+        newestFirst.removeLastOccurrence(found); // the oldest of equal connections
         return found == null ? null : found.endpoint();
     }
 }
--- a/node/src/main/java/tulipshed/decision/DecayingCounter.java
+++ b/node/src/main/java/tulipshed/decision/DecayingCounter.java
@@ -1,12 +1,12 @@
 package tulipshed.decision;
 
-/** A count of events that decays exponentially with time. Confined to the event-loop thread. */
+/** An event count that decays exponentially with time. Confined to the event-loop thread. */
 final class DecayingCounter {
     private final double timeConstantUs;
     private double count;
     private long updatedAtUs;
 
-    /** Creates a count of zero; it falls to 1/e of its value within the time constant, in microseconds. */
+    /** Creates a count of zero that falls to 1/e of its value within {@code timeConstantUs}, in microseconds. */
     DecayingCounter(double timeConstantUs) {
         this.timeConstantUs = timeConstantUs;
     }
--- a/node/src/main/java/tulipshed/decision/EndpointEvaluator.java
+++ b/node/src/main/java/tulipshed/decision/EndpointEvaluator.java
@@ -1,13 +1,13 @@
 package tulipshed.decision;
 
-/** Whether an endpoint may be sent a request, and how loaded it would be with it. */
+/** Evaluates whether an endpoint may receive a request, and how loaded it would be with it. */
 record EndpointEvaluator(OutlierEjection outlierEjection, SlowStart slowStart) {
-    /** Whether an endpoint is eligible and may be sent this request. */
+    /** Whether an endpoint is eligible and may receive this request. */
     boolean isUsable(long nowUs, RequestState request, EndpointState endpoint) {
         return outlierEjection.isEligible(nowUs, request.pool, endpoint) && isPermitted(nowUs, request, endpoint);
     }
 
-    /** Whether an endpoint may be sent this request, be it ejected or not. */
+    /** Whether an endpoint may receive this request, regardless of ejection. */
     boolean isPermitted(long nowUs, RequestState request, EndpointState endpoint) {
         return endpoint != request.previousEndpoint
                 && RetryPolicy.permitsEndpoint(request, endpoint)
@@ -15,13 +15,13 @@
     }
 
     /** The endpoint that would be less loaded with the request; the first if both are equal. */
-    static EndpointState lighter(RequestState request, EndpointState first, EndpointState second) {
+    static EndpointState lessLoaded(RequestState request, EndpointState first, EndpointState second) {
         return loadPerWeight(request, second) < loadPerWeight(request, first) ? second : first;
     }
 
     /**
-     * The request counts for no more than an even load: large endpoints would win nearly always at low load. An endpoint
-     * that the list has not named yet has no weight and counts as full.
+     * The load per weight with the request added. The request counts for at most an even load, as large endpoints would
+     * otherwise be chosen nearly always at low load. An endpoint that is not listed yet has no weight and counts as full.
      */
     private static double loadPerWeight(RequestState request, EndpointState endpoint) {
         boolean hasWeight = endpoint.machineType != null;
@@ -29,7 +29,8 @@
             return Double.MAX_VALUE;
         }
         double evenLoad = endpoint.weight() * request.pool.load / request.pool.nonZeroWeight();
-        // A new endpoint counts as evenly loaded, as all balancers would otherwise send to it at once.
+        // An endpoint that is new to this balancer counts as evenly loaded; otherwise all balancers would choose it at
+        // once.
         double load = endpoint.hasEstablished ? endpoint.openLoad : Math.max(endpoint.openLoad, evenLoad);
         return (load + Math.min(request.load, evenLoad)) / endpoint.weight();
     }
--- a/node/src/main/java/tulipshed/decision/EndpointPool.java
+++ b/node/src/main/java/tulipshed/decision/EndpointPool.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * The endpoints among which one is chosen, either all of them or those of a named pool: sums over the ready endpoints,
- * the connection groups and the tenants' token buckets. An endpoint counts the same in each of its pools, whichever
- * pool a connection came by. Confined to the event-loop thread.
+ * A pool of endpoints to choose from, either all endpoints or those of a named pool: sums over the ready endpoints, the
+ * connection groups and the tenants' token buckets. An endpoint's connections count in each of its pools, regardless of
+ * the pool of their requests. Confined to the event-loop thread.
  */
 final class EndpointPool {
     private static final int SETS_PER_POOL = 5;
@@ -25,15 +25,15 @@
     /** Ready endpoints to which slow start applies. */
     final IndexedSet<EndpointState> warming;
     /** Ready endpoints that are ejected or hold a connection of this balancer. */
-    final IndexedSet<EndpointState> known;
+    final IndexedSet<EndpointState> observed;
 
     /** Connection groups by name. */
     final Map<String, ConnectionGroup> groups = new HashMap<>();
-    /** Token buckets by the tenant's name. */
+    /** Token buckets by tenant name. */
     final Map<String, TokenBucket> buckets = new HashMap<>();
 
     final DecayingCounter groupArrivals;
-    /** IDs of the endpoints that belong to a named pool; empty for the pool of all endpoints. */
+    /** IDs of the endpoints of a named pool; empty for the pool of all endpoints. */
     Set<String> endpointIds = Set.of();
 
     double weight;
@@ -51,7 +51,7 @@
      * Creates an empty pool.
      *
      * @param id unique number of the pool, from 0 on
-     * @param groupMemoryUs time constant of the counts of group arrivals, in microseconds
+     * @param groupMemoryUs time constant of the group arrival counts, in microseconds
      */
     EndpointPool(int id, double groupMemoryUs) {
         this.id = id;
@@ -59,7 +59,7 @@
         sameZone = new IndexedSet<>(SETS_PER_POOL * id + 1);
         ejected = new IndexedSet<>(SETS_PER_POOL * id + 2);
         warming = new IndexedSet<>(SETS_PER_POOL * id + 3);
-        known = new IndexedSet<>(SETS_PER_POOL * id + 4);
+        observed = new IndexedSet<>(SETS_PER_POOL * id + 4);
         groupArrivals = new DecayingCounter(groupMemoryUs);
     }
 
@@ -70,7 +70,7 @@
                 .sum();
     }
 
-    /** The weight of the ready endpoints, at least a very small one, to divide by. */
+    /** The weight of the ready endpoints, bounded below by a small positive value so that it can be a divisor. */
     double nonZeroWeight() {
         return Math.max(MIN_WEIGHT, weight);
     }
@@ -89,16 +89,16 @@
         addToSums(endpoint, -1);
     }
 
-    /** Updates whether the balancer has own observations of an endpoint. */
-    void updateKnown(EndpointState endpoint) {
+    /** Updates whether the balancer has its own observations of an endpoint. */
+    void updateObserved(EndpointState endpoint) {
         if (ready.has(endpoint) && (endpoint.open > 0 || ejected.has(endpoint))) {
-            known.add(endpoint);
+            observed.add(endpoint);
         } else {
-            known.remove(endpoint);
+            observed.remove(endpoint);
         }
     }
 
-    /** Adds an endpoint to this named pool, in the state that it has in the pool of all endpoints. */
+    /** Adds an endpoint to this named pool, with its state in the pool of all endpoints. */
     void addEndpoint(EndpointState endpoint) {
         EndpointPool allEndpoints = endpoint.pools.get(0);
         endpoint.pools.add(this);
@@ -136,10 +136,10 @@
         pendingLimits += sign * endpoint.pendingLimit;
         open += sign * endpoint.open;
         version++;
-        updateKnown(endpoint);
+        updateObserved(endpoint);
     }
 
-    /** Describes the sums that differ from a recount over the given endpoints; empty if none does. For tests. */
+    /** Describes the maintained sums if any differs from a recount over the given endpoints; otherwise empty. For tests. */
     String inconsistencies(Collection<EndpointState> endpoints) {
         int[] counts = new int[5];
         double loadSum = 0;
--- a/node/src/main/java/tulipshed/decision/EndpointPools.java
+++ b/node/src/main/java/tulipshed/decision/EndpointPools.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The pool of all endpoints and the named pools, with their endpoints. Confined to the event-loop thread. */
+/** The pool of all endpoints and the named pools. Confined to the event-loop thread. */
 final class EndpointPools {
     private static final int FIRST_NAMED_ID = 2;
 
@@ -14,19 +14,19 @@
     private final Map<String, EndpointPool> namedPools = new LinkedHashMap<>();
     private final double groupMemoryUs;
 
-    /** Creates the pool of all endpoints; {@code groupMemoryUs} is the time constant of the counts of group arrivals. */
+    /** Creates the pool of all endpoints; {@code groupMemoryUs} is the time constant of the group arrival counts. */
     EndpointPools(double groupMemoryUs) {
         this.groupMemoryUs = groupMemoryUs;
         allEndpoints = new EndpointPool(0, groupMemoryUs);
         emptyPool = new EndpointPool(1, groupMemoryUs);
     }
 
-    /** The pool of this name, an empty one if it does not exist, and that of all endpoints for null. */
+    /** The pool of this name, or an empty pool if it does not exist; for null, the pool of all endpoints. */
     EndpointPool get(String name) {
         return name == null ? allEndpoints : namedPools.getOrDefault(name, emptyPool);
     }
 
-    /** Replaces the named pools; {@code endpoints} are assigned to the pools that name them. */
+    /** Replaces the named pools and assigns {@code endpoints} to the pools that list them. */
     void replacePools(Map<String, Set<String>> endpointIdsByPool, Collection<EndpointState> endpoints) {
         namedPools.forEach((name, pool) -> pool.endpointIds = endpointIdsByPool.getOrDefault(name, Set.of()));
         endpointIdsByPool.forEach((name, endpointIds) ->
@@ -36,7 +36,7 @@
         namedPools.keySet().retainAll(endpointIdsByPool.keySet());
     }
 
-    /** Adds an endpoint to the named pools that name it, and removes it from the others. */
+    /** Adds an endpoint to the named pools that list it, and removes it from the other named pools. */
     void assign(EndpointState endpoint) {
         for (EndpointPool pool : namedPools.values()) {
             boolean belongs = pool.endpointIds.contains(endpoint.name);
@@ -60,7 +60,7 @@
         return namedPools.values().stream().anyMatch(pool -> pool.id == id);
     }
 
-    /** Describes the sums of all pools that differ from a recount; empty if none does. For tests. */
+    /** Describes the maintained sums of all pools that differ from a recount; empty if none does. For tests. */
     String inconsistencies(Collection<EndpointState> endpoints) {
         StringBuilder found = new StringBuilder(allEndpoints.inconsistencies(endpoints));
         namedPools.values().forEach(pool -> found.append(pool.inconsistencies(endpoints)));
--- a/node/src/main/java/tulipshed/decision/EndpointState.java
+++ b/node/src/main/java/tulipshed/decision/EndpointState.java
@@ -5,8 +5,8 @@
 import tulipshed.decision.api.EndpointInfo;
 
 /**
- * One endpoint as one balancer sees it, with the pools it belongs to. Its mutators keep the sums and sets of all these
- * pools consistent; what to change is decided elsewhere. Confined to the event-loop thread.
+ * One balancer's state of an endpoint, including the pools it belongs to. Its mutators keep the sums and sets of these
+ * pools consistent; this class makes no decisions. Confined to the event-loop thread.
  */
 final class EndpointState extends IndexedSet.Item {
     private static final long NEVER_US = Long.MIN_VALUE / 2;
@@ -17,22 +17,22 @@
     /** The pool of all endpoints first, then the named pools. */
     final List<EndpointPool> pools = new ArrayList<>(1);
 
-    /** Null until the endpoint list names this endpoint. */
+    /** Null until the endpoint is listed. */
     MachineType machineType;
-    /** Capacity by the endpoint list, before the speed of the machine type is applied. */
+    /** Relative capacity from the endpoint list, before the speed of the machine type is applied. */
     double size;
-    /** The latest entry of the endpoint list; null until it names this endpoint. */
+    /** The latest entry of the endpoint list; null until the endpoint is listed. */
     EndpointInfo info;
     /** Whether it was removed from the endpoint list; it is retained while connections are open. */
     boolean removed;
 
-    /** Attempts allowed to be pending at a time, at least 1. */
+    /** Maximum number of pending attempts, at least 1. */
     int pendingLimit;
     /** Attempts started and not yet established. */
     int pending;
     /** Attempts and connections that have not ended. */
     int open;
-    /** Sum of the loads of the open connections, in microseconds of work a second or counted as 1 each. */
+    /** Sum of the loads of the open connections, in microseconds of work per second, or counted as 1 each without load reports. */
     double openLoad;
     /** Whether a connection of this balancer was established since the process started. */
     boolean hasEstablished;
@@ -44,7 +44,7 @@
     /** Whether the current ejection is due to failures. */
     boolean failing;
 
-    /** Connections that slow start permits at present. */
+    /** Connections that slow start currently permits. */
     double slowStartCredit;
 
     long slowStartCreditAtUs;
@@ -61,32 +61,32 @@
         pools.add(allEndpoints);
     }
 
-    /** Relative capacity: listed size times estimated speed. */
+    /** Relative capacity: size times estimated speed. */
     double weight() {
         return size * machineType.speed;
     }
 
-    /** Relative capacity by the latest entry of the list, which may fall with the load, times estimated speed. */
+    /** Weight in the latest list entry, which may fall with the load, times estimated speed. */
     double listedWeight() {
         return info.weight() * machineType.speed;
     }
 
-    /** Whether the endpoint list names it, serving or draining. */
+    /** Whether it is on the endpoint list, serving or draining. */
     boolean isListed() {
         return info != null && !removed;
     }
 
-    /** Whether the endpoint list says that it serves. */
+    /** Whether it is listed as serving. */
     boolean isReady() {
         return pools.get(0).ready.has(this);
     }
 
-    /** Time since the process started, in microseconds; {@code Long.MAX_VALUE} if it has run for long. */
+    /** Time since the process started, in microseconds; {@code Long.MAX_VALUE} if it started long ago. */
     long ageUs(long nowUs) {
         return info.startedUs() == 0 ? Long.MAX_VALUE : nowUs - info.startedUs();
     }
 
-    /** Forgets what was observed of the process, and sets the pending limit. */
+    /** Clears the observations of the process, and sets the pending limit. */
     void resetObservations(int limit) {
         setPendingLimit(limit);
         hasEstablished = info.startedUs() == 0;
@@ -97,7 +97,7 @@
         latencyReportedAtUs = NEVER_US;
     }
 
-    /** Forgets the failures, and ends an ejection due to them. */
+    /** Clears the recorded failures, and ends an ejection due to them. */
     void clearFailures() {
         consecutiveEjections = 0;
         consecutiveFailures = 0;
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Takes a reported load, unless it is NaN. */
+    /** Records a reported load, unless it is NaN. */
     void setReportedLoad(long nowUs, double load) {
         if (!Double.isNaN(load)) {
             reportedLoad = load;
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Takes another size and machine type and updates the summed sizes of the ready endpoints. */
+    /** Sets the machine type and the size, and updates the summed sizes of the ready endpoints. */
     void setCapacity(MachineType newMachineType, double newSize) {
         addReadySize(-1);
         machineType = newMachineType;
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Adds it to the ready endpoints of its pools, if it is not ready yet. */
+    /** Adds the endpoint to the ready endpoints of its pools, unless it is ready. */
     void markReady() {
         if (!isReady()) {
             for (EndpointPool pool : pools) {
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Removes it from the ready endpoints of its pools and ends its ejection. */
+    /** Removes the endpoint from the ready endpoints of its pools and ends its ejection. */
     void markUnready() {
         if (isReady()) {
             clearEjection();
@@ -186,16 +186,16 @@
         }
     }
 
-    /** Adds it to the ejected endpoints of its pools, until this time or that of an earlier ejection if later. */
+    /** Ejects the endpoint until this time, or until the end of an earlier ejection if that is later. */
     void markEjected(long untilUs) {
         ejectedUntilUs = Math.max(ejectedUntilUs, untilUs);
         for (EndpointPool pool : pools) {
             pool.ejected.add(this);
-            pool.updateKnown(this);
+            pool.updateObserved(this);
         }
     }
 
-    /** Records that its ejection is due to failures. */
+    /** Records that the ejection is due to failures. */
     void markFailing() {
         int added = failing ? 0 : 1;
         failing = true;
@@ -204,7 +204,7 @@
         }
     }
 
-    /** Ends its ejection, whatever the cause. */
+    /** Ends the ejection, regardless of its cause. */
     void clearEjection() {
         ejectedUntilUs = 0;
         int removedFailing = failing ? 1 : 0;
@@ -212,11 +212,11 @@
         for (EndpointPool pool : pools) {
             pool.ejected.remove(this);
             pool.failing -= removedFailing;
-            pool.updateKnown(this);
+            pool.updateObserved(this);
         }
     }
 
-    /** Sets how many attempts may be pending. */
+    /** Sets the maximum number of pending attempts. */
     void setPendingLimit(int limit) {
         int added = limit - pendingLimit;
         if (isReady()) {
@@ -227,7 +227,7 @@
         pendingLimit = limit;
     }
 
-    /** Adds to its open connections, pending attempts and load, and to the sums of its pools. */
+    /** Adds to the open connections, the pending attempts and the load, and to the sums of the pools. */
     void adjustLoad(int addedOpen, int addedPending, double addedLoad) {
         open += addedOpen;
         pending += addedPending;
@@ -239,7 +239,7 @@
                 pool.pending += addedPending;
                 pool.load += addedLoad;
             }
-            pool.updateKnown(this);
+            pool.updateObserved(this);
         }
     }
 }
--- a/node/src/main/java/tulipshed/decision/EndpointTable.java
+++ b/node/src/main/java/tulipshed/decision/EndpointTable.java
@@ -13,7 +13,7 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
 
-/** The known endpoints and machine types, by the endpoint list. Confined to the event-loop thread. */
+/** The endpoints and machine types known from the endpoint list and from adopted connections. Confined to the event-loop thread. */
 final class EndpointTable {
     private final EndpointPools pools;
     private final EndpointUpdater updater;
@@ -31,12 +31,12 @@
         this.initialPendingLimit = initialPendingLimit;
     }
 
-    /** The endpoint of this name, or null if it is not known. */
+    /** The endpoint of this name, or null if it is unknown. */
     EndpointState get(String name) {
         return endpoints.get(name);
     }
 
-    /** The endpoint of this name, which the list need not name yet. */
+    /** Returns the endpoint of this name, creating it if it is unknown; it need not be listed yet. */
     EndpointState getOrCreate(String name) {
         EndpointState endpoint = endpoints.get(name);
         if (endpoint == null) {
@@ -51,19 +51,19 @@
         return endpoints.values();
     }
 
-    /** Estimates the speeds of the machine types, and with them the weights of this pool and that of all endpoints. */
+    /** Estimates the speeds of the machine types, and updates the weights of this pool and of the pool of all endpoints. */
     void updateWeights(EndpointPool pool, double priorObservations) {
         highestSpeed = MachineType.estimateSpeeds(machineTypes.values(), priorObservations);
         pools.allEndpoints.updateWeight(machineTypes.values());
         pool.updateWeight(machineTypes.values());
     }
 
-    /** A bound for the listed weights of all endpoints, with the highest estimated speed. */
+    /** An upper bound of {@link EndpointState#listedWeight} over all endpoints. */
     double highestWeight() {
         return largestWeight * highestSpeed;
     }
 
-    /** Counts a connection that was open at the start, if the list names its endpoint. */
+    /** Counts an adopted connection for the machine type of its endpoint, if the endpoint is listed. */
     void recordAdoption(EndpointState endpoint) {
         if (endpoint.machineType != null) {
             endpoint.machineType.recordAdoption(machineTypes.values());
@@ -75,7 +75,7 @@
         return listedCount;
     }
 
-    /** Takes a complete list, or changes to it. */
+    /** Applies a complete list, or changes to it. */
     void update(long nowUs, EndpointListKind kind, List<EndpointInfo> entries) {
         if (kind != EndpointListKind.CHANGES) {
             removeAbsent(entries);
@@ -111,11 +111,11 @@
         listedCount -= endpoint.isListed() ? 1 : 0;
         endpoint.markUnready();
         endpoint.removed = true;
-        forgetIfUnused(endpoint);
+        discardIfUnused(endpoint);
     }
 
-    /** Forgets an endpoint that is removed from the list and has no connection open. */
-    void forgetIfUnused(EndpointState endpoint) {
+    /** Discards an endpoint that was removed from the list and has no open connections. */
+    void discardIfUnused(EndpointState endpoint) {
         if (endpoint.removed && endpoint.open == 0) {
             endpoints.remove(endpoint.name);
         }
--- a/node/src/main/java/tulipshed/decision/EndpointUpdater.java
+++ b/node/src/main/java/tulipshed/decision/EndpointUpdater.java
@@ -4,11 +4,11 @@
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.WeightSemantics;
 
-/** Updates an endpoint's readiness, capacity and process from its entry of the endpoint list. */
+/** Applies an entry of the endpoint list to the state of its endpoint. */
 record EndpointUpdater(ActiveSettings settings, SlowStart slowStart) {
     static final double MIN_SIZE = 1e-6;
 
-    /** Takes an entry; observations of a previous process do not apply to a new one. */
+    /** Applies an entry; observations of a previous process are discarded when a new one has started. */
     void update(long nowUs, EndpointState endpoint, MachineType machineType, EndpointInfo info) {
         boolean newProcess = endpoint.info == null || endpoint.info.startedUs() != info.startedUs();
         endpoint.info = info;
@@ -26,7 +26,7 @@
         slowStart.beginIfRecentlyStarted(nowUs, endpoint);
     }
 
-    /** A live weight falls with the load, so the largest weight seen of the machine type is taken as the size. */
+    /** A live weight falls with the load, so the largest weight listed for the machine type serves as the size. */
     private double size(MachineType machineType, EndpointInfo info) {
         boolean live = settings.current().weightSemantics() == WeightSemantics.LIVE;
         return Math.max(MIN_SIZE, live ? machineType.largestWeight : info.weight());
--- a/node/src/main/java/tulipshed/decision/GroupAffinity.java
+++ b/node/src/main/java/tulipshed/decision/GroupAffinity.java
@@ -3,22 +3,22 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Places the connections of a group on few endpoints; {@code averageLoads} has reported loads by request class. */
+/** Places the connections of a group on few endpoints; {@code averageLoads} holds the reported loads by request class. */
 record GroupAffinity(
         ActiveSettings settings,
         OutlierEjection outlierEjection,
         EndpointEvaluator evaluator,
         MovingAverages averageLoads,
         SplittableRandom random) {
-    /** Time constant of the counts of group arrivals: about the duration of two connections. */
+    /** Time constant of the group arrival counts: about the duration of two connections. */
     static final double MEMORY_US = 60e6;
 
     private static final double PREFERRED_SHARE = 1; // preferred endpoints in proportion to the share of arrivals
     private static final int MIN_PREFERRED = 2; // a choice by load needs two
-    private static final double MAX_EVEN_LOADS = 2; // load up to which an endpoint attracts its groups
-    private static final int MAX_GROUPS = 4096; // remembered before unused ones are forgotten
-    private static final double MIN_ARRIVALS = 0.1; // of a group that is remembered
-    private static final double LOG_BOUND = 1 - 1e-9; // -log(u) is at least 1 - u, but for its rounding
+    private static final double MAX_LOAD_FACTOR = 2; // of the even load, up to which an endpoint attracts its groups
+    private static final int MAX_GROUPS = 4096; // number of groups above which unused ones are discarded
+    private static final double MIN_ARRIVALS = 0.1; // arrival count below which an unused group is discarded
+    private static final double LOG_BOUND = 1 - 1e-9; // -log(u) >= 1 - u; the factor covers the rounding error
 
     /** The group of a request in its pool, or null if it has none. */
     ConnectionGroup groupOf(long nowUs, RequestState request) {
@@ -41,7 +41,7 @@
         EndpointState first = randomHolder(group);
         EndpointState second = averageLoads.isEmpty() ? first : randomHolder(group);
         boolean comparesSecond = second != first && hasGroupCapacity(nowUs, request, second);
-        EndpointState chosen = comparesSecond ? EndpointEvaluator.lighter(request, first, second) : first;
+        EndpointState chosen = comparesSecond ? EndpointEvaluator.lessLoaded(request, first, second) : first;
         return hasGroupCapacity(nowUs, request, chosen) ? chosen : null;
     }
 
@@ -49,29 +49,29 @@
         return group.holders.get(random.nextInt(group.holders.size()));
     }
 
-    /** Where latencies are reported and loads are not, an endpoint attracts its groups until it is ejected. */
+    /** If latencies are reported but loads are not, an endpoint attracts its groups until it is ejected. */
     private boolean hasGroupCapacity(long nowUs, RequestState request, EndpointState endpoint) {
         return evaluator.isUsable(nowUs, request, endpoint)
                 && nowUs >= endpoint.ejectedUntilUs
                 && endpoint.pending < endpoint.pendingLimit
                 && ((outlierEjection.hasLatencyReports() && averageLoads.isEmpty())
-                        || endpoint.openLoad + request.load <= MAX_EVEN_LOADS * evenLoad(request, endpoint));
+                        || endpoint.openLoad + request.load <= MAX_LOAD_FACTOR * evenLoad(request, endpoint));
     }
 
-    /** The endpoint's share of the load by its weight, which only an endpoint that the list named has. */
+    /** The endpoint's share of the load by weight; the endpoint must have been listed. */
     private static double evenLoad(RequestState request, EndpointState endpoint) {
         EndpointPool pool = request.pool;
         return (pool.load + request.load) * endpoint.weight() / pool.nonZeroWeight();
     }
 
-    /** Number of preferred endpoints by Laplace's estimate of the group's share, which is not 0 for an unseen group. */
+    /** Number of preferred endpoints, by an estimate of the group's share with Laplace smoothing for new groups. */
     int preferredCount(long nowUs, EndpointPool pool, ConnectionGroup group) {
         double share = (group.arrivals.at(nowUs) + 1) / (pool.groupArrivals.at(nowUs) + pool.groups.size());
         int count = (int) Math.round(PREFERRED_SHARE * share * pool.ready.size());
         return Math.max(MIN_PREFERRED, Math.min(pool.ready.size(), count));
     }
 
-    /** The preferred endpoint of this rank, by weighted rendezvous hashing, on which all balancers agree. */
+    /** The preferred endpoint of this rank, by weighted rendezvous hashing, so that all balancers compute the same one. */
     EndpointState preferred(EndpointPool pool, ConnectionGroup group, int rank) {
         EndpointState best = group.preferred(rank, pool.version);
         if (best != null) {
--- a/node/src/main/java/tulipshed/decision/HealthCheckComparison.java
+++ b/node/src/main/java/tulipshed/decision/HealthCheckComparison.java
@@ -4,17 +4,17 @@
 import tulipshed.decision.api.BalancerSettings;
 import tulipshed.decision.api.LoadReportSource;
 
-/** Compares two candidates by fresh load reports where health checks are cheap. */
+/** Compares two candidates by current load reports where health checks are cheap. */
 record HealthCheckComparison(
         ActiveSettings settings, EndpointEvaluator evaluator, RequestTable requests, BalancerActions actions) {
     /** Longest wait for the load reports of two candidates, in microseconds. */
     static final long WAIT_US = 150_000;
 
     private static final long REPORT_VALID_US = 1_000_000;
-    private static final double MAX_PRICE = 0.01; // of a health check, for each request
-    private static final int MIN_WAITS_LEFT = 4; // until the deadline
+    private static final double MAX_PRICE = 0.01; // of one health check per request
+    private static final int MIN_WAITS_LEFT = 4; // until the deadline, to start a comparison
 
-    /** Starts the comparison of two candidates, if it is worth its price; returns whether it was started. */
+    /** Starts the comparison of two candidates if it is worth its price; returns whether it was started. */
     boolean start(long nowUs, RequestState request, EndpointState first, EndpointState second) {
         boolean inTime = request.deadlineUs - nowUs > MIN_WAITS_LEFT * WAIT_US;
         if (request.healthChecked || !inTime || !isEnabled()) {
@@ -40,7 +40,7 @@
         return 1;
     }
 
-    /** The less loaded candidate by the reports that arrived, or null if neither is usable any more. */
+    /** Returns the less loaded candidate by the reports that arrived, or null if neither is usable any more. */
     EndpointState finish(long nowUs, RequestState request) {
         EndpointState first = request.firstCandidate;
         EndpointState second = request.secondCandidate;
@@ -53,7 +53,7 @@
         }
         long olderReportUs = Math.min(first.loadReportedAtUs, second.loadReportedAtUs);
         if (nowUs - olderReportUs >= REPORT_VALID_US + WAIT_US) {
-            return EndpointEvaluator.lighter(request, first, second);
+            return EndpointEvaluator.lessLoaded(request, first, second);
         }
         return second.reportedLoad < first.reportedLoad ? second : first;
     }
--- a/node/src/main/java/tulipshed/decision/IdleConnection.java
+++ b/node/src/main/java/tulipshed/decision/IdleConnection.java
@@ -1,4 +1,4 @@
 package tulipshed.decision;
 
-/** An unused connection to an endpoint that stays open until {@code untilUs}, in microseconds. */
-record IdleConnection(EndpointState endpoint, long untilUs) {}
+/** An idle connection to an endpoint, which stays open until {@code expiresAtUs}, in microseconds. */
+record IdleConnection(EndpointState endpoint, long expiresAtUs) {}
--- a/node/src/main/java/tulipshed/decision/IndexedSet.java
+++ b/node/src/main/java/tulipshed/decision/IndexedSet.java
@@ -14,12 +14,12 @@
     private final int id;
     private final List<T> items = new ArrayList<>();
 
-    /** Base class of the items: it keeps their index in each set. */
+    /** Base class of the items, which stores an item's index in each set. */
     abstract static class Item {
         private int[] indexBySet = new int[0];
     }
 
-    /** Creates an empty set with a unique number; items store an index for each number up to their highest. */
+    /** Creates an empty set with a unique ID; an item stores an index for each ID up to the highest of its sets. */
     IndexedSet(int id) {
         this.id = id;
     }
@@ -29,7 +29,7 @@
         return id < indexBySet.length && indexBySet[id] != ABSENT;
     }
 
-    /** Adds an item at the end, unless the set has it. */
+    /** Adds an item at the end, unless it is present. */
     void add(T item) {
         if (!has(item)) {
             Item indexed = item;
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Removes an item, if the set has it; the last item takes its index. */
+    /** Removes an item, if it is present; the last item moves to its index. */
     void remove(T item) {
         if (has(item)) {
             T last = items.remove(items.size() - 1);
@@ -64,7 +64,7 @@
         return items.isEmpty();
     }
 
-    /** The item at this index, from 0 to the size less one. */
+    /** The item at this index, from 0 to {@code size() - 1}. */
     T get(int index) {
         return items.get(index);
     }
--- a/node/src/main/java/tulipshed/decision/MachineType.java
+++ b/node/src/main/java/tulipshed/decision/MachineType.java
@@ -5,16 +5,16 @@
 
 /**
  * One machine type and an estimate of its relative speed. Listed weights need not reflect the speed, so it is estimated
- * from how adopted connections were spread over the types and from connection setup times. Confined to the event-loop
+ * from the distribution of adopted connections over the types and from connection setup times. Confined to the event-loop
  * thread.
  */
 final class MachineType {
     /** Largest weight listed for an endpoint of this type. */
     double largestWeight;
-    /** Relative speed, 1 where nothing was observed. */
+    /** Relative speed; 1 without observations. */
     double speed = 1;
 
-    /** Summed sizes of the ready endpoints by pool number. */
+    /** Summed sizes of the ready endpoints by pool ID. */
     private double[] readySizes = new double[1];
 
     private double adoptedConnections;
@@ -37,7 +37,7 @@
         readySizes[poolId] += size;
     }
 
-    /** Counts a connection adopted at the start; machines that become ready later had no part in these. */
+    /** Counts an adopted connection; machines that become ready later could not have received any. */
     void recordAdoption(Collection<MachineType> all) {
         adoptedConnections++;
         all.forEach(type -> type.readySizeAtAdoption = type.readySizes[0]);
@@ -49,12 +49,12 @@
         setupTime += relativeTime;
     }
 
-    /** Adopted connections, 0 if no endpoint of this type was ready: those at draining ones have no size to compare with. */
+    /** Adopted connections, or 0 if no endpoint of this type was ready, as draining endpoints add no size to compare with. */
     private double informativeAdoptions() {
         return readySizeAtAdoption >= EndpointUpdater.MIN_SIZE ? adoptedConnections : 0;
     }
 
-    /** Connection setups, 0 if all were too short for the clock. */
+    /** Connection setups, or 0 if all were shorter than the clock resolution. */
     private double informativeSetups() {
         return setupTime > 0 ? setups : 0;
     }
@@ -62,18 +62,18 @@
     /**
      * Estimates the speeds of all types and returns the highest.
      *
-     * @param priorObservations number of observations that the assumption of equal speeds counts as
+     * @param priorObservations weight of the prior assumption of equal speeds, as a number of observations
      */
     static double estimateSpeeds(Collection<MachineType> all, double priorObservations) {
         double size = 0;
         double adopted = 0;
         double setups = 0;
-        double time = 0;
+        double totalSetupTime = 0;
         for (MachineType type : all) {
             size += type.readySizeAtAdoption;
             adopted += type.informativeAdoptions();
             setups += type.informativeSetups();
-            time += type.setupTime;
+            totalSetupTime += type.setupTime;
         }
         double highest = 0;
         for (MachineType type : all) {
@@ -81,7 +81,7 @@
             double typeSetups = type.informativeSetups();
             double byAdoptions =
                     typeAdopted > 0 ? Math.log(typeAdopted / adopted * size / type.readySizeAtAdoption) : 0;
-            double bySetups = typeSetups > 0 ? Math.log(typeSetups / setups * time / type.setupTime) : 0;
+            double bySetups = typeSetups > 0 ? Math.log(typeSetups / setups * totalSetupTime / type.setupTime) : 0;
             double observations = typeAdopted + typeSetups + priorObservations;
             type.speed = Math.exp((typeAdopted * byAdoptions + typeSetups * bySetups) / observations);
             highest = Math.max(highest, type.speed);
--- a/node/src/main/java/tulipshed/decision/Migration.java
+++ b/node/src/main/java/tulipshed/decision/Migration.java
@@ -2,16 +2,19 @@
 
 import java.util.SplittableRandom;
 
-/** Which established connections are migrated off an endpoint that they alone keep overloaded. */
+/** Migrates connections off a slow endpoint; as it is ejected, only its established connections keep it overloaded. */
 record Migration(OutlierEjection outlierEjection, SplittableRandom random) {
-    private static final double MIGRATED_SHARE_PER_S = 0.3; // of a late endpoint's connections, over all balancers
+    private static final double MIGRATED_SHARE_PER_S = 0.3; // of the endpoint's connections, over all balancers
 
-    /** Takes a latency; migrates from the second late report in a row, as one may be a pause, and at random. */
+    /**
+     * Records a reported latency and returns whether to migrate its connection. From the second consecutive report above the
+     * objective on, connections are migrated at random; a single such report may be due to a pause.
+     */
     boolean recordLatency(long nowUs, EndpointState endpoint, double latencyMs) {
-        boolean wasLate = outlierEjection.isLate(nowUs, endpoint);
+        boolean exceededBefore = outlierEjection.exceedsLatencyObjective(nowUs, endpoint);
         outlierEjection.recordLatency(nowUs, endpoint, latencyMs);
-        return wasLate
-                && outlierEjection.isLate(nowUs, endpoint)
+        return exceededBefore
+                && outlierEjection.exceedsLatencyObjective(nowUs, endpoint)
                 && random.nextDouble() < MIGRATED_SHARE_PER_S * endpoint.open;
     }
 }
--- a/node/src/main/java/tulipshed/decision/MovingAverages.java
+++ b/node/src/main/java/tulipshed/decision/MovingAverages.java
@@ -8,7 +8,7 @@
     private final Map<String, Double> averages = new HashMap<>();
     private final double gain;
 
-    /** Creates a set without any average; {@code gain} is the weight of each value added, from 0 to 1. */
+    /** Creates an empty set of averages; {@code gain} is the weight of each added value, from 0 to 1. */
     MovingAverages(double gain) {
         this.gain = gain;
     }
@@ -22,7 +22,7 @@
         return averages.getOrDefault(name, absent);
     }
 
-    /** Adds a value, which is the average if it is the first one, and returns the new average. */
+    /** Adds a value and returns the new average; the first value is the initial average. */
     double add(String name, double value) {
         return averages.merge(name, value, (average, added) -> average + (added - average) * gain);
     }
--- a/node/src/main/java/tulipshed/decision/OutlierEjection.java
+++ b/node/src/main/java/tulipshed/decision/OutlierEjection.java
@@ -3,21 +3,21 @@
 import java.util.SplittableRandom;
 import tulipshed.decision.api.Outcome;
 
-/** Ejects endpoints that fail, are full or have late messages. Confined to the event-loop thread. */
+/** Ejects endpoints that fail, are full or exceed the message latency objective. Confined to the event-loop thread. */
 final class OutlierEjection {
-    /** Ejection for late messages; shorter ones make the load oscillate between endpoints. */
-    static final long LATE_EJECTION_US = 8_000_000;
-    /** How long a reported latency is current; reports come once a second. */
+    /** Ejection for high latency; with shorter ejections the load oscillates between endpoints. */
+    static final long LATENCY_EJECTION_US = 8_000_000;
+    /** How long a reported latency is current; it is reported once per second. */
     static final long LATENCY_VALID_US = 1_500_000;
 
     private static final long FULL_EJECTION_US = 500_000; // a full queue drains soon
     private static final long FIRST_FAILURE_EJECTION_US = 2_000_000; // doubled with each consecutive ejection
-    private static final int MAX_DOUBLINGS = 3; // 16 s at most: discovery has removed a dead endpoint by then
+    private static final int MAX_DOUBLINGS = 3; // at most 16 s; by then discovery has removed a failed endpoint
     private static final int MIN_CONSECUTIVE_RESETS = 2; // a single reset is no evidence of a fault
-    private static final long FAILURE_WINDOW_US = 5_000_000; // between failures that count as consecutive
-    private static final double SLOW_SHARE_OF_OBJECTIVE = 0.34; // latency from which an endpoint is ejected
+    private static final long FAILURE_WINDOW_US = 5_000_000; // maximum time between consecutive failures
+    private static final double EJECTION_SHARE_OF_OBJECTIVE = 0.34; // latency above which an endpoint is ejected
     private static final double MIN_ELIGIBLE_SHARE = 0.5; // with fewer, ejections other than for failures are ignored
-    private static final double MIN_JITTER = 0.75; // keeps balancers from returning to an endpoint at the same time
+    private static final double MIN_JITTER = 0.75; // keeps balancers from using an endpoint again at the same time
     private static final double JITTER_RANGE = 0.5;
 
     private final ActiveSettings settings;
@@ -29,12 +29,12 @@
         this.random = random;
     }
 
-    /** Whether any latency was reported so far; settings that promise reports are no proof of them. */
+    /** Whether any latency was reported so far; the settings alone do not guarantee that there are reports. */
     boolean hasLatencyReports() {
         return hasLatencyReports;
     }
 
-    /** Whether an endpoint is ready and not ejected, or its ejection is ignored as most are ejected. */
+    /** Whether an endpoint is ready and not ejected, or responsive with ejections ignored because most are ejected. */
     boolean isEligible(long nowUs, EndpointPool pool, EndpointState endpoint) {
         boolean ignoresEjections =
                 pool.ejected.size() - pool.failing > (pool.ready.size() - pool.failing) * (1 - MIN_ELIGIBLE_SHARE);
@@ -42,9 +42,9 @@
                 && (nowUs >= endpoint.ejectedUntilUs || (ignoresEjections && isResponsive(nowUs, endpoint)));
     }
 
-    /** Whether an endpoint neither fails nor is late, be it ejected or not. */
+    /** Whether an endpoint neither fails nor exceeds the latency objective, regardless of ejection. */
     boolean isResponsive(long nowUs, EndpointState endpoint) {
-        return !endpoint.failing && !isLate(nowUs, endpoint);
+        return !endpoint.failing && !exceedsLatencyObjective(nowUs, endpoint);
     }
 
     /** The number of ready endpoints of a pool that are not eligible; all of them are ejected. */
@@ -56,29 +56,28 @@
         return count;
     }
 
-    /** Whether messages are at present later than the shortest objective. */
-    boolean isLate(long nowUs, EndpointState endpoint) {
+    /** Whether the current message latency exceeds the shortest objective of any class. */
+    boolean exceedsLatencyObjective(long nowUs, EndpointState endpoint) {
         return nowUs - endpoint.latencyReportedAtUs < LATENCY_VALID_US
                 && endpoint.latencyMs > settings.shortestMessageLatencyObjectiveMs();
     }
 
-    /** Takes a reported latency; ejects before messages are late, as connections under way still arrive. */
+    /** Records a latency; ejects below the objective, as connections that are being established still add load. */
     void recordLatency(long nowUs, EndpointState endpoint, double latencyMs) {
         hasLatencyReports = true;
         endpoint.latencyMs = latencyMs;
         endpoint.latencyReportedAtUs = nowUs;
-        if (latencyMs > SLOW_SHARE_OF_OBJECTIVE * settings.shortestMessageLatencyObjectiveMs()) {
-            eject(nowUs, endpoint, LATE_EJECTION_US);
+        if (latencyMs > EJECTION_SHARE_OF_OBJECTIVE * settings.shortestMessageLatencyObjectiveMs()) {
+            eject(nowUs, endpoint, LATENCY_EJECTION_US);
         }
     }
 
     /**
-     * Takes the outcome of an attempt that took so long; an unreachable or unresponsive endpoint is ejected at the first
-     * failure. A timeout of an attempt shorter than the minimum is ignored: endpoints may drop requests with so little
-     * time left.
+     * Records the outcome of an attempt; an unreachable or unresponsive endpoint is ejected at the first failure. The timeout
+     * of an attempt shorter than the minimum is ignored, as endpoints may drop requests with so little time left.
      */
-    void recordOutcome(long nowUs, EndpointState endpoint, Outcome outcome, long tookUs) {
-        if (outcome == Outcome.TIMEOUT && tookUs < RetryPolicy.MIN_ATTEMPT_US) {
+    void recordOutcome(long nowUs, EndpointState endpoint, Outcome outcome, long durationUs) {
+        if (outcome == Outcome.TIMEOUT && durationUs < RetryPolicy.MIN_ATTEMPT_US) {
             return;
         }
         switch (outcome) {
@@ -90,7 +89,7 @@
         }
     }
 
-    /** Takes the outcome of a health check, which does not count as a failure of an attempt. */
+    /** Records the outcome of a health check, which does not count as a failure of an attempt. */
     void recordHealthCheck(long nowUs, EndpointState endpoint, Outcome outcome, double load) {
         if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.TIMEOUT) {
             eject(nowUs, endpoint, FIRST_FAILURE_EJECTION_US);
@@ -99,7 +98,7 @@
         }
     }
 
-    /** Failures during an ejection count as part of it: an endpoint that dies breaks many connections at once. */
+    /** Failures during an ejection count as part of it: a failing endpoint resets many connections at once. */
     private void recordFailure(long nowUs, EndpointState endpoint, int minFailures) {
         boolean consecutive = nowUs - endpoint.failedAtUs < FAILURE_WINDOW_US;
         endpoint.consecutiveFailures = consecutive ? endpoint.consecutiveFailures + 1 : 1;
--- a/node/src/main/java/tulipshed/decision/PendingLimit.java
+++ b/node/src/main/java/tulipshed/decision/PendingLimit.java
@@ -2,12 +2,12 @@
 
 import tulipshed.decision.api.Outcome;
 
-/** How many attempts may be pending at an endpoint: additive increase, multiplicative decrease (AIMD). */
+/** Adapts the pending limit of an endpoint by additive increase, multiplicative decrease (AIMD). */
 final class PendingLimit {
-    /** Limit of an endpoint without observations. */
+    /** Initial limit of an endpoint, without observations. */
     static final int INITIAL = 4;
 
-    private static final int MAX_PENDING = 64; // more acceptances in a row add no information
+    private static final int MAX_PENDING = 64; // further consecutive acceptances add no information
 
     private PendingLimit() {}
 
@@ -16,7 +16,7 @@
         endpoint.setPendingLimit(Math.min(MAX_PENDING, endpoint.pendingLimit + 1));
     }
 
-    /** Takes the outcome of an attempt and whether it was established before. */
+    /** Updates the limit by the outcome of an attempt; {@code established} is whether it was established before. */
     static void recordOutcome(EndpointState endpoint, Outcome outcome, boolean established) {
         boolean failed = outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET;
         if (outcome == Outcome.OK && !established) {
--- a/node/src/main/java/tulipshed/decision/Placement.java
+++ b/node/src/main/java/tulipshed/decision/Placement.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** Chooses the endpoint of an attempt; {@code averageSetupUs} has the mean setup times by request class. */
+/** Chooses the endpoint of an attempt; {@code averageSetupUs} holds the mean setup times by request class. */
 record Placement(
         ActiveSettings settings,
         EndpointTable endpoints,
@@ -15,19 +15,21 @@
         MovingAverages averageSetupUs,
         SplittableRandom random) {
     static final double SETUP_TIME_GAIN = 0.1; // weight of a setup time in the average of its class
-    private static final int MAX_DRAWS = 12; // random draws by weight, and of a candidate before the search in order
-    private static final int MAX_SEARCHED = 64; // endpoints searched in order
-    private static final int MAX_WARMING_SEARCHED = 32; // warming endpoints searched
-    private static final double EQUAL_SPEED_OBSERVATIONS = 4; // weight of the assumption of equal machine types
+    private static final int MAX_DRAWS =
+            12; // maximum draws by weight, and maximum candidates before the sequential search
+    private static final int MAX_SEARCHED = 64; // endpoints tried by the sequential search
+    private static final int MAX_WARMING_SEARCHED = 32; // warming endpoints tried per request
+    private static final double EQUAL_SPEED_OBSERVATIONS = 4; // weight of the prior assumption of equal machine types
     private static final double MAX_RELATIVE_SETUP_TIME = 3; // bounds the effect of a single pause
 
-    /** Learns the speed of a machine type from the setup time of a connection. */
-    void recordSetup(RequestState request, long tookUs) {
-        double averageUs = averageSetupUs.add(request.requestClass.name(), tookUs);
-        request.endpoint.machineType.recordSetup(Math.min(MAX_RELATIVE_SETUP_TIME, tookUs / Math.max(1, averageUs)));
+    /** Records a connection setup time, from which the speed of the machine type is estimated. */
+    void recordSetup(RequestState request, long setupTimeUs) {
+        double averageUs = averageSetupUs.add(request.requestClass.name(), setupTimeUs);
+        request.endpoint.machineType.recordSetup(
+                Math.min(MAX_RELATIVE_SETUP_TIME, setupTimeUs / Math.max(1, averageUs)));
     }
 
-    /** The endpoint for the next attempt; null if there is none now or health checks are pending. */
+    /** Returns the endpoint for the next attempt, or null if there is none now or health checks are pending. */
     EndpointState choose(long nowUs, RequestState request) {
         EndpointState compared = request.firstCandidate == null ? null : healthChecks.finish(nowUs, request);
         if (compared != null || request.pool.ready.isEmpty()) {
@@ -35,23 +37,23 @@
         }
         endpoints.updateWeights(request.pool, EQUAL_SPEED_OBSERVATIONS);
         ConnectionGroup group = groupAffinity.groupOf(nowUs, request);
-        // Random draws alone would leave endpoints empty that become ready together.
+        // With random draws alone, endpoints that become ready together would receive too few connections.
         EndpointState warming = findWarming(nowUs, request);
-        // Holders go first: the first connection of a group costs an endpoint extra, which a warming one can least
-        // afford.
+        // Holders come first: the first connection of a group is more expensive for an endpoint, and a warming endpoint
+        // has little spare capacity.
         EndpointState holder = groupAffinity.chooseHolder(nowUs, request, group);
         if (holder != null) {
             return holder;
         }
         EndpointState reused = warming == null ? connectionReuse.take(nowUs, request) : null;
-        return reused != null ? reused : chooseLighter(nowUs, request, group, warming);
+        return reused != null ? reused : chooseLessLoaded(nowUs, request, group, warming);
     }
 
-    private EndpointState chooseLighter(
+    private EndpointState chooseLessLoaded(
             long nowUs, RequestState request, ConnectionGroup group, EndpointState warming) {
         EndpointState first = warming != null ? warming : draw(nowUs, request, group, null);
         if (first == null) {
-            return findInOrder(nowUs, request);
+            return findSequentially(nowUs, request);
         }
         EndpointState second = draw(nowUs, request, group, first);
         if (second == null) {
@@ -60,7 +62,7 @@
         if (healthChecks.start(nowUs, request, first, second)) {
             return request.pendingHealthChecks > 0 ? null : choose(nowUs, request);
         }
-        return EndpointEvaluator.lighter(request, first, second);
+        return EndpointEvaluator.lessLoaded(request, first, second);
     }
 
     private EndpointState draw(long nowUs, RequestState request, ConnectionGroup group, EndpointState other) {
@@ -76,14 +78,17 @@
         return null;
     }
 
-    /** One of the group's endpoints, or at the first attempt of the same zone, as a zone may fail as a whole. */
+    /**
+     * Draws one of the group's preferred endpoints, or by weight without a group. Where crossing zones has a price, only the
+     * first attempt stays in the same zone, as all endpoints of a zone may fail together.
+     */
     private EndpointState drawPreferred(RequestState request, ConnectionGroup group, int preferredCount) {
         EndpointPool pool = request.pool;
         if (group != null) {
             return groupAffinity.preferred(pool, group, random.nextInt(preferredCount));
         }
-        boolean crossingCosts = settings.current().prices().crossZone() > 0;
-        boolean staysInZone = crossingCosts && request.attempts == 0 && !pool.sameZone.isEmpty();
+        boolean crossingHasPrice = settings.current().prices().crossZone() > 0;
+        boolean staysInZone = crossingHasPrice && request.attempts == 0 && !pool.sameZone.isEmpty();
         return drawByWeight(staysInZone ? pool.sameZone : pool.ready);
     }
 
@@ -96,8 +101,11 @@
         return endpoint;
     }
 
-    /** A permitted endpoint even if ejected; an unresponsive one only at first, so that retries do not go only to such. */
-    private EndpointState findInOrder(long nowUs, RequestState request) {
+    /**
+     * Searches for a permitted endpoint, ejected or not. An unresponsive one is chosen for the first attempt only, as retries
+     * would otherwise go only to such endpoints.
+     */
+    private EndpointState findSequentially(long nowUs, RequestState request) {
         IndexedSet<EndpointState> ready = request.pool.ready;
         EndpointState unresponsive = null;
         int start = random.nextInt(ready.size());
--- a/node/src/main/java/tulipshed/decision/RejectionLog.java
+++ b/node/src/main/java/tulipshed/decision/RejectionLog.java
@@ -2,7 +2,7 @@
 
 import tulipshed.decision.api.BalancerActions;
 
-/** Logs that requests are rejected, at most one line in ten seconds. Confined to the event-loop thread. */
+/** Logs rejections of requests, at most one line per ten seconds. Confined to the event-loop thread. */
 final class RejectionLog {
     private static final long INTERVAL_US = 10_000_000;
 
@@ -13,11 +13,11 @@
         this.actions = actions;
     }
 
-    /** Logs the state of the pool whose request is rejected, unless the last line is recent. */
-    void rejected(long nowUs, EndpointPool pool) {
+    /** Logs the state of the pool of a rejected request, unless a line was logged within the interval. */
+    void logRejection(long nowUs, EndpointPool pool) {
         if (nowUs >= nextUs) {
             nextUs = nowUs + INTERVAL_US;
-            actions.log("rejecting requests: " + pool.ejected.size() + " of " + pool.known.size()
+            actions.log("rejecting requests: " + pool.ejected.size() + " of " + pool.observed.size()
                     + " known endpoints ejected, " + pool.failing + " failing");
         }
     }
--- a/node/src/main/java/tulipshed/decision/RequestState.java
+++ b/node/src/main/java/tulipshed/decision/RequestState.java
@@ -5,17 +5,20 @@
 import tulipshed.decision.api.Outcome;
 import tulipshed.decision.api.RequestClass;
 
-/** One request from its arrival until its final response is given and its attempt has ended. Confined to the event loop. */
+/**
+ * State of a request, from its arrival until its final response is given and its attempt has ended. Confined to the
+ * event-loop thread.
+ */
 final class RequestState {
     final NewRequest arrival;
     /** The class at arrival; a reconfiguration does not change it. */
     final RequestClass requestClass;
 
     final long deadlineUs;
-    /** Seed of this request's random numbers: the same number for an endpoint however often it is evaluated. */
+    /** Seed of the request's random numbers, so that each evaluation of an endpoint uses the same number. */
     final long randomHash;
 
-    /** Load of the connection, in microseconds of work a second, estimated until it is reported. */
+    /** Load of the connection, in microseconds of work per second; an estimate until it is reported. */
     double load;
 
     /** Attempts started so far. */
@@ -24,15 +27,15 @@
     EndpointPool pool;
     /** The endpoint of the current attempt or established connection; null between attempts. */
     EndpointState endpoint;
-    /** The endpoint of the previous attempt, which the next one avoids; null before the first attempt has ended. */
+    /** The endpoint of the previous attempt, which the next attempt avoids; null before the first attempt ends. */
     EndpointState previousEndpoint;
-    /** The group in which the established connection is counted; null if none. */
+    /** The group that the established connection counts in; null if none. */
     ConnectionGroup group;
-    /** When the current attempt started. */
+    /** Start time of the current attempt. */
     long attemptStartedUs;
     /** Whether the current attempt is established. */
     boolean established;
-    /** Whether the final response was given or the client has left. */
+    /** Whether the final response was given or the client has disconnected. */
     boolean concluded;
 
     /** Whether an attempt may have executed. */
@@ -42,7 +45,7 @@
 
     long executedAtUs;
 
-    /** The two endpoints that are compared by health checks; null while none are. */
+    /** The two endpoints being compared by health checks; null without a comparison. */
     EndpointState firstCandidate;
 
     EndpointState secondCandidate;
@@ -66,12 +69,12 @@
         this.load = arrival.loadHintUsPerS() > 0 ? arrival.loadHintUsPerS() : averageLoad;
     }
 
-    /** Whether an attempt was started that is neither established nor ended, and no final response is given. */
+    /** Whether an attempt has neither been established nor ended, and no final response is given. */
     boolean isAttemptPending() {
         return endpoint != null && !established && !concluded;
     }
 
-    /** Starts the next attempt at this endpoint. */
+    /** Records the start of the next attempt at this endpoint. */
     void startAttempt(long nowUs, EndpointState chosen) {
         attempts++;
         endpoint = chosen;
@@ -82,7 +85,7 @@
         chosen.adjustLoad(1, 1, load);
     }
 
-    /** Takes a connection that was established before this balancer started. */
+    /** Adopts a connection that was established before this balancer started. */
     void adopt(EndpointState holder) {
         attempts = 1;
         endpoint = holder;
@@ -98,7 +101,7 @@
         endpoint.adjustLoad(0, -1, 0);
     }
 
-    /** Counts the established connection for a group, unless that is null. */
+    /** Counts the established connection in a group, unless the group is null. */
     void joinGroup(long nowUs, ConnectionGroup joined) {
         if (joined != null) {
             joined.holders.add(endpoint);
@@ -108,7 +111,7 @@
         }
     }
 
-    /** Replaces the load of the connection by a reported one. */
+    /** Replaces the load of the connection by the reported load. */
     void setLoad(double reportedUsPerS) {
         endpoint.adjustLoad(0, 0, reportedUsPerS - load);
         load = reportedUsPerS;
@@ -132,7 +135,7 @@
         return released;
     }
 
-    /** Sets the two candidates to compare and the number of health checks started for them. */
+    /** Records the two candidates to compare and the number of health checks started for them. */
     void awaitHealthChecks(EndpointState first, EndpointState second, int started) {
         healthChecked = true;
         firstCandidate = first;
@@ -147,7 +150,7 @@
         pendingHealthChecks = 0;
     }
 
-    /** Counts a completed health check; returns whether this request awaited it and awaits no other one. */
+    /** Counts a completed health check; returns whether it was the last one that this request awaited. */
     boolean completeHealthCheck(EndpointState checked) {
         boolean awaited = firstCandidate == checked || secondCandidate == checked;
         return awaited && --pendingHealthChecks == 0;
--- a/node/src/main/java/tulipshed/decision/RequestTable.java
+++ b/node/src/main/java/tulipshed/decision/RequestTable.java
@@ -13,7 +13,7 @@
     private final Map<Long, RequestState> requests = new HashMap<>();
     private final List<RequestState> awaitingHealthChecks = new ArrayList<>();
 
-    /** Creates an empty table; the random numbers of the requests follow from {@code hashSeed} and their IDs. */
+    /** Creates an empty table; {@code hashSeed} and the ID of a request determine its random numbers. */
     RequestTable(long hashSeed) {
         this.hashSeed = hashSeed;
     }
@@ -21,8 +21,8 @@
     /**
      * Adds and returns a request.
      *
-     * @param pool the endpoints it may be sent to
-     * @param averageLoad load of the connection where the arrival has no hint
+     * @param pool the pool that the request is restricted to
+     * @param averageLoad load of the connection if the client gave no hint
      */
     RequestState add(long nowUs, NewRequest arrival, RequestClass requestClass, EndpointPool pool, double averageLoad) {
         RequestState request = new RequestState(arrival, requestClass, pool, nowUs, hashSeed, averageLoad);
@@ -46,7 +46,7 @@
         requests.remove(id);
     }
 
-    /** Records that the final response is given; removes the request unless the end of its attempt is awaited. */
+    /** Records that the final response is given; removes the request unless its attempt has not ended. */
     void conclude(RequestState request) {
         request.concluded = true;
         awaitingHealthChecks.remove(request);
@@ -69,7 +69,7 @@
         awaitingHealthChecks.remove(request);
     }
 
-    /** Counts a completed health check and returns the requests that await no other one, in order of arrival. */
+    /** Counts a completed health check and returns the requests that await no further ones, in the order in which they were added. */
     List<RequestState> completeHealthCheck(EndpointState endpoint) {
         List<RequestState> complete = new ArrayList<>();
         for (RequestState request : awaitingHealthChecks) {
--- a/node/src/main/java/tulipshed/decision/RetryPolicy.java
+++ b/node/src/main/java/tulipshed/decision/RetryPolicy.java
@@ -5,9 +5,9 @@
 import tulipshed.decision.api.Outcome;
 import tulipshed.decision.api.SiteLimits;
 
-/** Whether, where and for how long a request is attempted again, so that it never executes twice. */
+/** Decides whether, where and with which timeout a request is retried, so that its effect never happens twice. */
 record RetryPolicy(ActiveSettings settings, SplittableRandom random) {
-    static final long MIN_ATTEMPT_US = 60_000; // with less time left an attempt is not worth its cost
+    static final long MIN_ATTEMPT_US = 60_000; // with less time left, a retry is not worth its cost
     private static final double MIN_JITTER = 0.75;
     private static final double JITTER_RANGE = 0.25;
 
@@ -15,10 +15,10 @@
     boolean permitsAttempt(long nowUs, RequestState request) {
         return request.attempts < settings.current().limits().maxAttempts()
                 && request.deadlineUs - nowUs > 0
-                && (!request.mayHaveExecuted || permitsRepeat(nowUs, request));
+                && (!request.mayHaveExecuted || permitsReexecution(nowUs, request));
     }
 
-    private static boolean permitsRepeat(long nowUs, RequestState request) {
+    private static boolean permitsReexecution(long nowUs, RequestState request) {
         return switch (request.requestClass.idempotency()) {
             case IDEMPOTENT -> true;
             case WITH_KEY -> nowUs < request.executedAtUs + request.requestClass.deduplicationWindowUs();
@@ -26,12 +26,12 @@
         };
     }
 
-    /** Whether another attempt is worth its cost after one with this outcome. */
+    /** Whether a retry is worth its cost after an attempt with this outcome. */
     boolean isRetryWorthwhile(long nowUs, RequestState request, Outcome outcome) {
         return outcome != Outcome.UNUSED && request.deadlineUs - nowUs >= MIN_ATTEMPT_US;
     }
 
-    /** Whether the endpoint discards repeats of a request that may have executed, as far as the request needs it. */
+    /** Whether the endpoint discards duplicates of the request, if the request relies on deduplication. */
     static boolean permitsEndpoint(RequestState request, EndpointState endpoint) {
         if (!request.mayHaveExecuted || request.requestClass.idempotency() != Idempotency.WITH_KEY) {
             return true;
@@ -43,19 +43,19 @@
         };
     }
 
-    /** Whether the client may repeat the request: a rejection promises that this is harmless. */
+    /** Whether the request may be rejected, which tells the client that a retry is safe. */
     static boolean permitsRejection(RequestState request) {
-        return !request.mayHaveExecuted || request.requestClass.isRepeatHarmless();
+        return !request.mayHaveExecuted || request.requestClass.isSafeToRetry();
     }
 
-    /** Time-out of the next attempt, which leaves time for another one; 0 for none. */
+    /** Timeout of the next attempt, in microseconds, which leaves time for another one; 0 for none. */
     long attemptTimeoutUs(long nowUs, RequestState request) {
         long leftUs = request.deadlineUs - nowUs;
         boolean last = request.attempts + 1 >= settings.current().limits().maxAttempts();
         return last || leftUs < 2 * MIN_ATTEMPT_US ? 0 : Math.max(leftUs / 2, MIN_ATTEMPT_US);
     }
 
-    /** The time to give to a rejected client, within the site's limit and with jitter; 0 where none may be given. */
+    /** The Retry-After time for a rejected client, within the site's limit and with jitter; 0 if the site permits none. */
     long retryAfterUs(long wantedUs) {
         SiteLimits limits = settings.current().limits();
         double jitter = MIN_JITTER + JITTER_RANGE * random.nextDouble();
--- a/node/src/main/java/tulipshed/decision/SlowStart.java
+++ b/node/src/main/java/tulipshed/decision/SlowStart.java
@@ -2,10 +2,11 @@
 
 import tulipshed.decision.api.ProtocolRules;
 
-/** Limits what recently started endpoints are sent, so that a wave of arrivals cannot overload them. */
+/** Limits the connections to recently started endpoints, so that a burst of arrivals cannot overload them. */
 record SlowStart(ActiveSettings settings, EndpointPool allEndpoints) {
-    private static final long WARMING_PERIODS = 2; // slow-start times during which an endpoint has spare capacity
-    /** Connections gained in a slow-start time, as a multiple of the even load times the overload factor. */
+    private static final long WARMING_PERIODS =
+            2; // slow-start periods after which an endpoint has no spare capacity left
+    /** Credit per slow-start period, as a multiple of the even number of connections times the overload factor. */
     private static final double FILL_FACTOR = 3;
 
     /** Whether an endpoint started so recently that slow start applies. */
@@ -14,7 +15,7 @@
                 < WARMING_PERIODS * settings.current().rules().slowStartUs();
     }
 
-    /** Starts the slow start of a ready endpoint if it started recently. */
+    /** Begins the slow start of a ready endpoint that started recently. */
     void beginIfRecentlyStarted(long nowUs, EndpointState endpoint) {
         if (isRecentlyStarted(nowUs, endpoint) && !endpoint.isWarming()) {
             endpoint.markWarming(nowUs);
@@ -22,8 +23,8 @@
     }
 
     /**
-     * Whether an endpoint has no credit for this request. Credit accumulates for no longer than the overload time, and a
-     * fraction is the probability of a connection, so that the total over all balancers is independent of their number.
+     * Whether an endpoint has no credit for this request. Credit accumulates for at most the overload time. A fraction of a
+     * credit is the probability of a connection, so that the total over all balancers does not depend on their number.
      */
     boolean isLimitedBySlowStart(long nowUs, RequestState request, EndpointState endpoint) {
         if (!endpoint.isWarming() || !isRecentlyStarted(nowUs, endpoint)) {
@@ -38,7 +39,7 @@
                 && endpoint.slowStartCredit <= Hashing.uniform(request.randomHash, endpoint.hash, request.attempts);
     }
 
-    /** Connections gained a microsecond; the quota replaces the total while this balancer has few connections. */
+    /** Credit per microsecond; the quota replaces the number of open connections while this balancer has fewer. */
     private double creditPerUs(long nowUs, EndpointState endpoint) {
         ProtocolRules rules = settings.current().rules();
         long fullUs = rules.slowStartUs();
--- a/node/src/main/java/tulipshed/decision/TokenBucket.java
+++ b/node/src/main/java/tulipshed/decision/TokenBucket.java
@@ -2,7 +2,7 @@
 
 /** Token bucket for one tenant's new connections in one pool. Confined to the event-loop thread. */
 final class TokenBucket {
-    private static final double CAPACITY_TOKENS = 2; // admits a few clients that arrive together
+    private static final double CAPACITY_TOKENS = 2; // admits small bursts
 
     private double tokens = CAPACITY_TOKENS;
     private long refilledAtUs;
@@ -12,7 +12,7 @@
         refilledAtUs = nowUs;
     }
 
-    /** Refills the bucket at this rate, in tokens a second, and takes one token if there is one. */
+    /** Refills the bucket at this rate, in tokens per second, and takes one token if available. */
     boolean tryTake(long nowUs, double ratePerS) {
         boolean unlimited = ratePerS == Double.POSITIVE_INFINITY;
         tokens = unlimited
@@ -24,7 +24,7 @@
         return available;
     }
 
-    /** Microseconds until there is a token at this rate; {@code Long.MAX_VALUE} if there will be none. */
+    /** Time until a token is available at this rate, in microseconds; {@code Long.MAX_VALUE} if the rate is 0. */
     long untilTokenUs(double ratePerS) {
         return ratePerS > 0 ? (long) ((1 - tokens) / ratePerS * 1e6) : Long.MAX_VALUE;
     }
--- a/node/src/main/java/tulipshed/decision/api/BalancerApi.java
+++ b/node/src/main/java/tulipshed/decision/api/BalancerApi.java
@@ -8,14 +8,14 @@
  * Events and actions of the load balancer for long-lived connections.
  *
  * <p>One instance serves one balancer. Every event carries {@code nowUs}, the time of a monotonic clock in microseconds
- * with an arbitrary origin. Calls must not overlap: an instance is confined to the thread of its event loop. Decisions are
+ * with an arbitrary origin. Calls must not overlap: an instance is confined to the thread of its event loop. Actions are
  * passed to {@link BalancerActions} before the event method returns. Events that name an unknown request or endpoint are
  * ignored.
  */
 public interface BalancerApi {
 
     /**
-     * The discovery service delivered its endpoint list or a change to it, or failed to.
+     * The discovery service delivered its endpoint list or a change to it, or failed to do so.
      *
      * @param entries the entries of the list or the change; empty after a failure
      */
@@ -24,18 +24,18 @@
     /** A client requests a connection; exactly one final response follows unless the request is cancelled. */
     void requestArrived(long nowUs, NewRequest request);
 
-    /** A connection to the endpoint of this ID is resumed, which was established before this instance started. */
+    /** A connection to this endpoint, which was established before this instance started, is adopted. */
     void connectionAdopted(long nowUs, NewRequest request, String endpointId);
 
     /**
      * The connection of an attempt is established.
      *
      * @param attempt number of the attempt, from 0 on
-     * @param tookUs time from the start of the attempt, in microseconds
+     * @param setupTimeUs time since the start of the attempt, in microseconds
      */
-    void attemptEstablished(long nowUs, long requestId, int attempt, long tookUs);
+    void attemptEstablished(long nowUs, long requestId, int attempt, long setupTimeUs);
 
-    /** The load of an established connection was reported, in microseconds of work a second; at least 0. */
+    /** The load of an established connection was reported, in microseconds of work per second; at least 0. */
     void loadReported(long nowUs, long requestId, double loadUsPerS);
 
     /** The latency of messages on an established connection was reported, in milliseconds; at least 0. */
@@ -46,7 +46,7 @@
      *
      * @param attempt number of the attempt, from 0 on
      * @param concluded whether the client needs no further response
-     * @param report the load report that came with the end, or {@link LoadReport#NONE}
+     * @param report the load report received with the result, or {@link LoadReport#NONE}
      */
     void attemptEnded(long nowUs, long requestId, int attempt, boolean concluded, Outcome outcome, LoadReport report);
 
@@ -59,15 +59,15 @@
     /** A timer scheduled through {@link BalancerActions#scheduleTimer} expired. */
     void timerFired(long nowUs, long token);
 
-    /** A message of 1 to 256 bytes arrived from the balancer of the index {@code from}. */
-    void peerMessageReceived(long nowUs, int from, byte[] body);
+    /** A message of 1 to 256 bytes arrived from the balancer of the index {@code senderIndex}. */
+    void peerMessageReceived(long nowUs, int senderIndex, byte[] body);
 
     /** Replaces the settings; requests that arrived before keep their class. */
     void reconfigure(long nowUs, BalancerSettings settings);
 
     /**
      * Replaces the named pools of endpoints that requests may be restricted to. Pools may overlap, and may name
-     * endpoints that the list does not have yet.
+     * endpoints that are not on the list yet.
      */
     void poolsChanged(long nowUs, Map<String, Set<String>> endpointIdsByPool);
 
@@ -77,9 +77,9 @@
     /** Returns the number of ready endpoints that are not ejected, in a pool or, for null, in total. */
     int eligibleCount(long nowUs, String pool);
 
-    /** Sets the share, from 0 to 1, that this instance has of the balancer's quotas; another process has the rest. */
+    /** Sets this instance's share of the balancer's quotas, from 0 to 1; another process uses the rest. */
     void quotaShareChanged(long nowUs, double quotaShare);
 
-    /** Returns the number of listed endpoints that receive no new connections at present: draining or ejected ones. */
+    /** Returns the number of listed endpoints that currently receive no new connections: draining or ejected ones. */
     int ineligibleCount(long nowUs);
 }
--- a/node/src/main/java/tulipshed/decision/api/BalancerSettings.java
+++ b/node/src/main/java/tulipshed/decision/api/BalancerSettings.java
@@ -8,12 +8,12 @@
  * @param nodeIndex index of this balancer in its tier, from 0 on
  * @param nodeCount number of balancers in the tier, at least 1
  * @param zone zone of this balancer
- * @param passThrough whether the node forwards packets and does not terminate connections
- * @param polledDiscovery whether the endpoint list must be polled or subscribed to, rather than being pushed
+ * @param passThrough whether the node forwards packets instead of terminating connections
+ * @param polledDiscovery whether the balancer must poll or watch the endpoint list, rather than having it pushed
  * @param groupAffinity whether the connections of a group are placed on few endpoints
  * @param weightSemantics meaning of the weights in the endpoint list
- * @param loadReportSource where load reports come from
- * @param limits what the site permits
+ * @param loadReportSource source of load reports
+ * @param limits limits imposed by the site
  * @param rules parameters of the protocol rules
  * @param prices prices of costly operations
  * @param classes the request classes, at least one; a request names its class by the index
--- a/node/src/main/java/tulipshed/decision/api/DeduplicationScope.java
+++ b/node/src/main/java/tulipshed/decision/api/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package tulipshed.decision.api;
 
-/** The endpoints that share their idempotency keys, and so discard each other's duplicates. */
+/** Set of endpoints that share idempotency keys, so that each discards duplicates of the others' requests. */
 public enum DeduplicationScope {
     /** All endpoints. */
     ALL,
-    /** Those of one zone. */
+    /** The endpoints of one zone. */
     ZONE,
-    /** Those of one cell. */
+    /** The endpoints of one cell. */
     CELL
 }
--- a/node/src/main/java/tulipshed/decision/api/EndpointListKind.java
+++ b/node/src/main/java/tulipshed/decision/api/EndpointListKind.java
@@ -1,6 +1,6 @@
 package tulipshed.decision.api;
 
-/** Meaning of the entries of a list event. */
+/** Meaning of the entries of an endpoint list event. */
 public enum EndpointListKind {
     /** Changed entries only. */
     CHANGES,
@@ -8,6 +8,6 @@
     COMPLETE,
     /** Complete but possibly outdated list, cached before a restart. */
     CACHED,
-    /** A poll failed or the subscription broke; the known list stays valid. */
+    /** A poll or the watch failed; the current list stays valid. */
     FAILED
 }
--- a/node/src/main/java/tulipshed/decision/api/EndpointStatus.java
+++ b/node/src/main/java/tulipshed/decision/api/EndpointStatus.java
@@ -1,6 +1,6 @@
 package tulipshed.decision.api;
 
-/** Lifecycle of an endpoint. */
+/** Lifecycle state of an endpoint. */
 public enum EndpointStatus {
     /** Accepts new connections. */
     SERVING,
--- a/node/src/main/java/tulipshed/decision/api/Idempotency.java
+++ b/node/src/main/java/tulipshed/decision/api/Idempotency.java
@@ -1,10 +1,10 @@
 package tulipshed.decision.api;
 
-/** Whether a request may be retried after it may have executed. */
+/** Whether a request that may have executed may be retried. */
 public enum Idempotency {
     /** Always. */
     IDEMPOTENT,
-    /** Where and while its idempotency key is known. */
+    /** Only within the scope and the window in which endpoints keep its idempotency key. */
     WITH_KEY,
     /** Never. */
     NOT_IDEMPOTENT
--- a/node/src/main/java/tulipshed/decision/api/LoadReport.java
+++ b/node/src/main/java/tulipshed/decision/api/LoadReport.java
@@ -7,8 +7,8 @@
  * @param queue requests queued, at least 0
  * @param cpu CPU use, from 0 to 1
  * @param latencyMs mean latency, in milliseconds
- * @param rps requests completed a second
- * @param errorRps requests failed a second
+ * @param rps requests completed per second
+ * @param errorRps requests failed per second
  * @param load load relative to capacity
  * @param backlogS time to process the queue, in seconds
  */
@@ -21,7 +21,7 @@
         double errorRps,
         double load,
         double backlogS) {
-    /** The report that has no value. */
+    /** A report without any value. */
     public static final LoadReport NONE = new LoadReport(
             Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 }
--- a/node/src/main/java/tulipshed/decision/api/LoadReportSource.java
+++ b/node/src/main/java/tulipshed/decision/api/LoadReportSource.java
@@ -2,10 +2,10 @@
 
 /** Source of load reports. */
 public enum LoadReportSource {
-    /** There are none. */
+    /** No load reports. */
     NONE,
-    /** They come with responses. */
+    /** Included in responses. */
     RESPONSES,
-    /** They come with health checks. */
+    /** Included in health check results. */
     HEALTH_CHECKS
 }
--- a/node/src/main/java/tulipshed/decision/api/NewRequest.java
+++ b/node/src/main/java/tulipshed/decision/api/NewRequest.java
@@ -8,12 +8,12 @@
  * @param tenant index of the tenant in the settings, -1 for none
  * @param key idempotency key, or null
  * @param group name of the connection group, or null
- * @param timeoutUs time from the event until the client gives up, in microseconds
- * @param loadHintUsPerS expected load in microseconds of work a second, 0 if unknown
- * @param retry whether the client repeats a rejected request
- * @param exemptFromAdmission whether it continues earlier work and is admitted without a token
- * @param reconnecting whether the client had a connection that was closed or broke
- * @param pool name of the pool it is restricted to, or null for all endpoints
+ * @param timeoutUs time from the event to the deadline of the client, in microseconds
+ * @param loadHintUsPerS the client's load hint, in microseconds of work per second; 0 if unknown
+ * @param retry whether this is the client's retry of a rejected request
+ * @param exemptFromAdmission whether it continues earlier work and is therefore admitted without a token
+ * @param reconnecting whether the client had an earlier connection that was closed or reset
+ * @param pool name of the endpoint pool that the request is restricted to, or null for all endpoints
  */
 public record NewRequest(
         long id,
@@ -27,7 +27,7 @@
         boolean exemptFromAdmission,
         boolean reconnecting,
         String pool) {
-    /** Creates a request that any endpoint may take. */
+    /** Creates a request that is not restricted to a pool. */
     @SuppressWarnings("checkstyle:ParameterNumber") // the components of the record
     public NewRequest(
             long id,
--- a/node/src/main/java/tulipshed/decision/api/Outcome.java
+++ b/node/src/main/java/tulipshed/decision/api/Outcome.java
@@ -6,17 +6,17 @@
     OK(false),
     /** The endpoint reported an error. */
     ERROR(false),
-    /** The endpoint rejected it, as it had no capacity. */
+    /** Rejected by the endpoint for lack of capacity. */
     FULL(true),
     /** No response in time. */
     TIMEOUT(false),
     /** The connection could not be opened. */
     CONNECT_FAILED(true),
-    /** The connection broke. */
+    /** The connection was reset. */
     RESET(false),
     /** Cancelled by this balancer or its client. */
     CANCELLED(false),
-    /** Never sent, for a reason that says nothing of the endpoint. */
+    /** Never sent, for a reason unrelated to the endpoint. */
     UNUSED(true);
 
     /** Whether this outcome proves that the request did not execute. */
--- a/node/src/main/java/tulipshed/decision/api/RequestClass.java
+++ b/node/src/main/java/tulipshed/decision/api/RequestClass.java
@@ -1,14 +1,14 @@
 package tulipshed.decision.api;
 
 /**
- * One class of requests, as the settings define it.
+ * A request class as defined in the settings.
  *
  * @param name its name in the settings
  * @param latencyObjectiveUs objective for establishing a connection, in microseconds
  * @param deadlineUs deadline for establishing a connection, in microseconds
- * @param priorityWeight priority weight of a served request, relative to other classes
- * @param idempotency whether a request may be repeated
- * @param deduplicationScope which endpoints discard a repeat with the same idempotency key
+ * @param priorityWeight weight of a served request relative to those of other classes
+ * @param idempotency whether a request that may have executed may be retried
+ * @param deduplicationScope endpoints among which duplicates with the same idempotency key are discarded
  * @param deduplicationWindowUs how long endpoints keep an idempotency key, in microseconds
  * @param messageLatencyObjectiveUs objective for messages on established connections, in microseconds; 0 for none
  */
@@ -22,8 +22,8 @@
         long deduplicationWindowUs,
         long messageLatencyObjectiveUs) {
 
-    /** Whether a client may repeat a request, at whatever endpoint, that may have executed: its effect happens once. */
-    public boolean isRepeatHarmless() {
+    /** Whether a client may retry at any endpoint a request that may have executed: the effect happens only once. */
+    public boolean isSafeToRetry() {
         return idempotency == Idempotency.IDEMPOTENT
                 || (idempotency == Idempotency.WITH_KEY && deduplicationScope == DeduplicationScope.ALL);
     }
--- a/node/src/main/java/tulipshed/decision/api/SiteLimits.java
+++ b/node/src/main/java/tulipshed/decision/api/SiteLimits.java
@@ -1,16 +1,16 @@
 package tulipshed.decision.api;
 
 /**
- * What the site permits.
+ * Limits imposed by the site.
  *
- * @param maxAttempts attempts for one request, at least 1
- * @param maxRetryAfterUs longest retry-after time, in microseconds
+ * @param maxAttempts maximum attempts of one request, at least 1
+ * @param maxRetryAfterUs maximum Retry-After time, in microseconds
  * @param cancellation whether attempts may be cancelled
  * @param healthChecks whether health checks may be sent
  * @param peerMessages whether messages may be sent to other balancers
- * @param retryAfter whether rejections carry a retry-after time
- * @param connectTimeoutUs how long opening a connection to an endpoint may take, in microseconds
- * @param connectionIdleUs how long an unused connection to an endpoint stays open, in microseconds
+ * @param retryAfter whether rejections include a Retry-After time
+ * @param connectTimeoutUs timeout for opening a connection to an endpoint, in microseconds
+ * @param connectionIdleUs idle timeout of a connection to an endpoint, in microseconds
  * @param streamsPerConnection concurrent requests on one connection to an endpoint, at least 1
  */
 public record SiteLimits(
--- a/node/src/main/java/tulipshed/decision/api/WeightSemantics.java
+++ b/node/src/main/java/tulipshed/decision/api/WeightSemantics.java
@@ -2,9 +2,9 @@
 
 /** Meaning of the weights in the endpoint list. */
 public enum WeightSemantics {
-    /** None. */
+    /** The weights have no meaning. */
     NONE,
-    /** Capacity, which is constant. */
+    /** Total capacity, which is constant. */
     SIZE,
     /** Free capacity, which falls with the load. */
     LIVE
--- a/node/src/main/java/tulipshed/proxy/ExecutionRecord.java
+++ b/node/src/main/java/tulipshed/proxy/ExecutionRecord.java
@@ -49,6 +49,6 @@
      * @param attemptConnected whether an attempt is open that may be executing
      */
     boolean permitsRejection(boolean attemptConnected) {
-        return requestClass.isRepeatHarmless() || (!mayHaveExecuted() && !attemptConnected);
+        return requestClass.isSafeToRetry() || (!mayHaveExecuted() && !attemptConnected);
     }
 }
