--- a/node/src/main/java/tulipshed/simadapter/Adapter.java
+++ b/node/src/main/java/tulipshed/simadapter/Adapter.java
@@ -14,17 +14,17 @@
 import tulipshed.decision.api.BalancerSettings;
 
 /**
- * Connects instances of the decision module to the simulator: reads batches of events, hands each event to its instance,
- * and writes one reply a batch. Used by one thread.
+ * Connects instances of the decision module to the simulator: reads batches of events, dispatches each event to its
+ * instance, and writes one reply per batch. Confined to one thread.
  */
 public final class Adapter {
-    /** The input ended after a complete batch. */
+    /** Exit code if the input ended after a complete batch. */
     private static final int EXIT_OK = 0;
 
-    /** The input was malformed or could not be read. */
+    /** Exit code if the input was malformed or could not be read. */
     private static final int EXIT_MALFORMED_INPUT = 2;
 
-    /** The input was malformed, and standard error could not be written either. */
+    /** Exit code if the input was malformed and the error could not be written either. */
     private static final int EXIT_ERROR_NOT_REPORTED = 3;
 
     private final JsonParser parser;
@@ -36,10 +36,10 @@
         /**
          * Creates one instance.
          *
-         * @param now the time, in microseconds
-         * @param actions receives what the instance decides
+         * @param nowUs the time of the batch, in microseconds
+         * @param actions receives the actions of the instance
          */
-        BalancerApi create(BalancerSettings settings, long seed, long now, BalancerActions actions);
+        BalancerApi create(BalancerSettings settings, long seed, long nowUs, BalancerActions actions);
     }
 
     Adapter(InputStream in, OutputStream out, Factory factory) throws IOException {
@@ -52,7 +52,7 @@
      * Processes all batches.
      *
      * @param err receives one line if the input is malformed
-     * @return the exit code: 0 at the end of the input, 2 if it is malformed, 3 if that could not be written either
+     * @return the exit code: 0 at the end of the input, 2 if it is malformed, 3 if it is malformed and writing to {@code err} failed
      */
     public static int run(InputStream in, OutputStream out, OutputStream err, Factory factory) {
         try {
@@ -83,7 +83,7 @@
                 throw new MalformedInputException("expected Batch, got " + start.typeName());
             }
             if (!start.hasTimeAndFrame()) {
-                throw new MalformedInputException("a Batch without TimeS or frame");
+                throw new MalformedInputException("Batch without TimeS or frame");
             }
             processEvents(start.timeUs());
             replies.endBatch(start.frame());
@@ -93,7 +93,7 @@
     private void processEvents(long nowUs) throws IOException {
         for (WireEvent event = nextEvent(); event.type() != EventType.BATCH_END; event = nextEvent()) {
             if (event.instance() == null) {
-                throw new MalformedInputException("an event without Who: " + event.typeName());
+                throw new MalformedInputException("event without Who: " + event.typeName());
             }
             replies.selectInstance(event.instance());
             try {
@@ -101,7 +101,7 @@
             } catch (MalformedInputException e) {
                 throw e;
             } catch (RuntimeException e) {
-                // A fault of the decision module is part of the reply; the other instances go on.
+                // An exception of the decision module is reported in the reply; the other instances continue.
                 replies.exception(e.toString());
             }
         }
@@ -110,7 +110,7 @@
     private WireEvent nextEvent() throws IOException {
         JsonToken token = parser.nextToken();
         if (token == null) {
-            throw new MalformedInputException("input ends inside a batch");
+            throw new MalformedInputException("input ends within a batch");
         }
         return WireEvent.read(parser, token);
     }
--- a/node/src/main/java/tulipshed/simadapter/AttemptFields.java
+++ b/node/src/main/java/tulipshed/simadapter/AttemptFields.java
@@ -7,7 +7,7 @@
 import tulipshed.decision.api.Outcome;
 
 /**
- * The fields of one line that describe an attempt or its result; a health check has a result too. {@link #readField} has
+ * The fields of a line that describe an attempt, or the result of an attempt or a health check. {@link #readField} lists
  * their external names.
  */
 final class AttemptFields {
@@ -17,7 +17,7 @@
     private String verdict;
     private LoadReport loadReport = LoadReport.NONE;
 
-    /** Reads the parser's current token as the value of that field; false where it is none of an attempt. */
+    /** Reads the parser's current token as the value of the named field; returns false if it is not a field of an attempt. */
     boolean readField(JsonParser parser, String name) throws IOException {
         switch (name) {
             case "Leg" -> number = (int) JsonTokens.integer(parser, name);
@@ -32,25 +32,25 @@
         return true;
     }
 
-    /** Returns the number of the attempt within its request, from 0. */
+    /** Returns the number of the attempt within its request, from 0 on. */
     int number() {
         return number;
     }
 
-    /** Returns how long the attempt took, in microseconds. */
+    /** Returns the duration of the attempt, in microseconds. */
     long durationUs() {
         return durationUs;
     }
 
-    /** Whether the client expects nothing more for its request. */
+    /** Whether the client needs no further response to its request. */
     boolean concluded() {
         return concluded;
     }
 
     /**
-     * Returns how the attempt or the health check ended.
+     * Returns the outcome of the attempt or health check.
      *
-     * @throws MalformedInputException if its external name is unknown
+     * @throws MalformedInputException if it is absent or its external name is unknown
      */
     Outcome outcome() {
         return switch (String.valueOf(verdict)) {
@@ -62,11 +62,11 @@
             case "dropped" -> Outcome.RESET;
             case "revoked" -> Outcome.CANCELLED;
             case "unused" -> Outcome.UNUSED;
-            default -> throw new MalformedInputException("unknown Verdict " + verdict);
+            default -> throw new MalformedInputException("unknown Verdict: " + verdict);
         };
     }
 
-    /** Returns the endpoint's load report, {@link LoadReport#NONE} if there is none. */
+    /** Returns the endpoint's load report, or {@link LoadReport#NONE} if there is none. */
     LoadReport loadReport() {
         return loadReport;
     }
--- a/node/src/main/java/tulipshed/simadapter/ConnectionReportFields.java
+++ b/node/src/main/java/tulipshed/simadapter/ConnectionReportFields.java
@@ -4,19 +4,20 @@
 import java.io.IOException;
 
 /**
- * The fields of one line that report on an established connection; {@link #readField} has their external names. A report
- * that is neither a load nor a latency is ignored.
+ * The fields of a line that report on an established connection; {@link #readField} lists their external names. A report
+ * of neither a load nor a latency is ignored.
  */
 final class ConnectionReportFields {
-    /** External values of {@code Sort}. */
+    /** External value of {@code Sort} for a load. */
     private static final int SORT_LOAD = 1;
 
+    /** External value of {@code Sort} for a latency. */
     private static final int SORT_LATENCY = 2;
 
     private int sort;
     private double value;
 
-    /** Reads the parser's current token as the value of that field; false where it is none of a report. */
+    /** Reads the parser's current token as the value of the named field; returns false if it is not a field of a report. */
     boolean readField(JsonParser parser, String name) throws IOException {
         switch (name) {
             case "Sort" -> sort = (int) JsonTokens.integer(parser, name);
@@ -28,7 +29,7 @@
         return true;
     }
 
-    /** Whether {@link #value()} is a load, in microseconds of work a second. */
+    /** Whether {@link #value()} is a load, in microseconds of work per second. */
     boolean isLoad() {
         return sort == SORT_LOAD;
     }
--- a/node/src/main/java/tulipshed/simadapter/EndpointListFields.java
+++ b/node/src/main/java/tulipshed/simadapter/EndpointListFields.java
@@ -7,12 +7,15 @@
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.decision.api.EndpointListKind;
 
-/** The fields of one line that carry an endpoint list; {@link #readField} has their external names. */
+/** The fields of a line that carry an endpoint list; {@link #readField} lists their external names. */
 final class EndpointListFields {
     private String scope;
     private List<EndpointInfo> endpoints = List.of();
 
-    /** Reads the parser's current token as the value of that field; false where it is none of an endpoint list. */
+    /**
+     * Reads the parser's current token as the value of the named field; returns false if it is not a field of an endpoint
+     * list.
+     */
     boolean readField(JsonParser parser, String name) throws IOException {
         switch (name) {
             case "Scope" -> scope = JsonTokens.string(parser, name);
@@ -25,9 +28,9 @@
     }
 
     /**
-     * Returns what the list is.
+     * Returns the kind of the list.
      *
-     * @throws MalformedInputException if its external name is unknown
+     * @throws MalformedInputException if it is absent or its external name is unknown
      */
     EndpointListKind kind() {
         return switch (String.valueOf(scope)) {
@@ -35,11 +38,11 @@
             case "whole" -> EndpointListKind.COMPLETE;
             case "stale_copy" -> EndpointListKind.CACHED;
             case "broken" -> EndpointListKind.FAILED;
-            default -> throw new MalformedInputException("unknown Scope " + scope);
+            default -> throw new MalformedInputException("unknown Scope: " + scope);
         };
     }
 
-    /** Returns the endpoints listed, empty by default. */
+    /** Returns the listed endpoints; empty by default. */
     List<EndpointInfo> endpoints() {
         return endpoints;
     }
--- a/node/src/main/java/tulipshed/simadapter/EndpointListReader.java
+++ b/node/src/main/java/tulipshed/simadapter/EndpointListReader.java
@@ -9,11 +9,11 @@
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.decision.api.EndpointStatus;
 
-/** Reads an endpoint list; external name NodesList. Unknown fields are skipped. */
+/** Reads an endpoint list, external name {@code NodesList}. Unknown fields are skipped. */
 final class EndpointListReader {
     private EndpointListReader() {}
 
-    /** Reads the list whose start is the parser's current token. */
+    /** Reads a list; the parser's current token is its start. */
     static List<EndpointInfo> read(JsonParser parser) throws IOException {
         JsonTokens.expect(parser, JsonToken.START_ARRAY, "NodesList");
         List<EndpointInfo> endpoints = new ArrayList<>();
@@ -46,18 +46,18 @@
             }
         }
         if (id == null) {
-            throw new MalformedInputException("a list entry without Server");
+            throw new MalformedInputException("NodesList entry without Server");
         }
         return new EndpointInfo(id, status(status), zone, cell, machineType, weight, startedUs);
     }
 
-    /** External name StageState. */
+    /** Translates an external {@code StageState}. */
     private static EndpointStatus status(String stageState) {
         return switch (String.valueOf(stageState)) {
             case "SERVING" -> EndpointStatus.SERVING;
             case "DRAINING" -> EndpointStatus.DRAINING;
             case "DELETED" -> EndpointStatus.REMOVED;
-            default -> throw new MalformedInputException("unknown StageState " + stageState);
+            default -> throw new MalformedInputException("unknown StageState: " + stageState);
         };
     }
 }
--- a/node/src/main/java/tulipshed/simadapter/EventType.java
+++ b/node/src/main/java/tulipshed/simadapter/EventType.java
@@ -5,9 +5,9 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The types of input lines, each with its external name, the value of {@code cmd}. */
+/** Type of an input line; the external name is the value of {@code cmd}. */
 enum EventType {
-    /** Starts a batch of events of one time. */
+    /** Starts a batch of events that have the same time. */
     BATCH_START("Batch"),
     /** Ends a batch. */
     BATCH_END("Eob"),
@@ -15,9 +15,9 @@
     INSTANCE_CREATED("Provision"),
     /** Removes an instance. */
     INSTANCE_REMOVED("Detach"),
-    /** An endpoint list, or a change to one. */
+    /** An endpoint list, or changes to it. */
     ENDPOINTS_CHANGED("PeersKnown"),
-    /** A request to place. */
+    /** A new request. */
     REQUEST_ARRIVED("Incoming"),
     /** A connection that was established before the instance was created. */
     CONNECTION_ADOPTED("Open"),
@@ -27,13 +27,13 @@
     CONNECTION_REPORTED("Notice"),
     /** An attempt ended. */
     ATTEMPT_ENDED("Finished"),
-    /** The client gave up its request. */
+    /** The client cancelled its request. */
     REQUEST_CANCELLED("Abandoned"),
-    /** A health check ended. */
+    /** A health check completed. */
     HEALTH_CHECK_COMPLETED("Checked"),
-    /** A timer that the instance had scheduled fired. */
+    /** A timer of the instance expired. */
     TIMER_FIRED("TickDue"),
-    /** A message of another instance. */
+    /** A message from another instance. */
     PEER_MESSAGE_RECEIVED("NoteFrom");
 
     private static final Map<String, EventType> BY_EXTERNAL_NAME =
--- a/node/src/main/java/tulipshed/simadapter/Instances.java
+++ b/node/src/main/java/tulipshed/simadapter/Instances.java
@@ -17,7 +17,7 @@
     private final BalancerActions actions;
     private final Map<String, Instance> byName = new HashMap<>();
 
-    /** One running instance and the names in its settings. */
+    /** A running instance and the index of the names in its settings. */
     private record Instance(BalancerApi balancer, NameIndex names) {}
 
     Instances(Adapter.Factory factory, BalancerActions actions) {
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Hands an event to its instance.
+     * Dispatches an event to its instance.
      *
      * @param nowUs the time of the event's batch, in microseconds
      * @throws MalformedInputException if the event is unknown, lacks a field, or its instance does not exist
@@ -38,11 +38,10 @@
         }
         Instance instance = byName.get(event.instance());
         if (instance == null) {
-            throw new MalformedInputException(
-                    event.typeName() + " for an instance that was not provisioned: " + event.instance());
+            throw new MalformedInputException(event.typeName() + " for unknown instance " + event.instance());
         }
         if (event.type() == null) {
-            throw unknown(event);
+            throw unknownType(event);
         }
         if (event.type() == EventType.INSTANCE_REMOVED) {
             byName.remove(event.instance());
@@ -81,7 +80,7 @@
                         event.attempt().loadReport());
             case TIMER_FIRED -> balancer.timerFired(nowUs, event.timerToken());
             case PEER_MESSAGE_RECEIVED -> balancer.peerMessageReceived(nowUs, event.sendingPeer(), event.body());
-            default -> throw unknown(event);
+            default -> throw unknownType(event);
         }
     }
 
@@ -89,7 +88,7 @@
         return event.request().newRequest(event.typeName(), names);
     }
 
-    /** Reports of a kind that the adapter does not know are ignored. */
+    /** Delivers a load or latency report; reports of other kinds are ignored. */
     private static void deliverReport(WireEvent event, long nowUs, BalancerApi balancer) {
         ConnectionReportFields report = event.connectionReport();
         if (report.isLoad()) {
@@ -106,7 +105,7 @@
                 nowUs, event.requestId(), attempt.number(), attempt.concluded(), outcome, attempt.loadReport());
     }
 
-    private static MalformedInputException unknown(WireEvent event) {
-        return new MalformedInputException("unknown event " + event.typeName());
+    private static MalformedInputException unknownType(WireEvent event) {
+        return new MalformedInputException("unknown cmd: " + event.typeName());
     }
 }
--- a/node/src/main/java/tulipshed/simadapter/JsonTokens.java
+++ b/node/src/main/java/tulipshed/simadapter/JsonTokens.java
@@ -7,21 +7,21 @@
 import tulipshed.time.Clock;
 
 /**
- * Typed reads of a parser's current token. Each takes the external name of the value for its error message, and raises
- * {@link MalformedInputException} if the token has another type.
+ * Reads a parser's current token as a value of a certain type. Each method takes the external name of the value for its
+ * error message, and throws {@link MalformedInputException} if the token has a different type.
  */
 final class JsonTokens {
 
     private JsonTokens() {}
 
-    /** Requires a token. */
+    /** Requires the current token to be of this type. */
     static void expect(JsonParser parser, JsonToken token, String name) {
         if (parser.currentToken() != token) {
-            throw new MalformedInputException(name + " is " + parser.currentToken() + ", not " + token);
+            throw new MalformedInputException(name + " is " + parser.currentToken() + ", expected " + token);
         }
     }
 
-    /** A string. */
+    /** Reads a string. */
     static String string(JsonParser parser, String name) throws IOException {
         if (parser.currentToken() != JsonToken.VALUE_STRING) {
             throw new MalformedInputException(name + " is not a string");
@@ -29,13 +29,13 @@
         return parser.getText();
     }
 
-    /** An integer of 64 bits. */
+    /** Reads a 64-bit integer. */
     static long integer(JsonParser parser, String name) throws IOException {
         requireInteger(parser, name);
         return parser.getLongValue();
     }
 
-    /** The low 64 bits of an integer, for values that are unsigned. */
+    /** Reads the low 64 bits of an integer, for unsigned values. */
     static long unsignedInteger(JsonParser parser, String name) throws IOException {
         requireInteger(parser, name);
         return parser.getBigIntegerValue().longValue();
@@ -47,7 +47,7 @@
         }
     }
 
-    /** A number. */
+    /** Reads a number. */
     static double number(JsonParser parser, String name) throws IOException {
         if (parser.currentToken() == null || !parser.currentToken().isNumeric()) {
             throw new MalformedInputException(name + " is not a number");
@@ -55,7 +55,7 @@
         return parser.getDoubleValue();
     }
 
-    /** A time, which the input gives in seconds, in microseconds. */
+    /** Reads a time in seconds and returns it in microseconds. */
     static long micros(JsonParser parser, String name) throws IOException {
         return Clock.secondsToMicros(number(parser, name));
     }
--- a/node/src/main/java/tulipshed/simadapter/LoadReportReader.java
+++ b/node/src/main/java/tulipshed/simadapter/LoadReportReader.java
@@ -5,11 +5,11 @@
 import java.io.IOException;
 import tulipshed.decision.api.LoadReport;
 
-/** Reads a load report; external name Telemetry. Values that are absent are NaN, unknown fields are skipped. */
+/** Reads a load report, external name {@code Telemetry}. Absent values are NaN; unknown fields are skipped. */
 final class LoadReportReader {
     private LoadReportReader() {}
 
-    /** Reads the report whose start is the parser's current token. */
+    /** Reads a report; the parser's current token is its start. */
     static LoadReport read(JsonParser parser) throws IOException {
         JsonTokens.expect(parser, JsonToken.START_OBJECT, "Telemetry");
         double inflight = Double.NaN;
--- a/node/src/main/java/tulipshed/simadapter/ReplyWriter.java
+++ b/node/src/main/java/tulipshed/simadapter/ReplyWriter.java
@@ -10,11 +10,11 @@
 import tulipshed.time.Clock;
 
 /**
- * Writes the actions of all instances as lines of JSON. This is the one place that knows their external names: the value
- * of {@code cmd} and the keys quoted below. Confined to the adapter's thread; the output is flushed at each batch's end.
+ * Writes the actions of all instances as lines of JSON. Their external names, the values of {@code cmd} and the field
+ * names, are defined only here. Confined to the adapter's thread; the output is flushed at the end of each batch.
  */
 final class ReplyWriter implements BalancerActions {
-    /** The external recipient of a message to all peers. */
+    /** External value of {@code To} for a message to all peers. */
     private static final String TO_ALL_PEERS = "*";
 
     private final JsonGenerator json;
@@ -40,16 +40,16 @@
         json.flush();
     }
 
-    /** Writes that the instance failed with an exception. */
+    /** Writes that the instance threw an exception. */
     void exception(String message) {
         writeLine("Exception", () -> json.writeStringField("Msg", message));
     }
 
     @Override
-    public void startAttempt(long requestId, String endpoint, long timeoutUs) {
+    public void startAttempt(long requestId, String endpointId, long timeoutUs) {
         writeLine("CallOut", () -> {
             json.writeNumberField("MsgId", requestId);
-            json.writeStringField("Server", endpoint);
+            json.writeStringField("Server", endpointId);
             if (timeoutUs != 0) {
                 writeSeconds("PatienceS", timeoutUs);
             }
@@ -93,17 +93,17 @@
     }
 
     @Override
-    public void startHealthCheck(String endpoint) {
-        writeLine("Poll", () -> json.writeStringField("Server", endpoint));
+    public void startHealthCheck(String endpointId) {
+        writeLine("Poll", () -> json.writeStringField("Server", endpointId));
     }
 
     @Override
-    public void sendToPeer(int peer, byte[] body) {
+    public void sendToPeer(int peerIndex, byte[] body) {
         writeLine("WritePeer", () -> {
-            if (peer == ALL_PEERS) {
+            if (peerIndex == ALL_PEERS) {
                 json.writeStringField("To", TO_ALL_PEERS);
             } else {
-                json.writeNumberField("To", peer);
+                json.writeNumberField("To", peerIndex);
             }
             json.writeBinaryField("Body", body);
         });
@@ -119,7 +119,7 @@
         writeLine("WriteLog", () -> json.writeStringField("Msg", message));
     }
 
-    /** Writes the fields of one line that follow its type and instance. */
+    /** Writes the fields of a line that follow its type and instance. */
     private interface FieldWriter {
         void write() throws IOException;
     }
--- a/node/src/main/java/tulipshed/simadapter/RequestFields.java
+++ b/node/src/main/java/tulipshed/simadapter/RequestFields.java
@@ -7,7 +7,7 @@
 import tulipshed.decision.api.NewRequest;
 import tulipshed.time.Clock;
 
-/** The fields of one line that describe a request; {@link #readField} has their external names. */
+/** The fields of a line that describe a request; {@link #readField} lists their external names. */
 final class RequestFields {
     private static final long NO_ID = -1;
     private static final int NO_TENANT = -1;
@@ -18,12 +18,12 @@
     private String key;
     private String group;
     private long timeoutUs;
-    private double loadHintPerS;
+    private double loadHintSPerS;
     private boolean retry;
     private boolean exemptFromAdmission;
     private boolean reconnecting;
 
-    /** Reads the parser's current token as the value of that field; false where it is none of a request. */
+    /** Reads the parser's current token as the value of the named field; returns false if it is not a field of a request. */
     boolean readField(JsonParser parser, String name) throws IOException {
         switch (name) {
             case "MsgId" -> id = JsonTokens.integer(parser, name);
@@ -32,7 +32,7 @@
             case "Subject" -> key = JsonTokens.string(parser, name);
             case "TeamId" -> group = JsonTokens.string(parser, name);
             case "GraceS" -> timeoutUs = JsonTokens.micros(parser, name);
-            case "SizeHintS" -> loadHintPerS = JsonTokens.number(parser, name);
+            case "SizeHintS" -> loadHintSPerS = JsonTokens.number(parser, name);
             case "Resent" -> retry = parser.getValueAsBoolean();
             case "Stray" -> exemptFromAdmission = parser.getValueAsBoolean();
             case "Returned" -> reconnecting = parser.getValueAsBoolean();
@@ -47,7 +47,7 @@
      * Returns the request's ID.
      *
      * @param eventName the external name of the event, for the error message
-     * @throws MalformedInputException if there is none
+     * @throws MalformedInputException if it is absent
      */
     long id(String eventName) {
         if (id < 0) {
@@ -57,15 +57,15 @@
     }
 
     /**
-     * Returns the request, its class and tenant translated to indexes.
+     * Returns the request, with its class and tenant translated to indexes.
      *
      * @param eventName the external name of the event, for the error message
-     * @throws MalformedInputException if its class is unknown, or it has no ID
+     * @throws MalformedInputException if the class is unknown or the ID is absent
      */
     NewRequest newRequest(String eventName, NameIndex names) {
         Integer requestClass = names.classIndex(className);
         if (requestClass == null) {
-            throw new MalformedInputException("unknown Service " + className);
+            throw new MalformedInputException("unknown Service: " + className);
         }
         Integer tenant = names.tenantIndex(tenantName);
         return new NewRequest(
@@ -75,7 +75,7 @@
                 key,
                 group,
                 timeoutUs,
-                loadHintPerS * Clock.MICROS_PER_SECOND,
+                loadHintSPerS * Clock.MICROS_PER_SECOND,
                 retry,
                 exemptFromAdmission,
                 reconnecting);
--- a/node/src/main/java/tulipshed/simadapter/WireEvent.java
+++ b/node/src/main/java/tulipshed/simadapter/WireEvent.java
@@ -9,9 +9,9 @@
 import tulipshed.time.Clock;
 
 /**
- * One line of the simulator's input. This class, its groups of fields and the readers of nested values translate the
- * external names to the terms of the decision module. A field that is absent or null has its default, and unknown fields
- * are skipped. Read once, not changed afterwards.
+ * One line of the simulator's input. This class, the field groups and the readers of nested values translate the external
+ * names to the terms of the decision module. A field that is absent or null has its default value, and unknown fields are
+ * skipped. Not modified after it was read.
  */
 final class WireEvent {
     private static final long NO_FRAME = -1;
@@ -38,12 +38,12 @@
      * Reads one line.
      *
      * @param first the parser's current token, the first of the line
-     * @throws MalformedInputException if the line is no object, has no {@code cmd}, or a field has another type
+     * @throws MalformedInputException if the line is not an object, has no {@code cmd}, or a field has the wrong type
      * @throws IOException if the input cannot be read or is not JSON
      */
     static WireEvent read(JsonParser parser, JsonToken first) throws IOException {
         if (first != JsonToken.START_OBJECT) {
-            throw new MalformedInputException("a line that is not an object: " + first);
+            throw new MalformedInputException("expected an object, got " + first);
         }
         WireEvent event = new WireEvent();
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
@@ -52,10 +52,10 @@
             }
         }
         if (parser.currentToken() != JsonToken.END_OBJECT) {
-            throw new MalformedInputException("a line that does not end");
+            throw new MalformedInputException("input ends within an object");
         }
         if (event.typeName == null) {
-            throw new MalformedInputException("a line without cmd");
+            throw new MalformedInputException("object without cmd");
         }
         return event;
     }
@@ -65,13 +65,13 @@
                 || attempt.readField(parser, name)
                 || connectionReport.readField(parser, name)
                 || endpointList.readField(parser, name)
-                || readOwnField(parser, name);
+                || readOtherField(parser, name);
         if (!read) {
             parser.skipChildren();
         }
     }
 
-    private boolean readOwnField(JsonParser parser, String name) throws IOException {
+    private boolean readOtherField(JsonParser parser, String name) throws IOException {
         switch (name) {
             case "cmd" -> typeName = JsonTokens.string(parser, name);
             case "Who" -> instance = JsonTokens.string(parser, name);
@@ -105,7 +105,7 @@
         return typeName;
     }
 
-    /** Returns the name of the instance that the event is for, or null. */
+    /** Returns the name of the instance that the event is addressed to, or null. */
     String instance() {
         return instance;
     }
@@ -120,17 +120,17 @@
         return Clock.secondsToMicros(timeS);
     }
 
-    /** Returns the number of a batch, which its reply repeats. */
+    /** Returns the number of a batch, which its reply contains too. */
     long frame() {
         return frame;
     }
 
-    /** Returns the seed of an instance's random source. */
+    /** Returns the seed of an instance's random number generator. */
     long seed() {
         return seed;
     }
 
-    /** Returns the settings of an instance in their external form, which the reader of settings translates. */
+    /** Returns the settings of an instance in their external form, for {@code SettingsReader}. */
     Map<String, Object> settings() {
         if (settings == null) {
             throw new MalformedInputException("Provision without Settings");
@@ -138,7 +138,7 @@
         return settings;
     }
 
-    /** Returns the fields that describe a request. */
+    /** Returns the fields of a request. */
     RequestFields request() {
         return request;
     }
@@ -148,17 +148,17 @@
         return request.id(typeName);
     }
 
-    /** Returns the fields that describe an attempt, or the result of an attempt or a health check. */
+    /** Returns the fields of an attempt, or of the result of an attempt or a health check. */
     AttemptFields attempt() {
         return attempt;
     }
 
-    /** Returns the fields that report on an established connection. */
+    /** Returns the fields of a report on an established connection. */
     ConnectionReportFields connectionReport() {
         return connectionReport;
     }
 
-    /** Returns the fields that carry an endpoint list. */
+    /** Returns the fields of an endpoint list. */
     EndpointListFields endpointList() {
         return endpointList;
     }
@@ -171,17 +171,17 @@
         return endpoint;
     }
 
-    /** Returns the token that the instance gave its timer. */
+    /** Returns the token of the expired timer. */
     long timerToken() {
         return timerToken;
     }
 
-    /** Returns the index of the instance that sent a message. */
+    /** Returns the index of the instance that sent the message. */
     int sendingPeer() {
         return sendingPeer;
     }
 
-    /** Returns the content of a message. */
+    /** Returns the body of the message. */
     byte[] body() {
         return body;
     }
