--- a/node/src/test/java/tulipshed/decision/AdmissionControlTest.java
+++ b/node/src/test/java/tulipshed/decision/AdmissionControlTest.java
@@ -51,7 +51,7 @@
     void rejectsBusyTenantAndAdmitsIdleTenantWhenEndpointsAreFull() {
         Balancer balancer = setup.balancerWithEndpoints(1);
         long id = 0;
-        // No attempt is established, so the pending limit of the only endpoint is reached and the depth is one.
+        // No attempt is established, so the only endpoint reaches its pending limit and the depth is 1.
         for (int i = 0; i < 30; i++) {
             balancer.requestArrived(i * 1000L, request(++id, 0, null, 2 * SECOND));
         }
@@ -60,16 +60,16 @@
         assertEquals(
                 1,
                 busy.stream()
-                        .filter(l -> l.startsWith("log rejecting requests: "))
+                        .filter(line -> line.startsWith("log rejecting requests: "))
                         .count(),
-                "one line in ten seconds");
+                "one line per ten seconds");
         balancer.requestArrived(40_000, request(++id, 1, null, 2 * SECOND));
         assertEquals(List.of("start 31 " + endpointName(0)), recorder.take());
     }
 
     @Test
     void acceptancesRaisePendingLimitAndFullOutcomeHalvesIt() {
-        // Eight acceptances raise the limit from 4 to 12, which leaves the depth low with eleven pending.
+        // Eight acceptances raise the pending limit from 4 to 12.
         Balancer balancer = setup.balancerWithEndpoints(1);
         for (long id = 1; id <= 8; id++) {
             balancer.requestArrived(id, request(id));
@@ -79,10 +79,14 @@
         for (long id = 11; id <= 16; id++) {
             balancer.requestArrived(id, request(id));
         }
-        // Three while the depth is below a quarter, then the bucket's last token; with a limit of 4 it would be two.
+        // Three are admitted at a depth below a quarter, then one by the bucket's last token; with a limit of 4 it
+        // would be two.
         assertEquals(
-                4, recorder.take().stream().filter(l -> l.startsWith("start")).count());
-        // Full twice: 12 -> 6 -> 3; the depth is two thirds, and the bucket is empty.
+                4,
+                recorder.take().stream()
+                        .filter(line -> line.startsWith("start"))
+                        .count());
+        // Two FULL outcomes halve the limit twice, from 12 to 6 to 3; the depth is two thirds, and the bucket is empty.
         end(balancer, 20, 11, 0, true, Outcome.FULL);
         end(balancer, 21, 12, 0, true, Outcome.FULL);
         for (long id = 21; id <= 30; id++) {
--- a/node/src/test/java/tulipshed/decision/BalancerSetup.java
+++ b/node/src/test/java/tulipshed/decision/BalancerSetup.java
@@ -19,7 +19,7 @@
 import tulipshed.decision.api.Tenant;
 import tulipshed.decision.api.WeightSemantics;
 
-/** Fixture of the tests of a balancer: settings with simple defaults, endpoints, requests and recorded actions. */
+/** Test fixture for a balancer: settings with simple defaults, endpoints, requests and recorded actions. */
 final class BalancerSetup {
     /** One second in microseconds. */
     static final long SECOND = 1_000_000;
@@ -45,9 +45,9 @@
     boolean healthChecks;
 
     BalancerSettings settings() {
-        List<Tenant> list = new ArrayList<>();
+        List<Tenant> tenantList = new ArrayList<>();
         for (int i = 0; i < tenants; i++) {
-            list.add(new Tenant(namePrefix + "tenant" + i, 1.0 / tenants, 4, quotaConnections));
+            tenantList.add(new Tenant(namePrefix + "tenant" + i, 1.0 / tenants, 4, quotaConnections));
         }
         return new BalancerSettings(
                 0,
@@ -71,7 +71,7 @@
                         deduplicationScope,
                         5 * SECOND,
                         100_000)),
-                list);
+                tenantList);
     }
 
     /** A balancer without endpoints, whose actions are recorded. */
@@ -79,7 +79,7 @@
         return new Balancer(settings(), seed, 0, recorder);
     }
 
-    /** A balancer with seed 1 and this many endpoints, whose actions are recorded from now on. */
+    /** A balancer with seed 1 and this many endpoints; the actions recorded so far are cleared. */
     Balancer balancerWithEndpoints(int count) {
         Balancer balancer = balancer(1);
         listEndpoints(balancer, 0, count);
@@ -87,12 +87,12 @@
         return balancer;
     }
 
-    /** The entry of a serving endpoint that has run for long. */
+    /** The list entry of a serving endpoint that started long ago. */
     EndpointInfo endpoint(int i) {
         return endpoint(i, EndpointStatus.SERVING, 0);
     }
 
-    /** The entry of an endpoint; odd and even numbers differ in zone and machine type, two in a row share a cell. */
+    /** The list entry of an endpoint; odd and even indexes differ in zone and machine type, indexes 2n and 2n+1 share a cell. */
     EndpointInfo endpoint(int i, EndpointStatus status, long startedUs) {
         return new EndpointInfo(
                 endpointName(i), status, namePrefix + "zone" + i % 2, i / 2, namePrefix + "kind" + i % 2, 1, startedUs);
@@ -102,7 +102,7 @@
         return "server" + i;
     }
 
-    /** Gives a balancer a list of this many serving endpoints. */
+    /** Sends a balancer a list of this many serving endpoints. */
     void listEndpoints(Balancer balancer, long now, int count) {
         List<EndpointInfo> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -119,8 +119,8 @@
         return new NewRequest(id, 0, tenant, "key" + id, group, timeoutUs, 0, false, false, false);
     }
 
-    /** Plays one request, of one of seven groups and two tenants, and its outcome: each fifth is reset. */
-    static void playRequest(Balancer balancer, long now, long id) {
+    /** Sends a request of one of seven groups and two tenants, then its outcome; every fifth attempt is reset. */
+    static void sendRequestWithOutcome(Balancer balancer, long now, long id) {
         balancer.requestArrived(now, request(id, (int) id % 2, "g" + id % 7, 2 * SECOND));
         if (id % 5 == 0) {
             end(balancer, now, id, 0, false, Outcome.RESET);
--- a/node/src/test/java/tulipshed/decision/DiscoveryPollingTest.java
+++ b/node/src/test/java/tulipshed/decision/DiscoveryPollingTest.java
@@ -14,7 +14,7 @@
     private final BalancerSetup setup = new BalancerSetup();
     private final RecordingActions recorder = setup.recorder;
 
-    /** A change must arrive within 6 s of discovery having it, whatever failed before. */
+    /** A change must arrive within 6 s after discovery has it, even after failed polls. */
     @Test
     void pollsWithinTimeAllowedAndSoonAfterAnyNumberOfFailures() {
         setup.polledDiscovery = true;
@@ -29,10 +29,10 @@
             timer = recorder.take().get(0).split(" ");
             waits.add(Long.parseLong(timer[1]));
         }
-        assertTrue(waits.stream().allMatch(w -> w >= SECOND / 2 && w < 2 * SECOND), waits.toString());
-        // By chance, so that those who failed together do not come again together.
-        assertTrue(waits.stream().mapToLong(w -> w).max().getAsLong()
-                        - waits.stream().mapToLong(w -> w).min().getAsLong()
+        assertTrue(waits.stream().allMatch(waitUs -> waitUs >= SECOND / 2 && waitUs < 2 * SECOND), waits.toString());
+        // The delays are random, so that balancers whose polls failed together do not poll together again.
+        assertTrue(waits.stream().mapToLong(waitUs -> waitUs).max().getAsLong()
+                        - waits.stream().mapToLong(waitUs -> waitUs).min().getAsLong()
                 > SECOND);
     }
 }
--- a/node/src/test/java/tulipshed/decision/EmbeddingExampleTest.java
+++ b/node/src/test/java/tulipshed/decision/EmbeddingExampleTest.java
@@ -12,7 +12,7 @@
 import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.Outcome;
 
-/** The embedding example of the README. */
+/** Runs the embedding example of the README. */
 class EmbeddingExampleTest {
     @Test
     void exampleOfReadmeWorks() {
--- a/node/src/test/java/tulipshed/decision/EndpointPoolTest.java
+++ b/node/src/test/java/tulipshed/decision/EndpointPoolTest.java
@@ -6,8 +6,8 @@
 import static tulipshed.decision.BalancerSetup.SECOND;
 import static tulipshed.decision.BalancerSetup.end;
 import static tulipshed.decision.BalancerSetup.endpointName;
-import static tulipshed.decision.BalancerSetup.playRequest;
 import static tulipshed.decision.BalancerSetup.request;
+import static tulipshed.decision.BalancerSetup.sendRequestWithOutcome;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -39,9 +39,10 @@
 
     @Test
     void unusedPoolsChangeNoDecision() {
-        List<String> without = play(Map.of());
-        assertTrue(without.size() > 300);
-        assertEquals(without, play(Map.of("p", Set.of(endpointName(1), endpointName(3), "unknown"), "q", Set.of())));
+        List<String> withoutPools = play(Map.of());
+        assertTrue(withoutPools.size() > 300);
+        assertEquals(
+                withoutPools, play(Map.of("p", Set.of(endpointName(1), endpointName(3), "unknown"), "q", Set.of())));
     }
 
     private List<String> play(Map<String, Set<String>> pools) {
@@ -50,7 +51,7 @@
         balancer.poolsChanged(0, pools);
         for (long id = 1; id <= 400; id++) {
             long now = id * 5000;
-            playRequest(balancer, now, id);
+            sendRequestWithOutcome(balancer, now, id);
             if (id % 50 == 0) {
                 balancer.endpointsChanged(
                         now,
@@ -62,7 +63,7 @@
         return recorder.take();
     }
 
-    /** The depth of all endpoints together is low here and would admit everything. */
+    /** Admission goes by the depth of the pool; by the low depth of all endpoints it would admit every request. */
     @Test
     void fullPoolRejectsOnlyItsOwnRequests() {
         Balancer balancer = setup.balancerWithEndpoints(12);
@@ -79,7 +80,7 @@
             balancer.requestArrived(i, restricted(++id, "small"));
             rejected += recorder.take().get(0).startsWith("reject") ? 1 : 0;
         }
-        assertTrue(rejected > 20, "one endpoint takes 4 before it is known: " + rejected);
+        assertTrue(rejected > 20, "an endpoint without observations takes 4: " + rejected);
         for (int i = 0; i < 4; i++) {
             balancer.requestArrived(40, restricted(++id, "rest"));
             assertTrue(List.of(endpointName(5), endpointName(6), endpointName(7), endpointName(8), endpointName(9))
@@ -99,7 +100,7 @@
         assertTrue(lines.size() == 1 && lines.get(0).startsWith("timer"), lines.toString());
         long token = Long.parseLong(lines.get(0).split(" ")[2]);
         balancer.timerFired(200_000, token);
-        assertTrue(recorder.take().get(0).startsWith("timer"), "still held, as there is time");
+        assertTrue(recorder.take().get(0).startsWith("timer"), "still held before the deadline");
         assertEquals(0, balancer.eligibleCount(200_000, "p"));
         assertEquals(1, balancer.eligibleCount(200_000, "q"));
         assertEquals(3, balancer.eligibleCount(200_000, null));
@@ -125,7 +126,7 @@
         assertEquals(0, balancer.parts.requests.size());
     }
 
-    /** A group has preferred endpoints and holders in each pool. */
+    /** A group has separate preferred endpoints and holders in each pool. */
     @Test
     void keepsGroupsTogetherWithinTheirPool() {
         setup.groupAffinity = true;
@@ -145,7 +146,7 @@
         assertTrue(pool.containsAll(used) && used.size() <= 2, used.toString());
     }
 
-    /** Every sum over a pool equals a recount after any sequence of events. */
+    /** After any sequence of events, each sum over a pool equals a recount. */
     @Property(tries = 60, seed = "51", shrinking = ShrinkingMode.OFF)
     void attemptsStayInTheirPoolAndSumsAreConsistent(@ForAll long seed) {
         PoolEvents events = new PoolEvents(seed);
@@ -173,11 +174,11 @@
             balancer = new Balancer(setup.settings(), seed, 0, new ForwardingActions(new RecordingActions()) {
                 @Override
                 public void startAttempt(long requestId, String endpointId, long timeoutUs) {
-                    assertTrue(serving.contains(endpointId), endpointId + " does not serve");
+                    assertTrue(serving.contains(endpointId), endpointId + " is not serving");
                     String pool = poolOf.get(requestId);
                     assertTrue(
                             pool == null || pools.getOrDefault(pool, Set.of()).contains(endpointId),
-                            endpointId + " is not of " + pool);
+                            endpointId + " is not in pool " + pool);
                     openAttempts.put(requestId, attempts.merge(requestId, 1, Integer::sum) - 1);
                 }
             });
--- a/node/src/test/java/tulipshed/decision/GroupAffinityTest.java
+++ b/node/src/test/java/tulipshed/decision/GroupAffinityTest.java
@@ -16,7 +16,7 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
 
-/** Connections of a group stay on few endpoints. */
+/** Placement of the connections of a group on few endpoints. */
 class GroupAffinityTest {
     private final BalancerSetup setup = new BalancerSetup();
     private final RecordingActions recorder = setup.recorder;
@@ -39,7 +39,7 @@
         assertTrue(used.size() <= 25, "endpoints used: " + used.size());
     }
 
-    /** With many balancers, a warming endpoint would otherwise take on a share of every group. */
+    /** With many balancers, a warming endpoint would otherwise receive connections of every group. */
     @Test
     void prefersGroupHolderOverWarmingEndpoint() {
         setup.groupAffinity = true;
@@ -68,20 +68,21 @@
             sent.merge(recorder.attemptedEndpoint(), 1, Integer::sum);
             balancer.attemptEstablished(id * SECOND, id, 0, 1000);
         }
-        sent.forEach((endpoint, many) -> assertTrue(many <= 21, endpoint + " was sent " + many + " of 80 over eight"));
+        sent.forEach((endpoint, count) ->
+                assertTrue(count <= 21, endpoint + " was sent " + count + " of 80 connections for eight endpoints"));
     }
 
-    /** Otherwise groups would go to their holders until these are late, while other endpoints are idle. */
+    /** Otherwise holders would attract their groups until they exceed the latency objective, while other endpoints are idle. */
     @Test
-    void choosesLighterGroupHolderAndBoundsItByTwiceEvenLoadWithLoadReports() {
+    void choosesLessLoadedGroupHolderAndBoundsItByTwiceEvenLoadWithLoadReports() {
         setup.groupAffinity = true;
-        int lighter = 0;
+        int lessLoaded = 0;
         for (int seed = 0; seed < 200; seed++) {
             Balancer balancer = balancerWithLoads(seed);
             balancer.requestArrived(0, request(3, 0, "g", 2 * SECOND));
-            lighter += recorder.attemptedEndpoint().equals(endpointName(2)) ? 1 : 0;
+            lessLoaded += recorder.attemptedEndpoint().equals(endpointName(2)) ? 1 : 0;
         }
-        assertTrue(lighter > 130, "of 200, three quarters by two draws and half by one: " + lighter);
+        assertTrue(lessLoaded > 130, "of 200, three quarters by two draws and half by one: " + lessLoaded);
         Balancer balancer = balancerWithLoads(1);
         Map<String, Integer> sent = new HashMap<>();
         for (int id = 3; id <= 80; id++) {
@@ -89,10 +90,11 @@
             sent.merge(recorder.attemptedEndpoint(), 1, Integer::sum);
             balancer.attemptEstablished(id * SECOND, id, 0, 1000);
         }
-        sent.forEach((endpoint, many) -> assertTrue(many <= 24, endpoint + " was sent " + many + " of 78 over eight"));
+        sent.forEach((endpoint, count) ->
+                assertTrue(count <= 24, endpoint + " was sent " + count + " of 78 connections for eight endpoints"));
     }
 
-    /** The list may name the endpoint of an adopted connection late, or never; until then it has no weight. */
+    /** The endpoint of an adopted connection may be listed late or never; until then it has no weight. */
     @Test
     void holderThatIsNotListedAttractsNothing() {
         setup.groupAffinity = true;
@@ -118,7 +120,7 @@
         assertTrue(listed > 160, "of 200, eight ninths by two draws and two thirds by one: " + listed);
     }
 
-    /** Two connections without a group at each of eight endpoints; endpoints 1 and 2 hold a heavy and a light one of g. */
+    /** Two connections without a group at each of eight endpoints; of group g, endpoint 1 holds one of high load and endpoint 2 one of low load. */
     private Balancer balancerWithLoads(int seed) {
         Balancer balancer = setup.balancer(seed);
         setup.listEndpoints(balancer, 0, 8);
--- a/node/src/test/java/tulipshed/decision/HealthCheckComparisonTest.java
+++ b/node/src/test/java/tulipshed/decision/HealthCheckComparisonTest.java
@@ -32,7 +32,7 @@
         assertEquals(List.of(), recorder.take());
         balancer.healthCheckCompleted(2000, endpointName(1), Outcome.OK, report(0.4));
         assertEquals(List.of("start 1 " + endpointName(1)), recorder.take());
-        // The reports are still current: no further health check, and the same choice.
+        // The reports are still current, so there is no further health check, and the choice is the same.
         balancer.requestArrived(3000, request(2));
         assertEquals(List.of("start 2 " + endpointName(1)), recorder.take());
     }
@@ -47,14 +47,16 @@
         balancer.timerFired(200_000, Long.parseLong(timer.split(" ")[2]));
         assertEquals(
                 1,
-                recorder.take().stream().filter(l -> l.startsWith("start 1 ")).count());
+                recorder.take().stream()
+                        .filter(line -> line.startsWith("start 1 "))
+                        .count());
         balancer.healthCheckCompleted(300_000, endpointName(0), Outcome.TIMEOUT, LoadReport.NONE);
         assertEquals(List.of(), recorder.take());
     }
 
-    /** Neither the reports nor the end of the wait start an attempt. */
+    /** Neither the health check results nor the end of the wait may start an attempt. */
     @Test
-    void startsNoAttemptForClientThatLeftDuringHealthChecks() {
+    void startsNoAttemptForClientThatDisconnectedDuringHealthChecks() {
         setup.healthChecks = true;
         setup.loadReportSource = LoadReportSource.HEALTH_CHECKS;
         Balancer balancer = setup.balancerWithEndpoints(2);
--- a/node/src/test/java/tulipshed/decision/LoadSheddingTest.java
+++ b/node/src/test/java/tulipshed/decision/LoadSheddingTest.java
@@ -14,13 +14,13 @@
 import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.Outcome;
 
-/** Load shedding after endpoints drop connections, where the balancer holds few. */
+/** Load shedding after endpoints have dropped connections of a balancer that holds few. */
 class LoadSheddingTest {
     private static final int REQUESTS = 200;
     private final BalancerSetup setup = new BalancerSetup();
     private final RecordingActions recorder = setup.recorder;
 
-    /** One of very many balancers: thirty endpoints and this many connections. */
+    /** A balancer with thirty endpoints and this many connections, as one of very many balancers would have. */
     private Balancer balancerWithConnections(int connections) {
         Balancer balancer = setup.balancer(1);
         setup.listEndpoints(balancer, 0, 30);
@@ -30,7 +30,7 @@
         return balancer;
     }
 
-    /** How many of 200 requests that end at once are rejected. */
+    /** The number of rejections of 200 requests whose connections end at once. */
     private int rejected(Balancer balancer, long now, boolean reconnecting) {
         recorder.take();
         int rejected = 0;
@@ -52,11 +52,13 @@
         Balancer balancer = balancerWithConnections(3);
         assertEquals(0, rejected(balancer, 1, true), "nothing dropped yet");
         end(balancer, SECOND, 1000, 0, true, Outcome.RESET);
-        int many = rejected(balancer, SECOND, true);
-        assertTrue(many > REQUESTS * 0.8 && many < REQUESTS * 0.97, "right after: " + many);
+        int rejectedAfterDrop = rejected(balancer, SECOND, true);
+        assertTrue(
+                rejectedAfterDrop > REQUESTS * 0.8 && rejectedAfterDrop < REQUESTS * 0.97,
+                "right after: " + rejectedAfterDrop);
         assertEquals(0, rejected(balancer, SECOND, false), "new clients");
-        int few = rejected(balancer, 46 * SECOND, true);
-        assertTrue(few > 0 && few < REQUESTS * 0.25, "45 s later: " + few);
+        int rejectedLater = rejected(balancer, 46 * SECOND, true);
+        assertTrue(rejectedLater > 0 && rejectedLater < REQUESTS * 0.25, "45 s later: " + rejectedLater);
         assertEquals(0, rejected(balancer, 180 * SECOND, true), "three minutes later");
     }
 
--- a/node/src/test/java/tulipshed/decision/MachineTypeTest.java
+++ b/node/src/test/java/tulipshed/decision/MachineTypeTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Estimates of the relative speeds of machine types where observations are missing or say nothing. */
+/** Estimates of the relative speeds of machine types where observations are missing or uninformative. */
 class MachineTypeTest {
     private static final double PRIOR_OBSERVATIONS = 4;
 
@@ -14,9 +14,9 @@
     private final MachineType second = new MachineType();
     private final List<MachineType> all = List.of(first, second);
 
-    /** Its connections stand at draining endpoints, so there is no size to compare their number with. */
+    /** All endpoints of such a type are draining, so there is no size to compare the number of its connections with. */
     @Test
-    void adoptionsOfTypeWithoutReadyEndpointSayNothing() {
+    void adoptionsOfTypeWithoutReadyEndpointAreIgnored() {
         first.addReadySize(0, 1);
         first.recordAdoption(all);
         second.recordAdoption(all);
@@ -24,18 +24,18 @@
     }
 
     @Test
-    void roundingErrorOfRemovedSizesIsNoReadyEndpoint() {
+    void roundingErrorOfRemovedSizesDoesNotCountAsReadyEndpoint() {
         first.addReadySize(0, 1);
         for (double size : new double[] {0.1, 0.2, -0.1, -0.2}) {
             second.addReadySize(0, size);
         }
-        assertTrue(second.readySize(0) != 0, "leaves a rounding error");
+        assertTrue(second.readySize(0) != 0, "the sum has a rounding error");
         second.recordAdoption(all);
         assertSpeeds(1, 1);
     }
 
     @Test
-    void setupsTooShortForTheClockSayNothing() {
+    void setupsBelowClockResolutionAreIgnored() {
         first.recordSetup(0);
         assertSpeeds(1, 1);
         second.recordSetup(1);
@@ -43,14 +43,15 @@
     }
 
     @Test
-    void observationsThatSaySomethingCountStill() {
+    void informativeObservationsAreCounted() {
         first.addReadySize(0, 1);
         second.addReadySize(0, 1);
         for (int i = 0; i < 3; i++) {
             first.recordAdoption(all);
         }
         second.recordAdoption(all);
-        // The adoptions of each type by its share of them, with as many observations as these and the prior.
+        // Each type has its share of the adoptions, relative to an even share, weighted by their number against the
+        // prior.
         assertSpeeds(Math.pow(1.5, 3 / (3 + PRIOR_OBSERVATIONS)), Math.pow(0.5, 1 / (1 + PRIOR_OBSERVATIONS)));
     }
 
--- a/node/src/test/java/tulipshed/decision/ManyEndpointsTest.java
+++ b/node/src/test/java/tulipshed/decision/ManyEndpointsTest.java
@@ -12,7 +12,7 @@
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.Outcome;
 
-/** Queries cost the same however many endpoints there are, and give what a look at each of them gives. */
+/** The cost of queries is independent of the number of endpoints, and their results equal those of a full scan. */
 class ManyEndpointsTest {
     private static final int MANY = 3200;
     private static final int EJECTED = 3;
@@ -21,18 +21,18 @@
 
     @Test
     void countingEligibleEndpointsVisitsEjectedOnesOnly() throws ReflectiveOperationException {
-        Balancer balancer = balancerThatFailsToVisitOthersThanEjectedEndpoints();
+        Balancer balancer = balancerThatThrowsOnVisitingEndpointsNotEjected();
         assertEquals(MANY - EJECTED, balancer.eligibleCount(0, null));
     }
 
     @Test
     void countingIneligibleEndpointsVisitsEjectedOnesOnly() throws ReflectiveOperationException {
-        Balancer balancer = balancerThatFailsToVisitOthersThanEjectedEndpoints();
+        Balancer balancer = balancerThatThrowsOnVisitingEndpointsNotEjected();
         assertEquals(EJECTED, balancer.ineligibleCount(0));
     }
 
-    /** Whether an endpoint is ready cannot be asked of those that are not ejected, and the list seems not to name them. */
-    private Balancer balancerThatFailsToVisitOthersThanEjectedEndpoints() throws ReflectiveOperationException {
+    /** Endpoints that are not ejected are broken on purpose: querying their readiness throws, and they seem unlisted. */
+    private Balancer balancerThatThrowsOnVisitingEndpointsNotEjected() throws ReflectiveOperationException {
         Balancer balancer = setup.balancerWithEndpoints(MANY);
         EndpointPool all = balancer.parts.pools.allEndpoints;
         for (int i = 0; i < EJECTED; i++) {
@@ -47,15 +47,15 @@
         return balancer;
     }
 
-    /** Through ejections, drains, removals with open connections, adoptions at unlisted endpoints and their end. */
+    /** Covers ejections, drains, removals with open connections, and adoptions at unlisted endpoints and their end. */
     @Test
-    void countsEqualALookAtEachEndpoint() {
+    void countsEqualFullScanOfEndpoints() {
         Balancer balancer = setup.balancerWithEndpoints(60);
         SplittableRandom random = new SplittableRandom(7);
         int mostIneligible = 0;
         for (int step = 1; step <= 4000; step++) {
             long now = step * 50_000L;
-            act(balancer, now, step, random);
+            sendRandomEvent(balancer, now, step, random);
             EndpointPool all = balancer.parts.pools.allEndpoints;
             int eligible = 0;
             int ineligible = 0;
@@ -71,7 +71,7 @@
         assertTrue(mostIneligible > 5, "endpoints were ejected or drained: " + mostIneligible);
     }
 
-    private void act(Balancer balancer, long now, int step, SplittableRandom random) {
+    private void sendRandomEvent(Balancer balancer, long now, int step, SplittableRandom random) {
         int endpoint = random.nextInt(80);
         switch (random.nextInt(8)) {
             case 0 -> {
@@ -101,9 +101,9 @@
         }
     }
 
-    /** The bound that spares most logarithms must not change which endpoint is preferred. */
+    /** The bound that avoids computing most logarithms must not change which endpoint is preferred. */
     @Test
-    void preferredEndpointIsThatOfTheLowestScore() {
+    void preferredEndpointHasLowestScore() {
         SplittableRandom random = new SplittableRandom(3);
         for (int run = 0; run < 20; run++) {
             Balancer balancer = setup.balancerWithEndpoints(1 + random.nextInt(400));
@@ -114,19 +114,21 @@
             }
             ConnectionGroup group = new ConnectionGroup("g" + run, 2, 1e6);
             for (int rank = 0; rank < 50; rank++) {
-                assertSame(lowestScore(pool, group, rank), balancer.parts.groupAffinity.preferred(pool, group, rank));
+                assertSame(
+                        endpointWithLowestScore(pool, group, rank),
+                        balancer.parts.groupAffinity.preferred(pool, group, rank));
             }
         }
     }
 
-    private static EndpointState lowestScore(EndpointPool pool, ConnectionGroup group, int rank) {
+    private static EndpointState endpointWithLowestScore(EndpointPool pool, ConnectionGroup group, int rank) {
         EndpointState best = null;
-        double lowest = Double.MAX_VALUE;
+        double lowestScore = Double.MAX_VALUE;
         for (int i = 0; i < pool.ready.size(); i++) {
             EndpointState endpoint = pool.ready.get(i);
             double score = -Math.log(Hashing.uniform(group.hash, endpoint.hash, rank)) / endpoint.weight();
-            if (score < lowest) {
-                lowest = score;
+            if (score < lowestScore) {
+                lowestScore = score;
                 best = endpoint;
             }
         }
--- a/node/src/test/java/tulipshed/decision/MigrationTest.java
+++ b/node/src/test/java/tulipshed/decision/MigrationTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.decision.api.Outcome;
 
-/** Migration of established connections off late endpoints. */
+/** Migration of established connections off endpoints that exceed the message latency objective. */
 class MigrationTest {
     private final BalancerSetup setup = new BalancerSetup();
     private final RecordingActions recorder = setup.recorder;
--- a/node/src/test/java/tulipshed/decision/OutlierEjectionTest.java
+++ b/node/src/test/java/tulipshed/decision/OutlierEjectionTest.java
@@ -19,7 +19,7 @@
 import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.Outcome;
 
-/** Ejection of endpoints that fail or are late. */
+/** Ejection of endpoints that fail or exceed the message latency objective. */
 class OutlierEjectionTest {
     private final BalancerSetup setup = new BalancerSetup();
     private final RecordingActions recorder = setup.recorder;
@@ -42,7 +42,8 @@
     void usesAllEndpointsWhenMostAreEjected() {
         Balancer balancer = setup.balancerWithEndpoints(4);
         for (long id = 1; id <= 40; id++) {
-            // Exempt from admission, as the token buckets would reject others with most endpoints ejected.
+            // Exempt from admission, as the token buckets would otherwise reject requests while most endpoints are
+            // ejected.
             balancer.requestArrived(id, new NewRequest(id, 0, 0, "k", null, 2 * SECOND, 0, false, true, false));
             end(balancer, id, id, 0, true, Outcome.TIMEOUT);
         }
@@ -55,9 +56,9 @@
         assertEquals(4, used.size());
     }
 
-    /** Endpoints may drop a request that has hardly any time left, without a word. */
+    /** Endpoints may silently drop a request that has hardly any time left. */
     @Test
-    void silenceTowardsRequestWithHardlyAnyTimeEjectsNothing() {
+    void timeoutOfRequestWithHardlyAnyTimeEjectsNothing() {
         assertFalse(isAvoidedAfterTimeout(50_000));
         assertTrue(isAvoidedAfterTimeout(60_000));
     }
@@ -77,14 +78,16 @@
         endAdopted(balancer, 1, 1001, 0, Outcome.RESET);
         assertTrue(endpointsOfAttempts(balancer, 2, 1).contains(endpointName(0)));
         endAdopted(balancer, 6 * SECOND, 1002, 0, Outcome.RESET);
-        assertTrue(endpointsOfAttempts(balancer, 6 * SECOND, 101).contains(endpointName(0)), "not in a row");
+        assertTrue(
+                endpointsOfAttempts(balancer, 6 * SECOND, 101).contains(endpointName(0)),
+                "the resets are not consecutive");
         endAdopted(balancer, 6 * SECOND, 1003, 0, Outcome.RESET);
         assertFalse(endpointsOfAttempts(balancer, 6 * SECOND, 201).contains(endpointName(0)));
     }
 
-    /** Counted one by one, eight broken connections would eject their endpoint for 16 s. */
+    /** Counted one by one, eight reset connections would eject their endpoint for 16 s. */
     @Test
-    void connectionsBrokenTogetherCauseOneEjection() {
+    void connectionsResetTogetherCauseOneEjection() {
         Balancer balancer = setup.balancerWithEndpoints(4);
         for (int i = 0; i < 8; i++) {
             balancer.connectionAdopted(0, request(1000 + i), endpointName(0));
@@ -110,7 +113,7 @@
         assertEquals(List.of("reject 1"), actions, "rejected at once, without an attempt at a failing endpoint");
     }
 
-    /** A connection to a late endpoint is not served in time and keeps the endpoint late. */
+    /** A connection to a late endpoint is not served in time and keeps its latency above the objective. */
     @Test
     void prefersEligibleEndpointEvenIfMostAreLate() {
         Balancer balancer = setup.balancerWithEndpoints(4);
@@ -141,8 +144,8 @@
         assertEquals(2, balancer.ineligibleCount(1));
         balancer.endpointsChanged(
                 1, EndpointListKind.CHANGES, List.of(setup.endpoint(other, EndpointStatus.REMOVED, 0)));
-        assertEquals(1, balancer.ineligibleCount(1), "it is not listed any more");
-        assertEquals(0, balancer.ineligibleCount(60 * SECOND), "an ejection ends by itself");
+        assertEquals(1, balancer.ineligibleCount(1), "a removed endpoint is not counted");
+        assertEquals(0, balancer.ineligibleCount(60 * SECOND), "an ejection expires");
     }
 
     private void endAdopted(Balancer balancer, long now, long id, int endpoint, Outcome outcome) {
@@ -150,12 +153,12 @@
         end(balancer, now, id, 0, true, outcome);
     }
 
-    /** A request that needs no token, so that only its placement matters. */
+    /** A request that needs no token, so that only placement affects the result. */
     private static NewRequest exemptRequest(long id) {
         return new NewRequest(id, 0, 0, "key" + id, null, 2 * SECOND, 0, false, true, false);
     }
 
-    /** The endpoints of 40 attempts that are cancelled at once, so that nothing is learnt from them. */
+    /** The endpoints of 40 attempts that are cancelled at once, so that they leave no observations. */
     private List<String> endpointsOfAttempts(Balancer balancer, long now, long firstId) {
         List<String> endpoints = new ArrayList<>();
         for (long id = firstId; id < firstId + 40; id++) {
--- a/node/src/test/java/tulipshed/decision/PlacementTest.java
+++ b/node/src/test/java/tulipshed/decision/PlacementTest.java
@@ -40,7 +40,7 @@
         Balancer balancer = setup.balancer(1);
         List<EndpointInfo> entries = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            // Of one machine type, so that setup times have no influence.
+            // All of one machine type, so that setup times have no influence.
             entries.add(new EndpointInfo(
                     endpointName(i), EndpointStatus.SERVING, "zone0", 0, "kind0", i % 2 == 0 ? 2.5 : 1.5, 0));
         }
@@ -52,7 +52,9 @@
             balancer.attemptEstablished(id, id, 0, 1000);
             end(balancer, id, id, 0, true, Outcome.OK);
         }
-        assertTrue(large > 1150 && large < 1350, "of 2000, to the half with five eighths of the weight: " + large);
+        assertTrue(
+                large > 1150 && large < 1350,
+                "of 2000, to the half of the endpoints that has five eighths of the weight: " + large);
     }
 
     @Test
@@ -81,17 +83,17 @@
         for (long id = 1; id <= 20; id++) {
             long now = id * 60 * SECOND;
             balancer.requestArrived(now, request(id));
-            assertEquals(0, number(recorder.attemptedEndpoint()) % 2, "first attempt in the same zone");
-            // A zone that fails completely must not use up all attempts.
+            assertEquals(0, indexOf(recorder.attemptedEndpoint()) % 2, "first attempt in the same zone");
+            // If all endpoints of a zone fail, they must not use up all attempts.
             end(balancer, now, id, 0, false, Outcome.CONNECT_FAILED);
-            otherZone += number(recorder.attemptedEndpoint()) % 2;
+            otherZone += indexOf(recorder.attemptedEndpoint()) % 2;
             end(balancer, now, id, 1, true, Outcome.OK);
         }
         assertTrue(otherZone >= 4, "second attempts outside the same zone: " + otherZone);
     }
 
     @Test
-    void endpointWhoseEntryNamesAnotherZoneLeavesTheSameZone() {
+    void endpointListedInAnotherZoneLeavesTheSameZone() {
         setup.prices = new Prices(0.05, 0, 0, 0, 0);
         Balancer balancer = setup.balancerWithEndpoints(40);
         List<EndpointInfo> moved = new ArrayList<>();
@@ -120,7 +122,7 @@
         assertEquals(endpoint, recorder.attemptedEndpoint());
     }
 
-    /** Of equal idle connections the oldest is taken, so that their endpoint stays the latest one. */
+    /** Of equal idle connections the oldest is reused, so that the newest one keeps its endpoint first. */
     @Test
     void reusesEndpointOfLatestIdleConnectionAgainWhileItHasAnother() {
         setup.prices = new Prices(0, 0.1, 0, 0, 0);
@@ -149,8 +151,8 @@
                 List.of(setup.endpoint(0, EndpointStatus.DRAINING, 0), setup.endpoint(1, EndpointStatus.REMOVED, 0)));
         for (long id = 1; id <= 60; id++) {
             balancer.requestArrived(id, request(id));
-            String to = recorder.attemptedEndpoint();
-            assertTrue(to.equals(endpointName(2)) || to.equals(endpointName(3)), to);
+            String endpoint = recorder.attemptedEndpoint();
+            assertTrue(endpoint.equals(endpointName(2)) || endpoint.equals(endpointName(3)), endpoint);
             balancer.attemptEstablished(id, id, 0, 1000);
         }
     }
@@ -166,7 +168,7 @@
         }
     }
 
-    /** Clients that reconnect at once report their loads later; counted as 1 each, all would go to the emptiest endpoint. */
+    /** Clients that reconnect together report loads later; counted as 1 each, all would go to the least loaded endpoint. */
     @Test
     void connectionsWithoutReportedLoadCountAsAverageOfTheirClass() {
         Balancer balancer = setup.balancerWithEndpoints(3);
@@ -182,10 +184,10 @@
         }
         assertTrue(
                 toEmptyEndpoint >= 11 && toEmptyEndpoint <= 19,
-                "of 40, of which 14 or 15 would make the loads even: " + toEmptyEndpoint);
+                "of 40, where 14 or 15 would balance the loads: " + toEmptyEndpoint);
     }
 
-    private static int number(String endpoint) {
+    private static int indexOf(String endpoint) {
         return Integer.parseInt(endpoint.substring("server".length()));
     }
 }
--- a/node/src/test/java/tulipshed/decision/PolicyFilesTest.java
+++ b/node/src/test/java/tulipshed/decision/PolicyFilesTest.java
@@ -27,13 +27,13 @@
 import tulipshed.decision.api.BalancerSettings;
 import tulipshed.decision.api.ProtocolRules;
 
-/** Each class of the decision module that takes a decision is named under {@code policy} in the deployment file. */
+/** Each class of the decision module that makes decisions is listed under {@code policy} in the deployment file. */
 class PolicyFilesTest {
     private static final Path REPOSITORY = Path.of("..");
     private static final Pattern POLICY_LINE = Pattern.compile("(?m)^policy = \\[(.*)]$");
     private static final Pattern QUOTED = Pattern.compile("\"([^\"]*)\"");
 
-    /** The classes that hold state, count or wire and decide nothing; the rules below hold them to that. */
+    /** The classes that hold state, count or connect components and make no decisions; the rules below enforce that. */
     private static final Set<String> TYPES_WITHOUT_DECISIONS = Set.of(
             "ActiveSettings",
             "BalancerParts",
@@ -52,7 +52,7 @@
             "RequestState",
             "RequestTable");
 
-    /** The package of events, actions, settings and their values: the seam between the module and its callers. */
+    /** The package of events, actions, settings and their value types: the interface between the module and its callers. */
     private static final String API_PACKAGE = "tulipshed.decision.api";
 
     private final JavaClasses classes = new ClassFileImporter()
@@ -60,10 +60,10 @@
             .importPackages("tulipshed.decision");
 
     @Test
-    void eachClassIsNamedAsPolicyOrHeldToDecideNothing() throws IOException {
-        Set<String> accounted = new TreeSet<>(policyTypes());
-        accounted.addAll(TYPES_WITHOUT_DECISIONS);
-        assertEquals(accounted, topLevelTypes());
+    void eachClassIsEitherPolicyOrMakesNoDecisions() throws IOException {
+        Set<String> classified = new TreeSet<>(policyTypes());
+        classified.addAll(TYPES_WITHOUT_DECISIONS);
+        assertEquals(classified, topLevelTypes());
     }
 
     @Test
@@ -80,7 +80,7 @@
         }
     }
 
-    /** What the seam holds has no state of its own beyond its values: interfaces, enums and records. */
+    /** The types of the interface have no state beyond their values: interfaces, enums and records. */
     @Test
     void theApiPackageHoldsOnlyInterfacesEnumsAndRecords() {
         classes()
@@ -100,7 +100,7 @@
     @Test
     void onlyPolicyClassesActOnTheirDecisions() {
         noClasses()
-                .that(decideNothing())
+                .that(makeNoDecisions())
                 .should()
                 .callMethodWhere(target(owner(describe(
                                 "the actions of the balancer", type -> type.isEquivalentTo(BalancerActions.class))))
@@ -111,18 +111,19 @@
     @Test
     void onlyPolicyClassesDrawRandomNumbersOrReadTheRulesOfTheSettings() {
         noClasses()
-                .that(decideNothing())
+                .that(makeNoDecisions())
                 .and(describe(
-                        "do not wire the parts", type -> !type.getSimpleName().equals("BalancerParts")))
+                        "do not connect the components",
+                        type -> !type.getSimpleName().equals("BalancerParts")))
                 .should()
                 .dependOnClassesThat()
                 .belongToAnyOf(java.util.SplittableRandom.class, ProtocolRules.class)
                 .check(classes);
     }
 
-    private static DescribedPredicate<JavaClass> decideNothing() {
+    private static DescribedPredicate<JavaClass> makeNoDecisions() {
         return describe(
-                "are not named as policy",
+                "are not listed as policy",
                 type -> TYPES_WITHOUT_DECISIONS.contains(topLevel(type).getSimpleName())
                         || (type.getPackageName().equals(API_PACKAGE) && !type.isInterface() && !isSettings(type)));
     }
@@ -152,11 +153,11 @@
 
     private static Set<String> policyFiles() throws IOException {
         String deployment = Files.readString(REPOSITORY.resolve("deploy/balancer.toml"));
-        Matcher line = POLICY_LINE.matcher(deployment);
-        assertTrue(line.find(), "deploy/balancer.toml names no policy files");
-        return QUOTED.matcher(line.group(1))
+        Matcher policyLine = POLICY_LINE.matcher(deployment);
+        assertTrue(policyLine.find(), "deploy/balancer.toml has no policy line");
+        return QUOTED.matcher(policyLine.group(1))
                 .results()
-                .map(found -> found.group(1))
+                .map(match -> match.group(1))
                 .collect(Collectors.toSet());
     }
 }
--- a/node/src/test/java/tulipshed/decision/RandomEventSequenceTest.java
+++ b/node/src/test/java/tulipshed/decision/RandomEventSequenceTest.java
@@ -7,8 +7,8 @@
 import static tulipshed.decision.BalancerSetup.SECOND;
 import static tulipshed.decision.BalancerSetup.end;
 import static tulipshed.decision.BalancerSetup.endpointName;
-import static tulipshed.decision.BalancerSetup.playRequest;
 import static tulipshed.decision.BalancerSetup.request;
+import static tulipshed.decision.BalancerSetup.sendRequestWithOutcome;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
 import tulipshed.decision.api.Idempotency;
 import tulipshed.decision.api.Outcome;
 
-/** Long random sequences of legal events; invariants are checked after each action. */
+/** Long random sequences of legal events; the invariants are checked at each action. */
 class RandomEventSequenceTest {
 
     /** Simulates clients, endpoints and timers at random, and checks the invariants of the actions. */
@@ -37,7 +37,7 @@
         final Map<Long, Integer> outstanding = new HashMap<>();
         final Map<Long, Boolean> established = new HashMap<>();
         final Map<Long, Integer> attempts = new HashMap<>();
-        final Map<Long, Boolean> mayHaveRun = new HashMap<>();
+        final Map<Long, Boolean> mayHaveExecuted = new HashMap<>();
         final Set<Long> open = new HashSet<>();
         final Set<String> ready = new HashSet<>();
         final List<long[]> timers = new ArrayList<>();
@@ -55,11 +55,11 @@
         @Override
         public void startAttempt(long requestId, String endpointId, long timeoutUs) {
             recorder.startAttempt(requestId, endpointId, timeoutUs);
-            assertTrue(open.contains(requestId), "attempt after the final answer: " + requestId);
+            assertTrue(open.contains(requestId), "attempt after the final response: " + requestId);
             assertTrue(ready.contains(endpointId), "attempt at an endpoint that is not ready: " + endpointId);
-            assertTrue(!outstanding.containsKey(requestId), "two attempts at once: " + requestId);
+            assertTrue(!outstanding.containsKey(requestId), "concurrent attempts: " + requestId);
             if (setup.idempotency == Idempotency.NOT_IDEMPOTENT) {
-                assertTrue(!mayHaveRun.getOrDefault(requestId, false), "effect twice: " + requestId);
+                assertTrue(!mayHaveExecuted.getOrDefault(requestId, false), "executed twice: " + requestId);
             }
             int attempt = attempts.merge(requestId, 1, Integer::sum);
             assertTrue(attempt <= setup.maxAttempts, "too many attempts");
@@ -70,25 +70,25 @@
         @Override
         public void reject(long requestId, long retryAfterUs) {
             recorder.reject(requestId, retryAfterUs);
-            answer(requestId);
+            recordFinalResponse(requestId);
             if (setup.idempotency == Idempotency.NOT_IDEMPOTENT) {
                 assertTrue(
-                        !mayHaveRun.getOrDefault(requestId, false),
-                        "rejected a request that may have run: " + requestId);
+                        !mayHaveExecuted.getOrDefault(requestId, false),
+                        "rejected a request that may have executed: " + requestId);
             }
         }
 
         @Override
         public void fail(long requestId) {
             recorder.fail(requestId);
-            answer(requestId);
+            recordFinalResponse(requestId);
         }
 
         @Override
         public void migrate(long requestId) {
             recorder.migrate(requestId);
             assertTrue(established.getOrDefault(requestId, false), "migrated a connection that is not established");
-            answer(requestId);
+            recordFinalResponse(requestId);
         }
 
         @Override
@@ -97,9 +97,9 @@
             timers.add(new long[] {now + afterUs, token});
         }
 
-        private void answer(long requestId) {
+        private void recordFinalResponse(long requestId) {
             if (!open.remove(requestId)) {
-                throw new AssertionError("answered twice: " + requestId);
+                throw new AssertionError("second final response: " + requestId);
             }
         }
 
@@ -126,7 +126,7 @@
                     Long id = randomRequestWithAttempt();
                     if (id != null && !established.get(id) && open.contains(id)) {
                         established.put(id, true);
-                        mayHaveRun.put(id, true);
+                        mayHaveExecuted.put(id, true);
                         balancer.attemptEstablished(now, id, outstanding.get(id), 1 + random.nextInt(50_000));
                     }
                 }
@@ -156,41 +156,41 @@
         }
 
         private Long randomRequestWithAttempt() {
-            int n = outstanding.size();
-            return n == 0
+            int requestCount = outstanding.size();
+            return requestCount == 0
                     ? null
                     : outstanding.keySet().stream()
                             .sorted()
-                            .skip(random.nextInt(n))
+                            .skip(random.nextInt(requestCount))
                             .findFirst()
                             .orElseThrow();
         }
 
         void endAttempt(long id) {
-            Outcome[] all = Outcome.values();
-            Outcome outcome = established.get(id) ? Outcome.RESET : all[random.nextInt(all.length)];
+            Outcome[] outcomes = Outcome.values();
+            Outcome outcome = established.get(id) ? Outcome.RESET : outcomes[random.nextInt(outcomes.length)];
             int attempt = outstanding.remove(id);
             boolean concluded = !open.contains(id) || outcome == Outcome.OK || established.get(id);
             open.removeAll(concluded ? Set.of(id) : Set.of());
             if (!outcome.neverExecuted) {
-                mayHaveRun.put(id, true);
+                mayHaveExecuted.put(id, true);
             }
             end(balancer, now, id, attempt, concluded, outcome);
         }
 
         private void changeEndpointList() {
             int i = random.nextInt(12);
-            EndpointStatus state = EndpointStatus.values()[random.nextInt(5) % 3];
-            if (state == EndpointStatus.SERVING) {
+            EndpointStatus status = EndpointStatus.values()[random.nextInt(5) % 3];
+            if (status == EndpointStatus.SERVING) {
                 ready.add(endpointName(i));
             } else {
                 ready.remove(endpointName(i));
             }
             balancer.endpointsChanged(
-                    now, EndpointListKind.CHANGES, List.of(setup.endpoint(i, state, random.nextBoolean() ? now : 0)));
+                    now, EndpointListKind.CHANGES, List.of(setup.endpoint(i, status, random.nextBoolean() ? now : 0)));
         }
 
-        /** Lets all timers expire and all attempts end, long after the last arrival. */
+        /** Fires all timers and ends all attempts, long after the last arrival. */
         void endAll() {
             now += 10 * SECOND;
             while (!timers.isEmpty()) {
@@ -212,7 +212,7 @@
             }
             simulation.endAll();
             assertTrue(simulation.lastId > 500);
-            assertEquals(Set.of(), simulation.open, "requests never answered, seed " + seed);
+            assertEquals(Set.of(), simulation.open, "requests without a final response, seed " + seed);
             assertEquals(0, simulation.balancer.parts.requests.size(), "requests still tracked, seed " + seed);
         }
     }
@@ -254,7 +254,7 @@
         setup.listEndpoints(balancer, 0, 15);
         for (long id = 1; id <= 400; id++) {
             long now = id * 5000;
-            playRequest(balancer, now, id);
+            sendRequestWithOutcome(balancer, now, id);
             if (id % 11 == 0) {
                 balancer.latencyReported(now, id - 1, 180);
             }
--- a/node/src/test/java/tulipshed/decision/RecordingActions.java
+++ b/node/src/test/java/tulipshed/decision/RecordingActions.java
@@ -65,10 +65,10 @@
         return taken;
     }
 
-    /** The endpoint of the only attempt started since the last call. */
+    /** Takes the lines and returns the endpoint of the only attempt among them. */
     String attemptedEndpoint() {
         List<String> attempts =
-                take().stream().filter(l -> l.startsWith("start ")).toList();
+                take().stream().filter(line -> line.startsWith("start ")).toList();
         if (attempts.size() != 1) {
             throw new AssertionError("expected one attempt, got " + attempts);
         }
--- a/node/src/test/java/tulipshed/decision/RequestLifecycleTest.java
+++ b/node/src/test/java/tulipshed/decision/RequestLifecycleTest.java
@@ -13,7 +13,7 @@
 import tulipshed.decision.api.LoadReport;
 import tulipshed.decision.api.Outcome;
 
-/** Each request receives exactly one final answer. */
+/** Each request receives exactly one final response. */
 class RequestLifecycleTest {
     private final BalancerSetup setup = new BalancerSetup();
     private final RecordingActions recorder = setup.recorder;
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void outcomeAndCancellationInOneBatchGiveOneAnswer() {
+    void outcomeAndCancellationInOneBatchGiveOneFinalResponse() {
         Balancer balancer = setup.balancerWithEndpoints(1);
         balancer.requestArrived(0, request(1));
         recorder.attemptedEndpoint();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void cancelsAttemptOfDisconnectedClientAndAnswersNothing() {
+    void cancelsAttemptOfDisconnectedClientWithoutFinalResponse() {
         Balancer balancer = setup.balancerWithEndpoints(3);
         balancer.requestArrived(0, request(1));
         recorder.attemptedEndpoint();
@@ -70,7 +70,7 @@
         assertEquals(List.of(), recorder.take());
     }
 
-    /** Kept by index, these would belong to another class or tenant once an earlier one is removed. */
+    /** Stored by index, they would belong to another class or tenant after an earlier one is removed. */
     @Test
     void reconfigurationKeepsClassOfOpenRequestsAndBucketsOfTenants() {
         setup.idempotency = Idempotency.NOT_IDEMPOTENT;
@@ -84,7 +84,8 @@
         changed.tenants = 1;
         balancer.reconfigure(1, changed.settings());
         end(balancer, 2, 1, 0, false, Outcome.ERROR);
-        assertEquals(List.of("fail 1"), recorder.take(), "not idempotent when it arrived");
+        assertEquals(
+                List.of("fail 1"), recorder.take(), "the request keeps its class at arrival, which is not idempotent");
         balancer.attemptEstablished(3, 2, 0, 1000);
         end(balancer, 4, 2, 0, true, Outcome.OK);
         balancer.requestArrived(5, request(3));
@@ -92,13 +93,13 @@
         end(balancer, 6, 3, 0, false, Outcome.ERROR);
         recorder.attemptedEndpoint();
         end(balancer, 7, 3, 1, false, Outcome.ERROR);
-        assertTrue(recorder.take().get(0).startsWith("reject 3"), "two attempts and no more");
+        assertTrue(recorder.take().get(0).startsWith("reject 3"), "two attempts at most");
         balancer.requestArrived(8, request(4, 1, null, 2 * SECOND));
         recorder.attemptedEndpoint();
     }
 
     @Test
-    void startsNoAttemptForClientThatLeftWhileHeld() {
+    void startsNoAttemptForClientThatDisconnectedWhileHeld() {
         Balancer balancer = setup.balancer(1);
         balancer.requestArrived(0, request(1, 0, null, SECOND));
         long token = Long.parseLong(recorder.take().get(0).split(" ")[2]);
@@ -109,7 +110,7 @@
     }
 
     @Test
-    void adoptedConnectionIsNeitherAttemptedNorAnswered() {
+    void adoptedConnectionHasNoAttemptAndNoFinalResponse() {
         Balancer balancer = setup.balancerWithEndpoints(2);
         balancer.connectionAdopted(0, request(7), endpointName(0));
         end(balancer, SECOND, 7, 0, true, Outcome.RESET);
--- a/node/src/test/java/tulipshed/decision/RetryPolicyTest.java
+++ b/node/src/test/java/tulipshed/decision/RetryPolicyTest.java
@@ -54,14 +54,14 @@
         });
         setup.listEndpoints(balancer, 0, 4);
         balancer.requestArrived(0, request(1));
-        assertTrue(timeout[0] > 0 && timeout[0] <= SECOND, "time-out " + timeout[0]);
+        assertTrue(timeout[0] > 0 && timeout[0] <= SECOND, "timeout " + timeout[0]);
     }
 
     @ParameterizedTest
     @EnumSource(
             value = Outcome.class,
             names = {"FULL", "CONNECT_FAILED"})
-    void retriesAttemptThatNeverRanWhateverItsIdempotency(Outcome outcome) {
+    void retriesAttemptThatNeverExecutedRegardlessOfIdempotency(Outcome outcome) {
         setup.idempotency = Idempotency.NOT_IDEMPOTENT;
         Balancer balancer = setup.balancerWithEndpoints(4);
         balancer.requestArrived(0, request(1));
@@ -74,7 +74,7 @@
     @EnumSource(
             value = Outcome.class,
             names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
-    void failsNonIdempotentRequestThatMayHaveRun(Outcome outcome) {
+    void failsNonIdempotentRequestThatMayHaveExecuted(Outcome outcome) {
         setup.idempotency = Idempotency.NOT_IDEMPOTENT;
         Balancer balancer = setup.balancerWithEndpoints(4);
         balancer.requestArrived(0, request(1));
@@ -98,7 +98,7 @@
         assertEquals(
                 List.of("fail 1"),
                 recorder.take(),
-                "the window is over, and a rejection would promise that a retry is safe");
+                "the deduplication window is over, and a rejection would tell the client that a retry is safe");
     }
 
     @Test
--- a/node/src/test/java/tulipshed/decision/SlowStartTest.java
+++ b/node/src/test/java/tulipshed/decision/SlowStartTest.java
@@ -16,7 +16,7 @@
     private final RecordingActions recorder = setup.recorder;
 
     @Test
-    void warmingEndpointReceivesLittleInWaveAndFillsOverTime() {
+    void warmingEndpointReceivesFewConnectionsInBurstAndMoreOverTime() {
         setup.quotaConnections = 100;
         Balancer balancer = setup.balancerWithEndpoints(9);
         long id = 0;
@@ -34,22 +34,22 @@
             warming += recorder.attemptedEndpoint().equals(endpointName(9)) ? 1 : 0;
             balancer.attemptEstablished(start + i * 1000L, id, 0, 1000);
         }
-        assertTrue(warming <= 6, "sent in the first wave: " + warming);
+        assertTrue(warming <= 6, "sent in the first burst: " + warming);
         for (int i = 0; i < 400; i++) {
             long now = start + SECOND + i * 20_000L;
             balancer.requestArrived(now, request(++id));
             warming += recorder.attemptedEndpoint().equals(endpointName(9)) ? 1 : 0;
             balancer.attemptEstablished(now, id, 0, 1000);
         }
-        assertTrue(warming > 10, "sent over its warm-up: " + warming);
+        assertTrue(warming > 10, "sent during slow start: " + warming);
     }
 
-    /** Saved up to a whole connection by each of many balancers, credit spent at once would overload the endpoint. */
+    /** If each of many balancers accumulated a full credit, connections sent at the same time would overload the endpoint. */
     @Test
-    void creditSavedByAllBalancersDoesNotGrowWithTheirNumber() {
+    void creditAccumulatedByAllBalancersDoesNotGrowWithTheirNumber() {
         setup.quotaConnections = 20;
         setup.nodeCount = 400;
-        int wave = 0;
+        int sentByAll = 0;
         for (int seed = 0; seed < setup.nodeCount; seed++) {
             Balancer balancer = setup.balancer(seed);
             balancer.endpointsChanged(
@@ -62,19 +62,19 @@
                             setup.endpoint(3),
                             setup.endpoint(4, EndpointStatus.SERVING, 1)));
             balancer.requestArrived(15 * SECOND, request(1));
-            wave += recorder.attemptedEndpoint().equals(endpointName(4)) ? 1 : 0;
+            sentByAll += recorder.attemptedEndpoint().equals(endpointName(4)) ? 1 : 0;
         }
-        // The quota for the four others is 40 connections, so the credit gained in two seconds is 18.
-        assertTrue(wave > 8 && wave < 27, "sent by all at once: " + wave);
+        // By quota the four other endpoints hold 40 connections, so the credit accumulated in two seconds is 18.
+        assertTrue(sentByAll > 8 && sentByAll < 27, "sent by all at once: " + sentByAll);
     }
 
-    /** Two processes of one balancer together must not fill a warming endpoint faster than one. */
+    /** Two processes of one balancer together must not fill a warming endpoint faster than a single one. */
     @Test
     void quotaShareLimitsSlowStartCredit() {
         int[] sent = new int[2];
-        for (int half = 0; half < 2; half++) {
+        for (int run = 0; run < 2; run++) {
             Balancer balancer = setup.balancerWithEndpoints(2);
-            balancer.quotaShareChanged(0, half == 0 ? 1 : 0);
+            balancer.quotaShareChanged(0, run == 0 ? 1 : 0);
             balancer.endpointsChanged(
                     0,
                     EndpointListKind.CHANGES,
@@ -84,15 +84,15 @@
             for (int i = 1; i < 400; i++) {
                 long now = i * 20_000L;
                 balancer.requestArrived(now, request(i));
-                sent[half] += recorder.attemptedEndpoint().equals(endpointName(9)) ? 1 : 0;
+                sent[run] += recorder.attemptedEndpoint().equals(endpointName(9)) ? 1 : 0;
                 balancer.attemptEstablished(now, i, 0, 1000);
             }
         }
-        assertTrue(sent[0] > 5, "all of it: " + sent[0]);
-        assertTrue(sent[1] <= 1, "none of it: " + sent[1]);
+        assertTrue(sent[0] > 5, "with the full quota: " + sent[0]);
+        assertTrue(sent[1] <= 1, "without quota: " + sent[1]);
     }
 
-    /** Otherwise the only endpoint that is not warming would receive nearly all connections and be late. */
+    /** Otherwise the only endpoint that is not warming would receive nearly all connections and exceed its latency objective. */
     @Test
     void balancerWithoutConnectionsFillsWarmingEndpointsByQuota() {
         setup.nodeCount = 8;
--- a/node/src/test/java/tulipshed/simadapter/AdapterTest.java
+++ b/node/src/test/java/tulipshed/simadapter/AdapterTest.java
@@ -16,7 +16,7 @@
 import tulipshed.decision.api.BalancerActions;
 import tulipshed.testing.DelegatingBalancer;
 
-/** Tests of the adapter with recorded input and output lines. */
+/** Runs the adapter on recorded input and compares its output lines. */
 class AdapterTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -31,7 +31,7 @@
         }
     }
 
-    /** The start of a batch and the creation of its instance. */
+    /** Input lines that start a batch and create its instance. */
     private static String batchStart() throws IOException {
         return resource("exchange.jsonl").lines().limit(2).reduce("", (text, line) -> text + line + "\n");
     }
@@ -68,7 +68,7 @@
                 new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                 out,
                 err,
-                (settings, seed, now, actions) -> {
+                (settings, seed, nowUs, actions) -> {
                     throw new IllegalStateException("no \"decision\"");
                 });
         assertEquals(0, code);
@@ -87,13 +87,14 @@
                         .getBytes(StandardCharsets.UTF_8)),
                 out,
                 err,
-                (settings, seed, now, actions) -> new DelegatingBalancer(new Balancer(settings, seed, now, actions)) {
-                    @Override
-                    public void peerMessageReceived(long at, int from, byte[] body) {
-                        actions.sendToPeer(from, body);
-                        actions.sendToPeer(BalancerActions.ALL_PEERS, new byte[] {1, 2});
-                    }
-                });
+                (settings, seed, nowUs, actions) ->
+                        new DelegatingBalancer(new Balancer(settings, seed, nowUs, actions)) {
+                            @Override
+                            public void peerMessageReceived(long atUs, int senderIndex, byte[] body) {
+                                actions.sendToPeer(senderIndex, body);
+                                actions.sendToPeer(BalancerActions.ALL_PEERS, new byte[] {1, 2});
+                            }
+                        });
         assertTrue(
                 out.toString(StandardCharsets.UTF_8)
                         .contains("{\"cmd\":\"WritePeer\",\"Who\":\"balancer_0\",\"To\":2,\"Body\":\"aGkgNw==\"}\n"
--- a/node/src/test/java/tulipshed/testing/DelegatingBalancer.java
+++ b/node/src/test/java/tulipshed/testing/DelegatingBalancer.java
@@ -11,11 +11,11 @@
 import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.Outcome;
 
-/** A balancer that passes every event to another one; tests override the events that they observe. */
+/** A balancer that delegates every event to another one; tests override the events that they observe. */
 public class DelegatingBalancer implements BalancerApi {
     private final BalancerApi delegate;
 
-    /** Creates a balancer that passes its events to {@code delegate}. */
+    /** Creates a balancer that delegates its events to {@code delegate}. */
     public DelegatingBalancer(BalancerApi delegate) {
         this.delegate = delegate;
     }
@@ -36,8 +36,8 @@
     }
 
     @Override
-    public void attemptEstablished(long nowUs, long requestId, int attempt, long tookUs) {
-        delegate.attemptEstablished(nowUs, requestId, attempt, tookUs);
+    public void attemptEstablished(long nowUs, long requestId, int attempt, long setupTimeUs) {
+        delegate.attemptEstablished(nowUs, requestId, attempt, setupTimeUs);
     }
 
     @Override
@@ -72,8 +72,8 @@
     }
 
     @Override
-    public void peerMessageReceived(long nowUs, int from, byte[] body) {
-        delegate.peerMessageReceived(nowUs, from, body);
+    public void peerMessageReceived(long nowUs, int senderIndex, byte[] body) {
+        delegate.peerMessageReceived(nowUs, senderIndex, body);
     }
 
     @Override
@@ -82,8 +82,8 @@
     }
 
     @Override
-    public void quotaShareChanged(long nowUs, double shareOfNode) {
-        delegate.quotaShareChanged(nowUs, shareOfNode);
+    public void quotaShareChanged(long nowUs, double quotaShare) {
+        delegate.quotaShareChanged(nowUs, quotaShare);
     }
 
     @Override
