--- a/node/src/main/java/tulipshed/decision/ActiveSettings.java
+++ b/node/src/main/java/tulipshed/decision/ActiveSettings.java
@@ -4,7 +4,10 @@
 import tulipshed.decision.api.RequestClass;
 import tulipshed.decision.api.Tenant;
 
-/** The current settings, shared by the components of a balancer, and totals derived from them. Confined to the event-loop thread. */
+/**
+ * The current settings, shared by the components of a balancer, and totals derived from them. Confined to the
+ * event-loop thread.
+ */
 final class ActiveSettings {
     private BalancerSettings current;
     private double shortestMessageLatencyObjectiveMs;
--- a/node/src/main/java/tulipshed/decision/AdmissionControl.java
+++ b/node/src/main/java/tulipshed/decision/AdmissionControl.java
@@ -5,15 +5,14 @@
 import tulipshed.decision.api.Tenant;
 
 /**
- * Admits new connections by one token bucket per tenant and by load shedding. The refill rate of the buckets falls with the
- * depth of the pool. Confined to the event-loop thread.
+ * Admits new connections by one token bucket per tenant and by load shedding. The refill rate of the buckets falls with
+ * the depth of the pool. Confined to the event-loop thread.
  */
 final class AdmissionControl {
     /** Result for an admitted request; any other result is the Retry-After time in microseconds. */
     static final long ADMITTED = -1;
 
-    private static final double CURVE_START_FACTOR =
-            4; // start of the curve, as a multiple of a tenant's equal quota share
+    private static final double CURVE_START_FACTOR = 4; // of a tenant's equal share of the quotas
     private static final double DEFAULT_QUOTA_PER_S = 1; // for a tenant without a quota
     private static final int EJECTION_CHECKS_PER_REQUEST = 4; // expires ejections faster than new ones are made
     private static final String NO_TENANT = "";
@@ -75,8 +74,8 @@
     }
 
     /**
-     * The depth of a pool: the used share of its pending limits, or the ejected share of its endpoints if that is greater,
-     * as endpoints overloaded by established connections have no pending attempts.
+     * The depth of a pool: the used share of its pending limits, or the ejected share of its endpoints if that is
+     * greater, as endpoints overloaded by established connections have no pending attempts.
      */
     private double depth(long nowUs, EndpointPool pool) {
         for (int i = 0; i < EJECTION_CHECKS_PER_REQUEST && !pool.ejected.isEmpty(); i++) {
@@ -86,7 +85,7 @@
             }
         }
         double pending = pool.pendingLimits == 0 ? 0 : (double) pool.pending / pool.pendingLimits;
-        // adding 2 keeps the ejection of a single observed endpoint from raising the depth to 1
+        // Adding 2 keeps the ejection of a single observed endpoint from raising the depth to 1.
         return Math.max(pending, pool.ejected.size() / (pool.observed.size() + 2.0));
     }
 }
--- a/node/src/main/java/tulipshed/decision/BalancerParts.java
+++ b/node/src/main/java/tulipshed/decision/BalancerParts.java
@@ -4,7 +4,9 @@
 import tulipshed.decision.api.BalancerActions;
 import tulipshed.decision.api.BalancerSettings;
 
-/** Creates and connects the components of one balancer; makes no decisions itself. Confined to the event-loop thread. */
+/**
+ * Creates and connects the components of one balancer; makes no decisions itself. Confined to the event-loop thread.
+ */
 final class BalancerParts {
     final ActiveSettings settings;
     final EndpointPools pools = new EndpointPools(GroupAffinity.MEMORY_US);
--- a/node/src/main/java/tulipshed/decision/ConnectionGroup.java
+++ b/node/src/main/java/tulipshed/decision/ConnectionGroup.java
@@ -4,7 +4,9 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** An affinity group: connections that share work when they are on the same endpoint. Confined to the event-loop thread. */
+/**
+ * An affinity group: connections that share work when they are on the same endpoint. Confined to the event-loop thread.
+ */
 final class ConnectionGroup {
     final long hash;
     final DecayingCounter arrivals;
--- a/node/src/main/java/tulipshed/decision/ConnectionReuse.java
+++ b/node/src/main/java/tulipshed/decision/ConnectionReuse.java
@@ -3,7 +3,9 @@
 import java.util.ArrayDeque;
 import tulipshed.decision.api.Outcome;
 
-/** Prefers endpoints with an idle connection where opening a connection has a price. Confined to the event-loop thread. */
+/**
+ * Prefers endpoints with an idle connection where opening a connection has a price. Confined to the event-loop thread.
+ */
 final class ConnectionReuse {
     private static final double MAX_LOAD_FACTOR = 1; // of the mean load; a more loaded endpoint is not preferred
 
@@ -29,8 +31,8 @@
     }
 
     /**
-     * Removes the newest idle connection to a usable endpoint and returns the endpoint, or null if there is none. Endpoints
-     * in the same zone come first where crossing zones has a price.
+     * Removes the newest idle connection to a usable endpoint and returns the endpoint, or null if there is none.
+     * Endpoints in the same zone come first where crossing zones has a price.
      */
     EndpointState take(long nowUs, RequestState request) {
         double meanLoad = MAX_LOAD_FACTOR * request.pool.load / request.pool.nonZeroWeight();
--- a/node/src/main/java/tulipshed/decision/DiscoveryPolling.java
+++ b/node/src/main/java/tulipshed/decision/DiscoveryPolling.java
@@ -12,7 +12,9 @@
     private static final long RETRY_US = 1_300_000; // mean delay after a failure; changes must arrive within 6 s
     private static final double MIN_JITTER = 0.5; // keeps balancers that failed together from polling together
 
-    /** Schedules the first poll at a random time, as simultaneous polls of restarted balancers would overload discovery. */
+    /**
+     * Schedules the first poll at a random time, as simultaneous polls of restarted balancers would overload discovery.
+     */
     void scheduleFirstPoll() {
         if (settings.current().polledDiscovery()) {
             double latestUs = settings.current().rules().pollWithinUs() * FIRST_POLL_SHARE;
--- a/node/src/main/java/tulipshed/decision/EndpointEvaluator.java
+++ b/node/src/main/java/tulipshed/decision/EndpointEvaluator.java
@@ -21,7 +21,8 @@
 
     /**
      * The load per weight with the request added. The request counts for at most an even load, as large endpoints would
-     * otherwise be chosen nearly always at low load. An endpoint that is not listed yet has no weight and counts as full.
+     * otherwise be chosen nearly always at low load. An endpoint that is not listed yet has no weight and counts as
+     * full.
      */
     private static double loadPerWeight(RequestState request, EndpointState endpoint) {
         boolean hasWeight = endpoint.machineType != null;
--- a/node/src/main/java/tulipshed/decision/EndpointPool.java
+++ b/node/src/main/java/tulipshed/decision/EndpointPool.java
@@ -139,7 +139,9 @@
         updateObserved(endpoint);
     }
 
-    /** Describes the maintained sums if any differs from a recount over the given endpoints; otherwise empty. For tests. */
+    /**
+     * Describes the maintained sums if any differs from a recount over the given endpoints; otherwise empty. For tests.
+     */
     String inconsistencies(Collection<EndpointState> endpoints) {
         int[] counts = new int[5];
         double loadSum = 0;
--- a/node/src/main/java/tulipshed/decision/EndpointState.java
+++ b/node/src/main/java/tulipshed/decision/EndpointState.java
@@ -32,7 +32,7 @@
     int pending;
     /** Attempts and connections that have not ended. */
     int open;
-    /** Sum of the loads of the open connections, in microseconds of work per second, or counted as 1 each without load reports. */
+    /** Sum of the loads of the open connections, in microseconds of work per second, or 1 each if not reported. */
     double openLoad;
     /** Whether a connection of this balancer was established since the process started. */
     boolean hasEstablished;
--- a/node/src/main/java/tulipshed/decision/EndpointTable.java
+++ b/node/src/main/java/tulipshed/decision/EndpointTable.java
@@ -13,7 +13,10 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
 
-/** The endpoints and machine types known from the endpoint list and from adopted connections. Confined to the event-loop thread. */
+/**
+ * The endpoints and machine types known from the endpoint list and from adopted connections. Confined to the event-loop
+ * thread.
+ */
 final class EndpointTable {
     private final EndpointPools pools;
     private final EndpointUpdater updater;
@@ -51,7 +54,9 @@
         return endpoints.values();
     }
 
-    /** Estimates the speeds of the machine types, and updates the weights of this pool and of the pool of all endpoints. */
+    /**
+     * Estimates the speeds of the machine types, and updates the weights of this pool and of the pool of all endpoints.
+     */
     void updateWeights(EndpointPool pool, double priorObservations) {
         highestSpeed = MachineType.estimateSpeeds(machineTypes.values(), priorObservations);
         pools.allEndpoints.updateWeight(machineTypes.values());
--- a/node/src/main/java/tulipshed/decision/GroupAffinity.java
+++ b/node/src/main/java/tulipshed/decision/GroupAffinity.java
@@ -3,7 +3,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Places the connections of a group on few endpoints; {@code averageLoads} holds the reported loads by request class. */
+/**
+ * Places the connections of a group on few endpoints; {@code averageLoads} holds the reported loads by request class.
+ */
 record GroupAffinity(
         ActiveSettings settings,
         OutlierEjection outlierEjection,
@@ -64,14 +66,18 @@
         return (pool.load + request.load) * endpoint.weight() / pool.nonZeroWeight();
     }
 
-    /** Number of preferred endpoints, by an estimate of the group's share with Laplace smoothing for new groups. */
+    /**
+     * Number of preferred endpoints, by the group's share with Laplace smoothing, as that of a new group must not be 0.
+     */
     int preferredCount(long nowUs, EndpointPool pool, ConnectionGroup group) {
         double share = (group.arrivals.at(nowUs) + 1) / (pool.groupArrivals.at(nowUs) + pool.groups.size());
         int count = (int) Math.round(PREFERRED_SHARE * share * pool.ready.size());
         return Math.max(MIN_PREFERRED, Math.min(pool.ready.size(), count));
     }
 
-    /** The preferred endpoint of this rank, by weighted rendezvous hashing, so that all balancers compute the same one. */
+    /**
+     * The preferred endpoint of this rank, by weighted rendezvous hashing, so that all balancers compute the same one.
+     */
     EndpointState preferred(EndpointPool pool, ConnectionGroup group, int rank) {
         EndpointState best = group.preferred(rank, pool.version);
         if (best != null) {
--- a/node/src/main/java/tulipshed/decision/MachineType.java
+++ b/node/src/main/java/tulipshed/decision/MachineType.java
@@ -5,8 +5,8 @@
 
 /**
  * One machine type and an estimate of its relative speed. Listed weights need not reflect the speed, so it is estimated
- * from the distribution of adopted connections over the types and from connection setup times. Confined to the event-loop
- * thread.
+ * from the distribution of adopted connections over the types and from connection setup times. Confined to the
+ * event-loop thread.
  */
 final class MachineType {
     /** Largest weight listed for an endpoint of this type. */
@@ -49,7 +49,10 @@
         setupTime += relativeTime;
     }
 
-    /** Adopted connections, or 0 if no endpoint of this type was ready, as draining endpoints add no size to compare with. */
+    /**
+     * Adopted connections, or 0 if no endpoint of this type was ready, as draining endpoints add no size to compare
+     * with.
+     */
     private double informativeAdoptions() {
         return readySizeAtAdoption >= EndpointUpdater.MIN_SIZE ? adoptedConnections : 0;
     }
--- a/node/src/main/java/tulipshed/decision/OutlierEjection.java
+++ b/node/src/main/java/tulipshed/decision/OutlierEjection.java
@@ -73,8 +73,9 @@
     }
 
     /**
-     * Records the outcome of an attempt; an unreachable or unresponsive endpoint is ejected at the first failure. The timeout
-     * of an attempt shorter than the minimum is ignored, as endpoints may drop requests with so little time left.
+     * Records the outcome of an attempt; an unreachable or unresponsive endpoint is ejected at the first failure. The
+     * timeout of an attempt shorter than the minimum is ignored, as endpoints may drop requests with so little time
+     * left.
      */
     void recordOutcome(long nowUs, EndpointState endpoint, Outcome outcome, long durationUs) {
         if (outcome == Outcome.TIMEOUT && durationUs < RetryPolicy.MIN_ATTEMPT_US) {
--- a/node/src/main/java/tulipshed/decision/Placement.java
+++ b/node/src/main/java/tulipshed/decision/Placement.java
@@ -15,8 +15,7 @@
         MovingAverages averageSetupUs,
         SplittableRandom random) {
     static final double SETUP_TIME_GAIN = 0.1; // weight of a setup time in the average of its class
-    private static final int MAX_DRAWS =
-            12; // maximum draws by weight, and maximum candidates before the sequential search
+    private static final int MAX_DRAWS = 12; // by weight, and of candidates before the sequential search
     private static final int MAX_SEARCHED = 64; // endpoints tried by the sequential search
     private static final int MAX_WARMING_SEARCHED = 32; // warming endpoints tried per request
     private static final double EQUAL_SPEED_OBSERVATIONS = 4; // weight of the prior assumption of equal machine types
@@ -79,8 +78,8 @@
     }
 
     /**
-     * Draws one of the group's preferred endpoints, or by weight without a group. Where crossing zones has a price, only the
-     * first attempt stays in the same zone, as all endpoints of a zone may fail together.
+     * Draws one of the group's preferred endpoints, or by weight without a group. Where crossing zones has a price,
+     * only the first attempt stays in the same zone, as all endpoints of a zone may fail together.
      */
     private EndpointState drawPreferred(RequestState request, ConnectionGroup group, int preferredCount) {
         EndpointPool pool = request.pool;
@@ -102,8 +101,8 @@
     }
 
     /**
-     * Searches for a permitted endpoint, ejected or not. An unresponsive one is chosen for the first attempt only, as retries
-     * would otherwise go only to such endpoints.
+     * Searches for a permitted endpoint, ejected or not. An unresponsive one is chosen for the first attempt only, as
+     * retries would otherwise go only to such endpoints.
      */
     private EndpointState findSequentially(long nowUs, RequestState request) {
         IndexedSet<EndpointState> ready = request.pool.ready;
--- a/node/src/main/java/tulipshed/decision/RequestState.java
+++ b/node/src/main/java/tulipshed/decision/RequestState.java
@@ -69,7 +69,7 @@
         this.load = arrival.loadHintUsPerS() > 0 ? arrival.loadHintUsPerS() : averageLoad;
     }
 
-    /** Whether an attempt has neither been established nor ended, and no final response is given. */
+    /** Whether an attempt was started but not established or ended, and no final response is given. */
     boolean isAttemptPending() {
         return endpoint != null && !established && !concluded;
     }
--- a/node/src/main/java/tulipshed/decision/RequestTable.java
+++ b/node/src/main/java/tulipshed/decision/RequestTable.java
@@ -69,7 +69,10 @@
         awaitingHealthChecks.remove(request);
     }
 
-    /** Counts a completed health check and returns the requests that await no further ones, in the order in which they were added. */
+    /**
+     * Counts a completed health check and returns the requests that await no further ones, in the order in which they
+     * were added.
+     */
     List<RequestState> completeHealthCheck(EndpointState endpoint) {
         List<RequestState> complete = new ArrayList<>();
         for (RequestState request : awaitingHealthChecks) {
--- a/node/src/main/java/tulipshed/decision/RetryPolicy.java
+++ b/node/src/main/java/tulipshed/decision/RetryPolicy.java
@@ -55,7 +55,9 @@
         return last || leftUs < 2 * MIN_ATTEMPT_US ? 0 : Math.max(leftUs / 2, MIN_ATTEMPT_US);
     }
 
-    /** The Retry-After time for a rejected client, within the site's limit and with jitter; 0 if the site permits none. */
+    /**
+     * The Retry-After time for a rejected client, within the site's limit and with jitter; 0 if the site permits none.
+     */
     long retryAfterUs(long wantedUs) {
         SiteLimits limits = settings.current().limits();
         double jitter = MIN_JITTER + JITTER_RANGE * random.nextDouble();
--- a/node/src/main/java/tulipshed/decision/SlowStart.java
+++ b/node/src/main/java/tulipshed/decision/SlowStart.java
@@ -4,8 +4,7 @@
 
 /** Limits the connections to recently started endpoints, so that a burst of arrivals cannot overload them. */
 record SlowStart(ActiveSettings settings, EndpointPool allEndpoints) {
-    private static final long WARMING_PERIODS =
-            2; // slow-start periods after which an endpoint has no spare capacity left
+    private static final long WARMING_PERIODS = 2; // slow-start periods with spare capacity
     /** Credit per slow-start period, as a multiple of the even number of connections times the overload factor. */
     private static final double FILL_FACTOR = 3;
 
@@ -23,8 +22,9 @@
     }
 
     /**
-     * Whether an endpoint has no credit for this request. Credit accumulates for at most the overload time. A fraction of a
-     * credit is the probability of a connection, so that the total over all balancers does not depend on their number.
+     * Whether an endpoint has no credit for this request. Credit accumulates for at most the overload time. A fraction
+     * of a credit is the probability of a connection, so that the total over all balancers does not depend on their
+     * number.
      */
     boolean isLimitedBySlowStart(long nowUs, RequestState request, EndpointState endpoint) {
         if (!endpoint.isWarming() || !isRecentlyStarted(nowUs, endpoint)) {
--- a/node/src/main/java/tulipshed/decision/api/BalancerActions.java
+++ b/node/src/main/java/tulipshed/decision/api/BalancerActions.java
@@ -8,7 +8,8 @@
     /**
      * Starts the next attempt of a request.
      *
-     * @param timeoutUs time within which the attempt must be established, in microseconds; 0 for the deadline of the request
+     * @param timeoutUs time within which the attempt must be established, in microseconds; 0 for the deadline of
+     *     the request
      */
     void startAttempt(long requestId, String endpointId, long timeoutUs);
 
--- a/node/src/main/java/tulipshed/decision/api/BalancerApi.java
+++ b/node/src/main/java/tulipshed/decision/api/BalancerApi.java
@@ -8,9 +8,9 @@
  * Events and actions of the load balancer for long-lived connections.
  *
  * <p>One instance serves one balancer. Every event carries {@code nowUs}, the time of a monotonic clock in microseconds
- * with an arbitrary origin. Calls must not overlap: an instance is confined to the thread of its event loop. Actions are
- * passed to {@link BalancerActions} before the event method returns. Events that name an unknown request or endpoint are
- * ignored.
+ * with an arbitrary origin. Calls must not overlap: an instance is confined to the thread of its event loop. Actions
+ * are passed to {@link BalancerActions} before the event method returns. Events that name an unknown request or
+ * endpoint are ignored.
  */
 public interface BalancerApi {
 
--- a/node/src/main/java/tulipshed/simadapter/Adapter.java
+++ b/node/src/main/java/tulipshed/simadapter/Adapter.java
@@ -52,7 +52,8 @@
      * Processes all batches.
      *
      * @param err receives one line if the input is malformed
-     * @return the exit code: 0 at the end of the input, 2 if it is malformed, 3 if it is malformed and writing to {@code err} failed
+     * @return the exit code: 0 at the end of the input, 2 if it is malformed, 3 if it is malformed and writing to
+     *     {@code err} failed
      */
     public static int run(InputStream in, OutputStream out, OutputStream err, Factory factory) {
         try {
--- a/node/src/main/java/tulipshed/simadapter/AttemptFields.java
+++ b/node/src/main/java/tulipshed/simadapter/AttemptFields.java
@@ -7,8 +7,8 @@
 import tulipshed.decision.api.Outcome;
 
 /**
- * The fields of a line that describe an attempt, or the result of an attempt or a health check. {@link #readField} lists
- * their external names.
+ * The fields of a line that describe an attempt, or the result of an attempt or a health check. {@link #readField}
+ * lists their external names.
  */
 final class AttemptFields {
     private int number;
@@ -17,7 +17,10 @@
     private String verdict;
     private LoadReport loadReport = LoadReport.NONE;
 
-    /** Reads the parser's current token as the value of the named field; returns false if it is not a field of an attempt. */
+    /**
+     * Reads the parser's current token as the value of the named field; returns false if it is not a field of an
+     * attempt.
+     */
     boolean readField(JsonParser parser, String name) throws IOException {
         switch (name) {
             case "Leg" -> number = (int) JsonTokens.integer(parser, name);
--- a/node/src/main/java/tulipshed/simadapter/ConnectionReportFields.java
+++ b/node/src/main/java/tulipshed/simadapter/ConnectionReportFields.java
@@ -4,8 +4,8 @@
 import java.io.IOException;
 
 /**
- * The fields of a line that report on an established connection; {@link #readField} lists their external names. A report
- * of neither a load nor a latency is ignored.
+ * The fields of a line that report on an established connection; {@link #readField} lists their external names. A
+ * report of neither a load nor a latency is ignored.
  */
 final class ConnectionReportFields {
     /** External value of {@code Sort} for a load. */
@@ -17,7 +17,9 @@
     private int sort;
     private double value;
 
-    /** Reads the parser's current token as the value of the named field; returns false if it is not a field of a report. */
+    /**
+     * Reads the parser's current token as the value of the named field; returns false if it is not a field of a report.
+     */
     boolean readField(JsonParser parser, String name) throws IOException {
         switch (name) {
             case "Sort" -> sort = (int) JsonTokens.integer(parser, name);
--- a/node/src/main/java/tulipshed/simadapter/EndpointListFields.java
+++ b/node/src/main/java/tulipshed/simadapter/EndpointListFields.java
@@ -13,8 +13,8 @@
     private List<EndpointInfo> endpoints = List.of();
 
     /**
-     * Reads the parser's current token as the value of the named field; returns false if it is not a field of an endpoint
-     * list.
+     * Reads the parser's current token as the value of the named field; returns false if it is not a field of an
+     * endpoint list.
      */
     boolean readField(JsonParser parser, String name) throws IOException {
         switch (name) {
--- a/node/src/main/java/tulipshed/simadapter/Instances.java
+++ b/node/src/main/java/tulipshed/simadapter/Instances.java
@@ -11,7 +11,9 @@
 import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.Outcome;
 
-/** The running instances of the decision module, and the dispatch of events to them. Confined to the adapter's thread. */
+/**
+ * The running instances of the decision module, and the dispatch of events to them. Confined to the adapter's thread.
+ */
 final class Instances {
     private final Adapter.Factory factory;
     private final BalancerActions actions;
--- a/node/src/main/java/tulipshed/simadapter/RequestFields.java
+++ b/node/src/main/java/tulipshed/simadapter/RequestFields.java
@@ -23,7 +23,10 @@
     private boolean exemptFromAdmission;
     private boolean reconnecting;
 
-    /** Reads the parser's current token as the value of the named field; returns false if it is not a field of a request. */
+    /**
+     * Reads the parser's current token as the value of the named field; returns false if it is not a field of a
+     * request.
+     */
     boolean readField(JsonParser parser, String name) throws IOException {
         switch (name) {
             case "MsgId" -> id = JsonTokens.integer(parser, name);
--- a/node/src/main/java/tulipshed/simadapter/WireEvent.java
+++ b/node/src/main/java/tulipshed/simadapter/WireEvent.java
@@ -9,9 +9,9 @@
 import tulipshed.time.Clock;
 
 /**
- * One line of the simulator's input. This class, the field groups and the readers of nested values translate the external
- * names to the terms of the decision module. A field that is absent or null has its default value, and unknown fields are
- * skipped. Not modified after it was read.
+ * One line of the simulator's input. This class, the field groups and the readers of nested values translate the
+ * external names to the terms of the decision module. A field that is absent or null has its default value, and unknown
+ * fields are skipped. Not modified after it was read.
  */
 final class WireEvent {
     private static final long NO_FRAME = -1;
--- a/node/src/test/java/tulipshed/decision/BalancerSetup.java
+++ b/node/src/test/java/tulipshed/decision/BalancerSetup.java
@@ -92,7 +92,10 @@
         return endpoint(i, EndpointStatus.SERVING, 0);
     }
 
-    /** The list entry of an endpoint; odd and even indexes differ in zone and machine type, indexes 2n and 2n+1 share a cell. */
+    /**
+     * The list entry of an endpoint; odd and even indexes differ in zone and machine type, indexes 2n and 2n+1 share a
+     * cell.
+     */
     EndpointInfo endpoint(int i, EndpointStatus status, long startedUs) {
         return new EndpointInfo(
                 endpointName(i), status, namePrefix + "zone" + i % 2, i / 2, namePrefix + "kind" + i % 2, 1, startedUs);
--- a/node/src/test/java/tulipshed/decision/GroupAffinityTest.java
+++ b/node/src/test/java/tulipshed/decision/GroupAffinityTest.java
@@ -72,7 +72,10 @@
                 assertTrue(count <= 21, endpoint + " was sent " + count + " of 80 connections for eight endpoints"));
     }
 
-    /** Otherwise holders would attract their groups until they exceed the latency objective, while other endpoints are idle. */
+    /**
+     * Otherwise holders would attract their groups until they exceed the latency objective, while other endpoints are
+     * idle.
+     */
     @Test
     void choosesLessLoadedGroupHolderAndBoundsItByTwiceEvenLoadWithLoadReports() {
         setup.groupAffinity = true;
@@ -120,7 +123,10 @@
         assertTrue(listed > 160, "of 200, eight ninths by two draws and two thirds by one: " + listed);
     }
 
-    /** Two connections without a group at each of eight endpoints; of group g, endpoint 1 holds one of high load and endpoint 2 one of low load. */
+    /**
+     * Two connections without a group at each of eight endpoints; of group g, endpoint 1 holds one of high load and
+     * endpoint 2 one of low load.
+     */
     private Balancer balancerWithLoads(int seed) {
         Balancer balancer = setup.balancer(seed);
         setup.listEndpoints(balancer, 0, 8);
--- a/node/src/test/java/tulipshed/decision/MachineTypeTest.java
+++ b/node/src/test/java/tulipshed/decision/MachineTypeTest.java
@@ -50,8 +50,7 @@
             first.recordAdoption(all);
         }
         second.recordAdoption(all);
-        // Each type has its share of the adoptions, relative to an even share, weighted by their number against the
-        // prior.
+        // The share of the adoptions relative to an even share, weighted by their number against the prior.
         assertSpeeds(Math.pow(1.5, 3 / (3 + PRIOR_OBSERVATIONS)), Math.pow(0.5, 1 / (1 + PRIOR_OBSERVATIONS)));
     }
 
--- a/node/src/test/java/tulipshed/decision/ManyEndpointsTest.java
+++ b/node/src/test/java/tulipshed/decision/ManyEndpointsTest.java
@@ -31,7 +31,9 @@
         assertEquals(EJECTED, balancer.ineligibleCount(0));
     }
 
-    /** Endpoints that are not ejected are broken on purpose: querying their readiness throws, and they seem unlisted. */
+    /**
+     * Endpoints that are not ejected are broken on purpose: querying their readiness throws, and they seem unlisted.
+     */
     private Balancer balancerThatThrowsOnVisitingEndpointsNotEjected() throws ReflectiveOperationException {
         Balancer balancer = setup.balancerWithEndpoints(MANY);
         EndpointPool all = balancer.parts.pools.allEndpoints;
--- a/node/src/test/java/tulipshed/decision/OutlierEjectionTest.java
+++ b/node/src/test/java/tulipshed/decision/OutlierEjectionTest.java
@@ -113,7 +113,7 @@
         assertEquals(List.of("reject 1"), actions, "rejected at once, without an attempt at a failing endpoint");
     }
 
-    /** A connection to a late endpoint is not served in time and keeps its latency above the objective. */
+    /** A connection to an endpoint above its latency objective is not served in time and keeps the latency high. */
     @Test
     void prefersEligibleEndpointEvenIfMostAreLate() {
         Balancer balancer = setup.balancerWithEndpoints(4);
--- a/node/src/test/java/tulipshed/decision/PlacementTest.java
+++ b/node/src/test/java/tulipshed/decision/PlacementTest.java
@@ -168,7 +168,9 @@
         }
     }
 
-    /** Clients that reconnect together report loads later; counted as 1 each, all would go to the least loaded endpoint. */
+    /**
+     * Clients that reconnect together report loads later; counted as 1 each, all would go to the least loaded endpoint.
+     */
     @Test
     void connectionsWithoutReportedLoadCountAsAverageOfTheirClass() {
         Balancer balancer = setup.balancerWithEndpoints(3);
--- a/node/src/test/java/tulipshed/decision/PolicyFilesTest.java
+++ b/node/src/test/java/tulipshed/decision/PolicyFilesTest.java
@@ -52,7 +52,9 @@
             "RequestState",
             "RequestTable");
 
-    /** The package of events, actions, settings and their value types: the interface between the module and its callers. */
+    /**
+     * The package of events, actions, settings and their value types: the interface between the module and its callers.
+     */
     private static final String API_PACKAGE = "tulipshed.decision.api";
 
     private final JavaClasses classes = new ClassFileImporter()
--- a/node/src/test/java/tulipshed/decision/SlowStartTest.java
+++ b/node/src/test/java/tulipshed/decision/SlowStartTest.java
@@ -44,7 +44,10 @@
         assertTrue(warming > 10, "sent during slow start: " + warming);
     }
 
-    /** If each of many balancers accumulated a full credit, connections sent at the same time would overload the endpoint. */
+    /**
+     * If each of many balancers accumulated a full credit, connections sent at the same time would overload the
+     * endpoint.
+     */
     @Test
     void creditAccumulatedByAllBalancersDoesNotGrowWithTheirNumber() {
         setup.quotaConnections = 20;
@@ -92,7 +95,10 @@
         assertTrue(sent[1] <= 1, "without quota: " + sent[1]);
     }
 
-    /** Otherwise the only endpoint that is not warming would receive nearly all connections and exceed its latency objective. */
+    /**
+     * Otherwise the only endpoint that is not warming would receive nearly all connections and exceed its latency
+     * objective.
+     */
     @Test
     void balancerWithoutConnectionsFillsWarmingEndpointsByQuota() {
         setup.nodeCount = 8;
