--- a/node/src/test/java/tulipshed/decision/AdmissionControlTest.java
+++ b/node/src/test/java/tulipshed/decision/AdmissionControlTest.java
@@ -69,7 +69,7 @@
 
     @Test
     void acceptancesRaisePendingLimitAndFullOutcomeHalvesIt() {
-        // Eight acceptances raise the pending limit from 4 to 12.
+        // Eight acceptances raise the pending limit from 4 to 12, so each pending attempt adds less to the depth.
         Balancer balancer = setup.balancerWithEndpoints(1);
         for (long id = 1; id <= 8; id++) {
             balancer.requestArrived(id, request(id));
