--- a/node/src/main/java/tulipshed/cli/ClientListener.java
+++ b/node/src/main/java/tulipshed/cli/ClientListener.java
@@ -20,7 +20,7 @@
 
     /** Starts to accept clients at the configured address. */
     void open(XnioEventLoop loop, NodeConfig config, Limits limits, LineProtocolFrontend frontend) throws IOException {
-        acceptor = loop.listen(config.listen(), limits.clientConnections(), frontend::accept);
+        acceptor = loop.listen(config.listen(), limits.maxClientConnections(), frontend::accept);
     }
 
     /** Returns the address that clients connect to; the listener has to be open. */
--- a/node/src/main/java/tulipshed/cli/ConfigurationReload.java
+++ b/node/src/main/java/tulipshed/cli/ConfigurationReload.java
@@ -68,7 +68,7 @@
     }
 
     private boolean isReloadRecent() {
-        return clock.nowMs() - reloadedMs < limits.shutdown().signalOrderMs();
+        return clock.nowMs() - reloadedMs < limits.shutdown().signalReorderMs();
     }
 
     /**
--- a/node/src/main/java/tulipshed/cli/ServeCommand.java
+++ b/node/src/main/java/tulipshed/cli/ServeCommand.java
@@ -93,7 +93,7 @@
         try {
             return new HotRestartState(
                     Path.of(directory, sharedStateFileName(config.listen())),
-                    limits.shutdown().sharedIds(),
+                    limits.shutdown().maxSharedIds(),
                     log);
         } catch (IllegalStateException e) {
             throw new MalformedInputException(e.getMessage());
--- a/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
+++ b/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
@@ -38,7 +38,7 @@
     /** The schedule of a process that ends without another one of its node. */
     static ShutdownSchedule of(ShutdownLimits limits, double longestDeadlineMs) {
         double killMs = Math.min(limits.maxDeadlineMs(), longestDeadlineMs) + limits.killAfterDeadlineMs();
-        double closeMs = killMs - limits.holdUpMs() - limits.exitMs();
+        double closeMs = killMs - limits.maxStallMs() - limits.exitMs();
         double acceptUntilMs = Math.min(limits.acceptMs(), closeMs - limits.minLingerMs());
         double rejectWaitingMs = Math.max(acceptUntilMs, closeMs - limits.lingerMs());
         double migrateUntilMs = Math.min(rejectWaitingMs, closeMs - limits.lingerMs() / MIGRATION_LINGER_DIVISOR);
--- a/node/src/main/java/tulipshed/discovery/DiscoveryClient.java
+++ b/node/src/main/java/tulipshed/discovery/DiscoveryClient.java
@@ -91,7 +91,7 @@
     public void call(ListRequest newRequest) {
         request = newRequest;
         parser = new HttpResponseParser(
-                limits.discovery().headBytes(), limits.discovery().bodyBytes());
+                limits.discovery().maxHeadBytes(), limits.discovery().maxBodyBytes());
         log.tracef("call starts, connected: %s", connection != null);
         if (connection == null) {
             connect();
--- a/node/src/main/java/tulipshed/limits/DiscoveryLimits.java
+++ b/node/src/main/java/tulipshed/limits/DiscoveryLimits.java
@@ -1,26 +1,26 @@
 package tulipshed.limits;
 
 /**
- * Requests to the discovery service and to its agents.
+ * Limits of requests to the discovery service and to its agents.
  *
- * @param headBytes the length of the longest response head
- * @param bodyBytes the length of the longest response body
- * @param connectTimeoutMs how long a connection may take to be established
- * @param watchWaitMs how long a watch request waits at the service for a change
- * @param watchTimeoutMs how long after that wait a missing response counts as a failure; failure and next request
- *     must fit into 6 s
- * @param responseTimeoutMs how long a response may take from its first byte until it is complete
- * @param agentWaitMs how long a request waits at an agent, which receives lists by push; such requests cost nothing,
- *     and short ones reveal an unresponsive agent soon
- * @param agentTimeoutMs how long after that wait a missing response of an agent counts as a failure
+ * @param maxHeadBytes the maximum length of a response head
+ * @param maxBodyBytes the maximum length of a response body
+ * @param connectTimeoutMs the timeout for establishing a connection
+ * @param watchWaitMs how long the service holds a watch request (long poll) until the list changes
+ * @param watchTimeoutMs the time after that wait at which a missing response counts as a failure; the failure and the
+ *     next request must fit into 6 s
+ * @param responseTimeoutMs the timeout for the rest of a response after its first byte
+ * @param agentWaitMs how long an agent, which receives lists by push, holds a request; the requests cost nothing, and a
+ *     short wait detects an unresponsive agent early
+ * @param agentTimeoutMs the time after that wait at which a missing response of an agent counts as a failure
  * @param agentRetryDelayMs the delay after a failed request to an agent
- * @param agentPollIntervalMs the time between two requests to an agent that has no change and answers at once; under
- *     200 ms, or the watch would end
- * @param startTimeoutMs how long a process that starts waits for the list before it serves by the cached one
+ * @param agentPollIntervalMs the time between two requests to an agent that responds immediately without a change;
+ *     the watch would end at 200 ms or more
+ * @param startTimeoutMs how long a starting process waits for the list before it uses the cached list
  */
 public record DiscoveryLimits(
-        int headBytes,
-        int bodyBytes,
+        int maxHeadBytes,
+        int maxBodyBytes,
         double connectTimeoutMs,
         double watchWaitMs,
         double watchTimeoutMs,
@@ -36,8 +36,8 @@
     /** The default limits. */
     static DiscoveryLimits defaults() {
         return new DiscoveryLimits(
-                /* headBytes= */ 8 * KIBIBYTE,
-                /* bodyBytes= */ 4 * MEBIBYTE,
+                /* maxHeadBytes= */ 8 * KIBIBYTE,
+                /* maxBodyBytes= */ 4 * MEBIBYTE,
                 /* connectTimeoutMs= */ 500,
                 /* watchWaitMs= */ 2_500,
                 /* watchTimeoutMs= */ 1_500,
--- a/node/src/main/java/tulipshed/limits/HealthCheckLimits.java
+++ b/node/src/main/java/tulipshed/limits/HealthCheckLimits.java
@@ -1,11 +1,11 @@
 package tulipshed.limits;
 
 /**
- * Health checks of endpoints.
+ * Limits of health checks of endpoints.
  *
- * @param connections the connections kept for them, one for an endpoint
- * @param responseTimeoutMs how long a response may take, from the decision to check on and connecting included
- * @param idleTimeoutMs how long an unused connection is kept
+ * @param connections the maximum number of connections kept open for health checks, one per endpoint
+ * @param responseTimeoutMs the timeout for a response, counted from the decision to check and including the connect time
+ * @param idleTimeoutMs the time after which an unused connection is closed
  */
 public record HealthCheckLimits(int connections, double responseTimeoutMs, double idleTimeoutMs) {
     /** The default limits. */
--- a/node/src/main/java/tulipshed/limits/Limits.java
+++ b/node/src/main/java/tulipshed/limits/Limits.java
@@ -1,8 +1,8 @@
 package tulipshed.limits;
 
 /**
- * Every size, count and timeout of the node that is not a setting of its site, by concern. Created once at the start and
- * passed to all parts. Immutable; names that end in {@code Ms} are milliseconds, those that end in {@code Bytes} bytes.
+ * All sizes, counts and timeouts of the node that are not settings of its site, grouped by subject. Created once at startup
+ * and passed to all components. Immutable. Names that end in {@code Ms} are in milliseconds, those in {@code Bytes} in bytes.
  */
 public record Limits(
         SocketLimits sockets,
@@ -16,7 +16,7 @@
         PeerLimits peers,
         WarmupLimits warmup) {
 
-    /** The default limits of a node that may hold this many file descriptors. */
+    /** Returns the default limits of a node that may have this many open file descriptors. */
     public static Limits forDescriptors(int descriptors) {
         return new Limits(
                 SocketLimits.defaults(descriptors),
@@ -31,44 +31,45 @@
                 WarmupLimits.defaults());
     }
 
-    /** These limits with other ones for sockets. */
+    /** Returns these limits with different socket limits. */
     public Limits with(SocketLimits changed) {
         return new Limits(
                 changed, lineProtocol, discovery, requests, shutdown, management, quic, healthChecks, peers, warmup);
     }
 
-    /** These limits with other ones for the line protocol. */
+    /** Returns these limits with different limits of the line protocol. */
     public Limits with(LineProtocolLimits changed) {
         return new Limits(
                 sockets, changed, discovery, requests, shutdown, management, quic, healthChecks, peers, warmup);
     }
 
-    /** These limits with other ones for discovery. */
+    /** Returns these limits with different discovery limits. */
     public Limits with(DiscoveryLimits changed) {
         return new Limits(
                 sockets, lineProtocol, changed, requests, shutdown, management, quic, healthChecks, peers, warmup);
     }
 
-    /** These limits with other ones for QUIC. */
+    /** Returns these limits with different QUIC limits. */
     public Limits with(QuicLimits changed) {
         return new Limits(
                 sockets, lineProtocol, discovery, requests, shutdown, management, changed, healthChecks, peers, warmup);
     }
 
-    /** The descriptors that all connections together may hold when a client connection is accepted. */
+    /** The number of descriptors that connections may have in use in total for another client connection to be accepted. */
     public int connectionDescriptors() {
         return Math.max(2, sockets.descriptors() - sockets.reservedDescriptors() - managementDescriptors());
     }
 
     /**
-     * The descriptors that all connections together may hold when an attempt opens its upstream connection. It is higher
-     * than that for client connections, so that clients accepted at the same time do not starve each other.
+     * The number of descriptors that connections may have in use in total for an attempt to open its upstream connection. It
+     * is higher than {@link #connectionDescriptors}, so that accepted clients do not deprive each other of upstream
+     * connections.
      */
     public int attemptDescriptors() {
         return Math.max(2, sockets.descriptors() - sockets.reservedDescriptors() / 2 - managementDescriptors());
     }
 
-    /** These limits with other ones for the warm-up. */
+    /** Returns these limits with different warm-up limits. */
     public Limits with(WarmupLimits changed) {
         return new Limits(
                 sockets, lineProtocol, discovery, requests, shutdown, management, quic, healthChecks, peers, changed);
@@ -79,15 +80,15 @@
     }
 
     /**
-     * The client connections that may be open or wait to be processed: half of the descriptors for connections, as each
-     * may need an upstream connection, and those of the next accept events.
+     * The maximum number of client connections that are open or wait to be processed: half of the descriptors for connections,
+     * as each may need an upstream connection, plus those accepted by the next accept events.
      */
-    public int clientConnections() {
+    public int maxClientConnections() {
         return Math.max(2, connectionDescriptors() / 2) + 2 * sockets.maxAcceptsPerEvent();
     }
 
-    /** The client connections without a complete first line at a time; clients send that line at once. */
-    public int unopenedConnections() {
+    /** The maximum number of client connections whose first line is incomplete; clients send that line immediately. */
+    public int maxUnopenedConnections() {
         return Math.max(1, connectionDescriptors() / 4);
     }
 }
--- a/node/src/main/java/tulipshed/limits/LineProtocolLimits.java
+++ b/node/src/main/java/tulipshed/limits/LineProtocolLimits.java
@@ -1,22 +1,22 @@
 package tulipshed.limits;
 
 /**
- * The platform's line protocol.
+ * Limits of the platform's line protocol.
  *
- * @param lineBytes the length of the longest line, its end included
- * @param firstLineTimeoutMs how long the first line may take to be complete
- * @param pings the pings that a connection may send before its first line
- * @param longestWaitMs the longest timeout that a client may declare
- * @param protocolErrorLogMs the time between two log lines about malformed input
- * @param maxRedials how often an attempt is dialed again where this machine itself could not begin to connect
- * @param firstRedialPauseMs the pause before the second of those dials, as the first follows at once; each further
- *     pause is twice as long as the one before
+ * @param maxLineBytes the maximum length of a line, including its terminator
+ * @param firstLineTimeoutMs the timeout for a complete first line
+ * @param maxPings the maximum number of pings that a connection may send before its first line
+ * @param maxClientTimeoutMs the maximum timeout that a client may declare
+ * @param protocolErrorLogMs the minimum time between two log lines about malformed input
+ * @param maxRedials the maximum number of times that an attempt dials again after a local failure to start connecting
+ * @param firstRedialPauseMs the pause before the second redial, as the first follows immediately; each further pause
+ *     is twice as long as the previous one
  */
 public record LineProtocolLimits(
-        int lineBytes,
+        int maxLineBytes,
         double firstLineTimeoutMs,
-        int pings,
-        double longestWaitMs,
+        int maxPings,
+        double maxClientTimeoutMs,
         double protocolErrorLogMs,
         int maxRedials,
         double firstRedialPauseMs) {
@@ -25,10 +25,10 @@
     /** The default limits. */
     static LineProtocolLimits defaults() {
         return new LineProtocolLimits(
-                /* lineBytes= */ 4 * KIBIBYTE,
+                /* maxLineBytes= */ 4 * KIBIBYTE,
                 /* firstLineTimeoutMs= */ 2_000,
-                /* pings= */ 16,
-                /* longestWaitMs= */ 120_000,
+                /* maxPings= */ 16,
+                /* maxClientTimeoutMs= */ 120_000,
                 /* protocolErrorLogMs= */ 10_000,
                 /* maxRedials= */ 5,
                 /* firstRedialPauseMs= */ 2);
--- a/node/src/main/java/tulipshed/limits/ManagementLimits.java
+++ b/node/src/main/java/tulipshed/limits/ManagementLimits.java
@@ -1,18 +1,19 @@
 package tulipshed.limits;
 
 /**
- * The management server.
+ * Limits of the management server.
  *
- * @param connections the connections served at a time; as many again may be accepted until the oldest are closed
- * @param headBytes the length of the longest request head
- * @param requestTimeoutMs how long a request may take to be complete, and its response to be read
+ * @param connections the maximum number of connections served concurrently; as many again may be accepted until the
+ *     oldest are closed
+ * @param maxHeadBytes the maximum length of a request head
+ * @param requestTimeoutMs the timeout for receiving a complete request, and for the client to read the response
  */
-public record ManagementLimits(int connections, int headBytes, double requestTimeoutMs) {
+public record ManagementLimits(int connections, int maxHeadBytes, double requestTimeoutMs) {
     private static final int KIBIBYTE = 1024;
 
     /** The default limits. */
     static ManagementLimits defaults() {
         return new ManagementLimits(
-                /* connections= */ 16, /* headBytes= */ 4 * KIBIBYTE, /* requestTimeoutMs= */ 2_000);
+                /* connections= */ 16, /* maxHeadBytes= */ 4 * KIBIBYTE, /* requestTimeoutMs= */ 2_000);
     }
 }
--- a/node/src/main/java/tulipshed/limits/PeerLimits.java
+++ b/node/src/main/java/tulipshed/limits/PeerLimits.java
@@ -1,10 +1,10 @@
 package tulipshed.limits;
 
 /**
- * Messages between nodes.
+ * Limits of messages between nodes.
  *
- * @param maxBodyBytes the length of the longest message, which the protocol sets
- * @param maxPerSenderPerSecond the messages accepted from one sender in a second; more are dropped
+ * @param maxBodyBytes the maximum length of a message, which the protocol defines
+ * @param maxPerSenderPerSecond the maximum number of messages accepted from one sender per second; the excess is dropped
  */
 public record PeerLimits(int maxBodyBytes, int maxPerSenderPerSecond) {
     /** The default limits. */
--- a/node/src/main/java/tulipshed/limits/QuicLimits.java
+++ b/node/src/main/java/tulipshed/limits/QuicLimits.java
@@ -1,32 +1,33 @@
 package tulipshed.limits;
 
 /**
- * The frontend for QUIC.
+ * Limits of the QUIC frontend.
  *
- * @param datagramBytes the length of the longest datagram that is accepted
- * @param maxConnections the connections tracked at a time
- * @param maxIdsPerConnection the connection IDs learned for one connection; the oldest is dropped first
- * @param retainedFirstDatagrams the first datagrams of a client that are retained for a retry
- * @param idleTimeoutMs how long a connection may be idle before it is dropped
+ * @param datagramBytes the maximum length of an accepted datagram
+ * @param maxConnections the maximum number of tracked connections
+ * @param maxIdsPerConnection the maximum number of connection IDs recorded per connection; the oldest is evicted
+ * @param retainedFirstDatagrams the number of first datagrams of a client that are retained for a retry
+ * @param idleTimeoutMs the time after which an idle connection is dropped
  * @param finalResponseRepeatMs how long a final response is repeated to a client that sends its first packet again
- * @param unresponsiveAfterDatagrams the datagrams without a reply after which an endpoint may count as unresponsive
- * @param unresponsiveTimeoutMs the time without a reply that is needed besides, as datagrams may be lost
- * @param maxClientHelloBytes the length of the longest TLS ClientHello
- * @param clientHelloTimeoutMs how long an incomplete ClientHello is awaited
- * @param maxPendingClientHellos the connections with an incomplete ClientHello at a time; each buffers its first
- *     datagrams and the part of the ClientHello received
- * @param maxPathsPerConnection the network paths of one client that are open at a time
- * @param pathIdleTimeoutMs how long a path other than the client's latest may be idle before its slot on the upstream
- *     socket is released
- * @param upstreamSocketReuseDelayMs how long a released slot on an upstream socket is not assigned again
- * @param maxReadsPerEvent the datagrams read from one socket before other sockets have their turn
- * @param maxUnknownDatagrams the datagrams with an unknown connection ID that wait until those of known connections
- *     are forwarded
- * @param unknownDatagramSliceMs how long such datagrams are processed before sockets are read again
- * @param maxUnconfirmedConnections the connections adopted by their ID alone that no endpoint has confirmed; the
- *     oldest is evicted
- * @param receiveBufferBytes the kernel's receive buffer of a socket, if the kernel allows that much
- * @param tokenClockToleranceMs how far the wall clock of a node that sealed a Retry token may be from this node's
+ * @param unresponsiveAfterDatagrams the number of datagrams without a reply after which an endpoint may count as unresponsive
+ * @param unresponsiveTimeoutMs the time without a reply that is also required, as datagrams may be lost
+ * @param maxClientHelloBytes the maximum length of a TLS ClientHello
+ * @param clientHelloTimeoutMs the timeout for the rest of an incomplete ClientHello
+ * @param maxPendingClientHellos the maximum number of connections with an incomplete ClientHello; each buffers its first
+ *     datagrams and the received bytes of the ClientHello
+ * @param maxPathsPerConnection the maximum number of open network paths per client
+ * @param pathIdleTimeoutMs the time after which the slot of an idle path on the upstream socket is released, unless it is the
+ *     latest path of the client
+ * @param upstreamSocketReuseDelayMs the time until a released slot on an upstream socket is assigned again
+ * @param maxReadsPerEvent the maximum number of datagrams read from a socket before other sockets are served
+ * @param maxUnknownDatagrams the maximum number of datagrams with an unknown connection ID that are queued until those of
+ *     known connections are forwarded
+ * @param unknownDatagramSliceMs the time for which such datagrams are processed before sockets are read again
+ * @param maxUnconfirmedConnections the maximum number of connections adopted by their ID alone and not yet confirmed by an
+ *     endpoint; the oldest is evicted
+ * @param receiveBufferBytes the requested size of the kernel's receive buffer per socket; the kernel may allow less
+ * @param tokenClockToleranceMs the maximum difference between this node's wall clock and that of the node that issued a
+ *     Retry token
  */
 public record QuicLimits(
         int datagramBytes,
--- a/node/src/main/java/tulipshed/limits/RequestLimits.java
+++ b/node/src/main/java/tulipshed/limits/RequestLimits.java
@@ -1,15 +1,17 @@
 package tulipshed.limits;
 
 /**
- * Timeouts of requests, whichever the protocol.
+ * Timeouts of requests of all protocols.
  *
- * @param responseMarginMs how long before the client's deadline the final response is sent, so that it arrives in time
- * @param endpointTimeoutMs how long an endpoint may send nothing after a client's message before it counts as
- *     unresponsive; usual pauses are shorter
- * @param adoptionTimeoutMs how long connections that were established before the start may take to reconnect
- * @param unknownEndpointPollMs how often the endpoint list is checked for the endpoint of such a connection
- * @param unlistedEndpointTimeoutMs how long that endpoint is awaited once discovery has sent a list since the start
- * @param routePollMs how often routes are checked for a change of pool
+ * @param responseMarginMs the time between the latest final response and the deadline of the client, so that the response
+ *     arrives before the deadline
+ * @param endpointTimeoutMs the time without data after a client's message at which an endpoint counts as unresponsive; usual
+ *     pauses are shorter
+ * @param adoptionTimeoutMs the timeout for resuming a connection that was established before the start
+ * @param unknownEndpointPollMs the interval at which the endpoint list is checked for the endpoint of such a connection
+ * @param unlistedEndpointTimeoutMs the time for which that endpoint is awaited once discovery has delivered a list since
+ *     the start
+ * @param routePollMs the interval at which pools and routes are re-evaluated
  */
 public record RequestLimits(
         double responseMarginMs,
--- a/node/src/main/java/tulipshed/limits/ShutdownLimits.java
+++ b/node/src/main/java/tulipshed/limits/ShutdownLimits.java
@@ -1,33 +1,35 @@
 package tulipshed.limits;
 
 /**
- * Graceful shutdown and hot restart.
+ * Limits of graceful shutdown and hot restart.
  *
- * @param acceptMs how long after SIGTERM new connections are accepted
- * @param migrateAfterMs how long after SIGTERM clients are first asked to migrate; the other nodes may be restarting
+ * @param acceptMs the time after SIGTERM for which new connections are accepted
+ * @param migrateAfterMs the time after SIGTERM at which the first clients are migrated; the other nodes may be restarting
  *     until then
  * @param maxDeadlineMs the longest deadline of a request that the shutdown waits for
- * @param killAfterDeadlineMs how long after the longest deadline, counted from SIGTERM, the process may be killed
- * @param holdUpMs how long the process may be held up at any moment and must still end before it is killed
- * @param exitMs what the process takes from SIGTERM to its shutdown hook, and from that to its exit
- * @param signalOrderMs how long after a reload it may still have come after a signal to end
- * @param lingerMs how long connections that end without a request may take to be closed by their clients
- * @param responseLingerMs the same for those that get their final response last
- * @param minLingerMs the same at least, with the shortest deadlines
- * @param sharedIds the most connection IDs that a process publishes to the other process of its node
+ * @param killAfterDeadlineMs the time after which the process may be killed, counted from SIGTERM and in addition to the
+ *     longest deadline
+ * @param maxStallMs the longest stall of the process, at any moment, after which it must still exit before it is killed
+ * @param exitMs the total time from SIGTERM to the start of the shutdown hook and from the end of the hook to the exit
+ * @param signalReorderMs the time after a reload during which a termination signal may in fact have preceded the reload
+ *     signal
+ * @param lingerMs the time that clients have to close connections that end without a request
+ * @param responseLingerMs the time that clients have to close the connections that get their final response last
+ * @param minLingerMs the lower bound of that time, which applies with the shortest deadlines
+ * @param maxSharedIds the maximum number of connection IDs that a process publishes to the other process of its node
  */
 public record ShutdownLimits(
         double acceptMs,
         double migrateAfterMs,
         double maxDeadlineMs,
         double killAfterDeadlineMs,
-        double holdUpMs,
+        double maxStallMs,
         double exitMs,
-        double signalOrderMs,
+        double signalReorderMs,
         double lingerMs,
         double responseLingerMs,
         double minLingerMs,
-        int sharedIds) {
+        int maxSharedIds) {
     /** The default limits. */
     static ShutdownLimits defaults() {
         return new ShutdownLimits(
@@ -35,12 +37,12 @@
                 /* migrateAfterMs= */ 1_500,
                 /* maxDeadlineMs= */ 3_000,
                 /* killAfterDeadlineMs= */ 700,
-                /* holdUpMs= */ 150,
+                /* maxStallMs= */ 150,
                 /* exitMs= */ 50,
-                /* signalOrderMs= */ 500,
+                /* signalReorderMs= */ 500,
                 /* lingerMs= */ 300,
                 /* responseLingerMs= */ 100,
                 /* minLingerMs= */ 50,
-                /* sharedIds= */ 4096);
+                /* maxSharedIds= */ 4096);
     }
 }
--- a/node/src/main/java/tulipshed/limits/SocketLimits.java
+++ b/node/src/main/java/tulipshed/limits/SocketLimits.java
@@ -1,22 +1,23 @@
 package tulipshed.limits;
 
 /**
- * Sockets and buffers of all protocol frontends.
+ * Limits of sockets and buffers of all protocol frontends.
  *
- * @param relayBytes the bytes buffered for one direction of one relayed connection
- * @param readBytes the most bytes that one read takes from a socket
- * @param descriptors the file descriptors that the process may hold
- * @param reservedDescriptors the descriptors set aside for the virtual machine, the listeners and discovery
- * @param backlog the connections that may wait in the kernel to be accepted
- * @param maxReadsPerEvent the reads of one connection before other connections have their turn
- * @param maxAcceptsPerEvent the connections accepted before descriptors of closed connections are released
- * @param lingerTimeoutMs how long a connection may remain after one side has ended it
- * @param sweepIntervalMs how often connections are checked for expired timeouts
- * @param overloadRetryAfterMs the Retry-After given to clients that are rejected for lack of descriptors
- * @param emergencyDescriptors the descriptors held open, one of which is given up when a connection cannot be accepted
- *     without
- * @param maxAcceptAttempts the attempts in a row to accept a connection before a descriptor is given up for it
- * @param acceptRetryDelayMs how long a listener pauses after all of them have failed
+ * @param relayBytes the size of the buffer for one direction of one relayed connection
+ * @param readBytes the maximum number of bytes per read from a socket
+ * @param descriptors the maximum number of open file descriptors of the process
+ * @param reservedDescriptors the descriptors reserved for the virtual machine, the listeners and discovery
+ * @param backlog the maximum number of connections queued in the kernel to be accepted
+ * @param maxReadsPerEvent the maximum number of reads from a connection before other connections are served
+ * @param maxAcceptsPerEvent the maximum number of connections accepted before descriptors of closed connections are
+ *     released
+ * @param lingerTimeoutMs the timeout for closing a connection after one side has ended it
+ * @param sweepIntervalMs the interval at which connections are checked for expired timeouts
+ * @param overloadRetryAfterMs the Retry-After for clients that are rejected for lack of descriptors
+ * @param emergencyDescriptors the number of descriptors held in reserve; one is closed if a connection cannot be accepted
+ *     otherwise
+ * @param maxAcceptAttempts the maximum number of consecutive failed accepts before a reserve descriptor is closed
+ * @param acceptRetryDelayMs how long a listener pauses if accepting still fails after that
  */
 public record SocketLimits(
         int relayBytes,
@@ -34,7 +35,7 @@
         double acceptRetryDelayMs) {
     private static final int KIBIBYTE = 1024;
 
-    /** The default limits of a node that may hold this many file descriptors. */
+    /** The default limits of a node that may have this many open file descriptors. */
     static SocketLimits defaults(int descriptors) {
         return new SocketLimits(
                 /* relayBytes= */ 16 * KIBIBYTE,
--- a/node/src/main/java/tulipshed/limits/WarmupLimits.java
+++ b/node/src/main/java/tulipshed/limits/WarmupLimits.java
@@ -1,14 +1,14 @@
 package tulipshed.limits;
 
 /**
- * The exchanges that a process plays with itself before it accepts clients.
+ * Limits of the warm-up, the exchanges that a process runs with itself before it accepts clients.
  *
- * @param burstExchanges the exchanges of one burst
- * @param targetMs how long a burst may take: a fifth of the 40 ms that the shortest requests have, as sockets and endpoints take
- *     the rest
- * @param burstsInTime the bursts in a row that have to be in time
- * @param pauseMs the pause after a burst in time, for other processes that start
- * @param timeoutMs when the process serves although its bursts are late
+ * @param burstExchanges the number of exchanges per burst
+ * @param targetMs the maximum duration of a burst that counts as in time: a fifth of the 40 ms available to the shortest
+ *     requests, as sockets and endpoints need the rest
+ * @param burstsInTime the number of consecutive bursts that must be in time
+ * @param pauseMs the pause after a burst in time, which leaves the CPU to other starting processes
+ * @param timeoutMs the time after which the process serves even if its bursts are not in time
  */
 public record WarmupLimits(int burstExchanges, double targetMs, int burstsInTime, double pauseMs, double timeoutMs) {
     /** The default limits. */
--- a/node/src/main/java/tulipshed/limits/package-info.java
+++ b/node/src/main/java/tulipshed/limits/package-info.java
@@ -1,4 +1,4 @@
-/** The sizes, counts and timeouts of a node that are no settings of its site: their meaning and their default values. */
+/** Sizes, counts and timeouts of a node that are not settings of its site, with their default values. */
 @NullMarked
 package tulipshed.limits;
 
--- a/node/src/main/java/tulipshed/lineprotocol/EndpointReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/EndpointReader.java
@@ -16,7 +16,7 @@
     EndpointReader(FrontendContext context, ClientSession client, UpstreamConnection upstream) {
         this.client = client;
         this.upstream = upstream;
-        this.decoder = new CrlfDecoder(context.limits().lineProtocol().lineBytes());
+        this.decoder = new CrlfDecoder(context.limits().lineProtocol().maxLineBytes());
         this.maxQueuedBytes = context.limits().sockets().relayBytes();
     }
 
--- a/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
@@ -34,7 +34,7 @@
         this.context = context;
         this.endpointId = endpoint.id();
         this.address = endpoint.address();
-        this.decoder = new CrlfDecoder(context.limits().lineProtocol().lineBytes());
+        this.decoder = new CrlfDecoder(context.limits().lineProtocol().maxLineBytes());
     }
 
     /** Whether a check is in progress. */
--- a/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
+++ b/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
@@ -86,7 +86,7 @@
         openCommandParser = new OpenCommandParser(
                 names,
                 declarations == null ? AttributeDeclarations.NONE : declarations,
-                context.limits().lineProtocol().longestWaitMs());
+                context.limits().lineProtocol().maxClientTimeoutMs());
     }
 
     /** The parser for the current settings. */
@@ -131,7 +131,7 @@
 
     private boolean isNearClientLimit() {
         Limits limits = context.limits();
-        return clientCount >= limits.clientConnections() - limits.sockets().maxAcceptsPerEvent();
+        return clientCount >= limits.maxClientConnections() - limits.sockets().maxAcceptsPerEvent();
     }
 
     /** When a client that is rejected for lack of capacity may retry; 0 if the settings allow no such delay. */
--- a/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
@@ -28,9 +28,9 @@
         this.connection = connection;
         this.responder = responder;
         LineProtocolLimits limits = context.limits().lineProtocol();
-        this.decoder = new CrlfDecoder(limits.lineBytes());
-        this.earlyData = new EarlyData(limits.lineBytes());
-        this.maxPings = limits.pings();
+        this.decoder = new CrlfDecoder(limits.maxLineBytes());
+        this.earlyData = new EarlyData(limits.maxLineBytes());
+        this.maxPings = limits.maxPings();
     }
 
     /** What the client sent between its open command and the response. */
--- a/node/src/main/java/tulipshed/lineprotocol/UnservedConnections.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UnservedConnections.java
@@ -24,7 +24,7 @@
 
     /** Adds a connection whose open command is awaited; evicts the oldest such one if there are too many. */
     void addOpening(ClientSession session) {
-        if (opening.size() >= limits.unopenedConnections()) {
+        if (opening.size() >= limits.maxUnopenedConnections()) {
             oldest(opening).evict();
         }
         opening.add(session);
--- a/node/src/main/java/tulipshed/management/ManagementServer.java
+++ b/node/src/main/java/tulipshed/management/ManagementServer.java
@@ -56,7 +56,7 @@
         this.loop = loop;
         this.core = core;
         this.serving = serving;
-        readBuffer = ByteBuffer.allocate(limits.management().headBytes());
+        readBuffer = ByteBuffer.allocate(limits.management().maxHeadBytes());
         // Twice as many as are kept, so that a new connection can always be accepted and the oldest be closed for it.
         acceptor = loop.listen(address, 2 * limits.management().connections(), this::onAccepted);
         loop.schedule(limits.sockets().sweepIntervalMs(), this::closeExpired);
--- a/node/src/main/java/tulipshed/management/ManagementSession.java
+++ b/node/src/main/java/tulipshed/management/ManagementSession.java
@@ -28,7 +28,7 @@
         this.server = server;
         // Not counted by the event loop: these descriptors are reserved, and client connections have no share in them.
         this.connection = new TcpConnection(accepted, this, () -> {});
-        this.parser = new HttpRequestParser(limits.management().headBytes());
+        this.parser = new HttpRequestParser(limits.management().maxHeadBytes());
         this.readBuffer = readBuffer;
         this.clock = clock;
         this.limits = limits;
--- a/node/src/main/java/tulipshed/time/Clock.java
+++ b/node/src/main/java/tulipshed/time/Clock.java
@@ -1,33 +1,33 @@
 package tulipshed.time;
 
 /**
- * A source of monotonic time, for spans: milliseconds, with fractions, since an origin that has no meaning outside this
- * clock. It says nothing of the time of day, which is {@link WallClock}'s. The decision module counts in integral
- * microseconds, and settings and the simulator in seconds; the conversions are here.
+ * A source of monotonic time, for measuring durations: fractional milliseconds since an origin that has no meaning outside
+ * this clock. For the time of day see {@link WallClock}. The decision module uses integral microseconds, settings and the
+ * simulator use seconds; the static methods convert between these units.
  */
 public interface Clock {
-    /** How many microseconds a second has. */
+    /** The number of microseconds per second. */
     double MICROS_PER_SECOND = 1e6;
 
-    /** The present time in milliseconds; never less than at an earlier call. */
+    /** Returns the present time in milliseconds; never less than in an earlier call. */
     double nowMs();
 
-    /** Milliseconds as microseconds, rounded. */
+    /** Converts milliseconds to microseconds, rounded. */
     static long toMicros(double ms) {
         return Math.round(ms * 1000);
     }
 
-    /** Microseconds as milliseconds. */
+    /** Converts microseconds to milliseconds. */
     static double toMillis(long us) {
         return us / 1000.0;
     }
 
-    /** Seconds as microseconds, rounded. */
+    /** Converts seconds to microseconds, rounded. */
     static long secondsToMicros(double seconds) {
         return Math.round(seconds * MICROS_PER_SECOND);
     }
 
-    /** Microseconds as seconds. */
+    /** Converts microseconds to seconds. */
     static double microsToSeconds(long us) {
         return us / MICROS_PER_SECOND;
     }
--- a/node/src/main/java/tulipshed/time/ManualClock.java
+++ b/node/src/main/java/tulipshed/time/ManualClock.java
@@ -1,10 +1,10 @@
 package tulipshed.time;
 
-/** A clock that changes only when it is advanced; for tests and for the emulator. Not safe for use by several threads. */
+/** A clock that changes only when it is advanced; for tests and the emulator. Not thread-safe. */
 public final class ManualClock implements Clock {
     private double nowMs;
 
-    /** Creates a clock that shows this time, in milliseconds. */
+    /** Creates a clock with this initial time, in milliseconds. */
     public ManualClock(double nowMs) {
         this.nowMs = nowMs;
     }
--- a/node/src/main/java/tulipshed/time/ManualWallClock.java
+++ b/node/src/main/java/tulipshed/time/ManualWallClock.java
@@ -1,10 +1,10 @@
 package tulipshed.time;
 
-/** A wall clock that changes only when it is stepped; for tests. Not safe for use by several threads. */
+/** A wall clock that changes only when it is stepped; for tests. Not thread-safe. */
 public final class ManualWallClock implements WallClock {
     private WallTime now;
 
-    /** Creates a clock that shows this time. */
+    /** Creates a clock with this initial time. */
     public ManualWallClock(WallTime now) {
         this.now = now;
     }
@@ -14,7 +14,7 @@
         return now;
     }
 
-    /** Steps by this many milliseconds, back where the number is negative. */
+    /** Steps the clock by this many milliseconds, backwards if negative. */
     public void step(long ms) {
         now = new WallTime(now.epochMs() + ms);
     }
--- a/node/src/main/java/tulipshed/time/SystemClock.java
+++ b/node/src/main/java/tulipshed/time/SystemClock.java
@@ -1,13 +1,13 @@
 package tulipshed.time;
 
 /**
- * The system's monotonic timer. Its origin has no meaning outside this clock, and it never reads the wall clock, so no step
- * of that reaches it. Immutable; safe for use by any thread.
+ * The system's monotonic timer. Its origin has no meaning outside this clock. It never reads the wall clock and is therefore
+ * unaffected by steps of the wall clock. Immutable and thread-safe.
  */
 public final class SystemClock implements Clock {
     /**
-     * What the clock shows when it is created, in milliseconds: some eleven days, so that times shortly before the start
-     * are above 0, which the decision module takes for long ago.
+     * The time of a new clock in milliseconds, about eleven days. It keeps times shortly before the start above 0, which the
+     * decision module interprets as long ago.
      */
     static final double ORIGIN_MS = 1e9;
 
--- a/node/src/main/java/tulipshed/time/SystemWallClock.java
+++ b/node/src/main/java/tulipshed/time/SystemWallClock.java
@@ -1,6 +1,6 @@
 package tulipshed.time;
 
-/** The wall clock of the operating system, read at each call. Immutable; safe for use by any thread. */
+/** The wall clock of the operating system, read at each call. Immutable and thread-safe. */
 public final class SystemWallClock implements WallClock {
     @Override
     public WallTime now() {
--- a/node/src/main/java/tulipshed/time/WallClock.java
+++ b/node/src/main/java/tulipshed/time/WallClock.java
@@ -1,10 +1,10 @@
 package tulipshed.time;
 
 /**
- * A source of wall time, for what is shown, logged, or exchanged with other machines. It may step either way; spans are
- * measured by {@link Clock}.
+ * A source of wall time, for times that are displayed, logged or exchanged with other machines. It may step forwards or
+ * backwards; durations are measured with {@link Clock}.
  */
 public interface WallClock {
-    /** The present time. */
+    /** Returns the present time. */
     WallTime now();
 }
--- a/node/src/main/java/tulipshed/time/WallTime.java
+++ b/node/src/main/java/tulipshed/time/WallTime.java
@@ -1,20 +1,22 @@
 package tulipshed.time;
 
 /**
- * A point in time as a machine's wall clock shows it. Wall clocks of two machines differ, and any of them may step either
- * way at any moment, so the difference of two wall times is no measure of the time that passed unless one clock showed
- * both and did not step. What a node decides rests on {@link Clock}, which is a type of its own for that reason.
+ * A point in time read from the wall clock of a machine. The wall clocks of two machines differ, and each may step forwards
+ * or backwards at any moment. The difference of two wall times therefore measures a duration only if both were read from the
+ * same clock and it did not step in between. For this reason decisions of a node use {@link Clock}, whose times have another
+ * type.
  *
  * @param epochMs milliseconds since the Unix epoch
  */
 public record WallTime(long epochMs) {
-    /** How much later this is than another time, in milliseconds; negative where it is earlier. */
+    /** Returns the milliseconds from the other time to this one; negative if this one is earlier. */
     public double millisAfter(WallTime other) {
-        // As longs, the difference of two arbitrary times may overflow.
+        // Subtracting two arbitrary times as longs may overflow.
         return (double) epochMs - (double) other.epochMs;
     }
 
-    // Written out, as the virtual machine links a record's own methods at their first call, which is in each start.
+    // Not the generated methods of the record: the virtual machine links those at their first call, which delays each
+    // start.
 
     @Override
     public boolean equals(Object other) {
--- a/node/src/main/java/tulipshed/time/package-info.java
+++ b/node/src/main/java/tulipshed/time/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The node's two sources of time, which do not mix: monotonic time for spans, wall time for what is shown or exchanged; and
- * conversions between the units of time that the program uses.
+ * The node's two sources of time, which must not be mixed: monotonic time for durations, wall time for times that are
+ * displayed or exchanged. Also conversions between the units of time that the program uses.
  */
 @NullMarked
 package tulipshed.time;
--- a/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
+++ b/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
@@ -212,10 +212,10 @@
         Limits defaults = Limits.forDescriptors(1024);
         startNode(
                 defaults.with(new LineProtocolLimits(
-                        defaults.lineProtocol().lineBytes(),
+                        defaults.lineProtocol().maxLineBytes(),
                         60_000,
-                        defaults.lineProtocol().pings(),
-                        defaults.lineProtocol().longestWaitMs(),
+                        defaults.lineProtocol().maxPings(),
+                        defaults.lineProtocol().maxClientTimeoutMs(),
                         defaults.lineProtocol().protocolErrorLogMs(),
                         defaults.lineProtocol().maxRedials(),
                         defaults.lineProtocol().firstRedialPauseMs())),
--- a/node/src/test/java/tulipshed/cli/StartupListTest.java
+++ b/node/src/test/java/tulipshed/cli/StartupListTest.java
@@ -63,8 +63,8 @@
         DiscoveryLimits defaults = limits.discovery();
         double patienceMs = 60_000;
         return limits.with(new DiscoveryLimits(
-                defaults.headBytes(),
-                defaults.bodyBytes(),
+                defaults.maxHeadBytes(),
+                defaults.maxBodyBytes(),
                 patienceMs,
                 defaults.watchWaitMs(),
                 patienceMs,
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
@@ -144,8 +144,8 @@
             throws Exception {
         return replaceWatch(Limits.forDescriptors(1024)
                 .with(new DiscoveryLimits(
-                        DEFAULTS.headBytes(),
-                        DEFAULTS.bodyBytes(),
+                        DEFAULTS.maxHeadBytes(),
+                        DEFAULTS.maxBodyBytes(),
                         connectTimeoutMs,
                         watchWaitMs,
                         watchTimeoutMs,
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFixture.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFixture.java
@@ -154,7 +154,7 @@
     private InetSocketAddress listen(Limits limits) {
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         try {
-            return loop.listen(anyPort, limits.clientConnections(), frontend::accept)
+            return loop.listen(anyPort, limits.maxClientConnections(), frontend::accept)
                     .address();
         } catch (IOException e) {
             throw new IllegalStateException(e);
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
@@ -284,7 +284,7 @@
     void answersPingsUpToLimit() throws IOException {
         try (LineSocket client = connectClient()) {
             client.send("PING\r\n".repeat(100_000));
-            for (int i = 0; i < Limits.forDescriptors(1024).lineProtocol().pings(); i++) {
+            for (int i = 0; i < Limits.forDescriptors(1024).lineProtocol().maxPings(); i++) {
                 assertEquals("PONG", client.readLine());
             }
             assertEquals("ERR", client.readLine());
