--- a/node/src/main/java/tulipshed/peer/PeerSocket.java
+++ b/node/src/main/java/tulipshed/peer/PeerSocket.java
@@ -63,10 +63,10 @@
 
     /** Publishes the counters under their external names in the metrics. */
     private void publishCounters(NodeMetrics metrics) {
-        metrics.frontendCounters("peers_sent", () -> sent);
-        metrics.frontendCounters("peers_not_sent", () -> notSent);
-        metrics.frontendCounters("peers_received", () -> received);
-        metrics.frontendCounters("peers_dropped", () -> dropped);
+        metrics.registerFrontendCounter("peers_sent", () -> sent);
+        metrics.registerFrontendCounter("peers_not_sent", () -> notSent);
+        metrics.registerFrontendCounter("peers_received", () -> received);
+        metrics.registerFrontendCounter("peers_dropped", () -> dropped);
     }
 
     /**
--- a/node/src/main/java/tulipshed/proxy/ActiveSettings.java
+++ b/node/src/main/java/tulipshed/proxy/ActiveSettings.java
@@ -6,7 +6,7 @@
 import tulipshed.decision.api.RequestClass;
 import tulipshed.time.Clock;
 
-/** The settings in force, with their durations in milliseconds. Confined to the event-loop thread. */
+/** The present settings, with durations in milliseconds. Confined to the event-loop thread. */
 final class ActiveSettings {
     private BalancerSettings settings;
 
@@ -14,23 +14,23 @@
         this.settings = settings;
     }
 
-    /** Replaces the settings; requests that arrived before keep their class. */
+    /** Replaces the settings; requests that have already arrived keep their class. */
     void replace(BalancerSettings changed) {
         settings = changed;
     }
 
-    /** The class at {@code index} of the settings in force. */
+    /** The class at {@code index} of the present settings. */
     RequestClass requestClass(int index) {
         return settings.classes().get(index);
     }
 
-    /** The index of the class of that name, -1 where the settings no longer have it. */
+    /** The index of the class with that name, -1 if the settings do not contain it. */
     int indexOfClass(String name) {
         List<String> names = settings.classes().stream().map(RequestClass::name).toList();
         return names.indexOf(name);
     }
 
-    /** The longest deadline of any class, 0 without classes. */
+    /** The longest deadline of all classes in milliseconds, 0 if there are no classes. */
     double longestDeadlineMs() {
         return Clock.toMillis(settings.classes().stream()
                 .mapToLong(RequestClass::deadlineUs)
@@ -38,22 +38,22 @@
                 .orElse(0));
     }
 
-    /** How long an endpoint that drains gives its connections. */
+    /** The drain grace period: how long connections may remain at a draining endpoint, in milliseconds. */
     double drainGraceMs() {
         return Clock.toMillis(settings.rules().drainGraceUs());
     }
 
-    /** How long an attempt may take to connect. */
+    /** The time that an attempt may take to connect, in milliseconds. */
     double connectTimeoutMs() {
         return Clock.toMillis(settings.limits().connectTimeoutUs());
     }
 
-    /** How many attempts one request may have. */
+    /** The maximum number of attempts per request. */
     int maxAttempts() {
         return settings.limits().maxAttempts();
     }
 
-    /** The delay that a rejected client may be given: at most that of the settings, 0 where they allow none. */
+    /** The Retry-After for a rejected client: at most the maximum of the settings, 0 if they disable it. */
     double retryAfterMs(double wantedMs) {
         return settings.limits().retryAfter()
                 ? Math.min(wantedMs, Clock.toMillis(settings.limits().maxRetryAfterUs()))
@@ -70,7 +70,7 @@
         return settings.limits().peerMessages();
     }
 
-    /** Whether responses may end with a load report. */
+    /** Whether responses of endpoints may end with a load report. */
     boolean expectsInlineLoadReports() {
         return settings.loadReportSource() == LoadReportSource.RESPONSES;
     }
--- a/node/src/main/java/tulipshed/proxy/Attempt.java
+++ b/node/src/main/java/tulipshed/proxy/Attempt.java
@@ -6,23 +6,23 @@
     private final Endpoint endpoint;
     private final int number;
     private final double startedMs;
-    private final double endsMs;
+    private final double establishByMs;
     private boolean connected;
     private boolean ended;
     private boolean draining;
     private double establishedMs;
     /** Null once the attempt is established or has ended. */
-    private TimerQueue.Timer establishTimer;
+    private TimerQueue.Timer establishmentTimer;
     /** Null for adopted connections, and once the attempt is established or has ended. */
     private TimerQueue.Timer connectTimer;
 
-    /** An attempt, numbered from 0 within its request, that must be established by {@code endsMs}. */
-    Attempt(Request request, Endpoint endpoint, int number, double startedMs, double endsMs) {
+    /** Creates an attempt, numbered from 0 within its request, that must be established by {@code establishByMs}. */
+    Attempt(Request request, Endpoint endpoint, int number, double startedMs, double establishByMs) {
         this.request = request;
         this.endpoint = endpoint;
         this.number = number;
         this.startedMs = startedMs;
-        this.endsMs = endsMs;
+        this.establishByMs = establishByMs;
     }
 
     /** The request that this attempt serves. */
@@ -30,21 +30,21 @@
         return request;
     }
 
-    /** Where the attempt goes. */
+    /** The endpoint of this attempt. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** Sets the timers that are cancelled once the attempt is established or has ended; either may be null. */
+    /** Sets the timers to cancel once the attempt is established or has ended; either may be null. */
     void setTimers(TimerQueue.Timer establish, TimerQueue.Timer connect) {
-        establishTimer = establish;
+        establishmentTimer = establish;
         connectTimer = connect;
     }
 
     private void cancelTimers() {
-        if (establishTimer != null) {
-            establishTimer.cancel();
-            establishTimer = null;
+        if (establishmentTimer != null) {
+            establishmentTimer.cancel();
+            establishmentTimer = null;
         }
         if (connectTimer != null) {
             connectTimer.cancel();
@@ -57,27 +57,27 @@
         return number;
     }
 
-    /** How long the node still waits for this attempt to be established, in milliseconds; not below 0. */
+    /** The remaining time for this attempt to be established, in milliseconds; not negative. */
     public double remainingWaitMs(double nowMs) {
-        return Math.max(0, endsMs - nowMs);
+        return Math.max(0, establishByMs - nowMs);
     }
 
-    /** When the attempt started, on the clock of the core. */
+    /** The start time in milliseconds, on the clock of the core. */
     double startedMs() {
         return startedMs;
     }
 
-    /** When the attempt ends unless it is established by then. */
-    double endsMs() {
-        return endsMs;
+    /** The time by which the attempt must be established, in milliseconds on the clock of the core. */
+    double establishByMs() {
+        return establishByMs;
     }
 
-    /** Whether its connection has been up: from then on the endpoint may have executed the request. */
+    /** Whether the attempt has been connected; from then on the endpoint may have executed the request. */
     boolean isConnected() {
         return connected;
     }
 
-    /** Records that its connection is up. */
+    /** Records that the attempt is connected. */
     void markConnected() {
         connected = true;
     }
@@ -87,7 +87,7 @@
         return ended;
     }
 
-    /** Records the end of the attempt, which needs its timers no more. */
+    /** Records the end of the attempt and cancels its timers. */
     void markEnded() {
         ended = true;
         cancelTimers();
@@ -103,12 +103,12 @@
         draining = true;
     }
 
-    /** When the attempt was established, 0 before. */
+    /** The time at which the attempt was established, 0 before that. */
     double establishedMs() {
         return establishedMs;
     }
 
-    /** Records that the endpoint serves the attempt, which needs its timers no more. */
+    /** Records that the endpoint serves the attempt, and cancels its timers. */
     void markEstablished(double nowMs) {
         cancelTimers();
         establishedMs = nowMs;
--- a/node/src/main/java/tulipshed/proxy/AttemptManager.java
+++ b/node/src/main/java/tulipshed/proxy/AttemptManager.java
@@ -7,8 +7,8 @@
 import tulipshed.time.Clock;
 
 /**
- * Starts, times and ends attempts. A request has one open attempt at most, and each attempt ends exactly once, with one
- * event to the decision module. Confined to the event-loop thread.
+ * Starts attempts, enforces their timeouts and ends them. A request has at most one open attempt, and each attempt ends
+ * exactly once, with one event to the decision module. Confined to the event-loop thread.
  */
 final class AttemptManager {
     private final Logger log;
@@ -39,9 +39,10 @@
     }
 
     /**
-     * Starts the next attempt of a request, as decided.
+     * Starts the next attempt of a request, as the decision module decided.
      *
-     * @param timeoutMs how long the attempt may take to be established; 0 for until shortly before the deadline
+     * @param timeoutMs the time until the attempt must be established; 0 for the time left to the deadline, less the
+     *     response margin
      */
     void start(long requestId, String endpointId, double timeoutMs) {
         Request request = table.find(requestId);
@@ -50,36 +51,36 @@
         }
         double nowMs = clock.nowMs();
         Endpoint endpoint = endpoints.getOrCreate(endpointId);
-        double endsMs = attemptEndMs(request, nowMs, timeoutMs);
-        if (!mayStart(request, nowMs, endsMs)) {
+        double establishByMs = establishmentDeadlineMs(request, nowMs, timeoutMs);
+        if (!mayStart(request, nowMs, establishByMs)) {
             reportUnused(request);
             return;
         }
-        Attempt attempt = new Attempt(request, endpoint, request.attemptCount(), nowMs, endsMs);
+        Attempt attempt = new Attempt(request, endpoint, request.attemptCount(), nowMs, establishByMs);
         request.openAttempt(attempt);
         if (!endpoint.isAvailable()) {
             ended(attempt, Outcome.CONNECT_FAILED, LoadReport.NONE);
             return;
         }
         attempt.setTimers(
-                events.schedule(endsMs, () -> establishmentTimedOut(attempt)),
+                events.schedule(establishByMs, () -> establishmentTimedOut(attempt)),
                 events.schedule(nowMs + settings.connectTimeoutMs(), () -> connectTimedOut(attempt)));
         request.connector().open(attempt);
     }
 
-    private double attemptEndMs(Request request, double nowMs, double timeoutMs) {
+    private double establishmentDeadlineMs(Request request, double nowMs, double timeoutMs) {
         double deadlineMs = request.deadlineMs() - limits.requests().responseMarginMs();
         return timeoutMs > 0 ? Math.min(deadlineMs, nowMs + timeoutMs) : deadlineMs;
     }
 
-    private boolean mayStart(Request request, double nowMs, double endsMs) {
+    private boolean mayStart(Request request, double nowMs, double establishByMs) {
         return request.isPending()
                 && request.attempt() == null
-                && endsMs > nowMs
+                && establishByMs > nowMs
                 && request.attemptCount() < settings.maxAttempts();
     }
 
-    /** Notifies the decision module that an attempt which it decided on was not started. */
+    /** Notifies the decision module that the attempt it decided on was not started. */
     private void reportUnused(Request request) {
         int number = request.attemptCount();
         events.add((balancer, nowMs, nowUs) -> balancer.attemptEnded(
@@ -87,13 +88,13 @@
     }
 
     /**
-     * Creates the attempt of an adopted connection, to be established by {@code endsMs}; the caller opens it. There is no
-     * connect timeout, as the endpoint may still be starting.
+     * Creates the attempt of an adopted connection, which must be established by {@code establishByMs}; the caller opens it.
+     * There is no connect timeout, as the endpoint may still be starting.
      */
-    Attempt createAdopted(Request request, Endpoint endpoint, double nowMs, double endsMs) {
-        Attempt attempt = new Attempt(request, endpoint, 0, nowMs, endsMs);
+    Attempt createAdopted(Request request, Endpoint endpoint, double nowMs, double establishByMs) {
+        Attempt attempt = new Attempt(request, endpoint, 0, nowMs, establishByMs);
         request.openAttempt(attempt);
-        attempt.setTimers(events.schedule(attempt.endsMs(), () -> establishmentTimedOut(attempt)), null);
+        attempt.setTimers(events.schedule(attempt.establishByMs(), () -> establishmentTimedOut(attempt)), null);
         return attempt;
     }
 
@@ -139,7 +140,7 @@
         return true;
     }
 
-    /** Ends an attempt; without effect where it has ended already. */
+    /** Ends an attempt; no effect if it has already ended. */
     void ended(Attempt attempt, Outcome outcome, LoadReport report) {
         if (attempt.isEnded()) {
             return;
@@ -154,7 +155,7 @@
             responses.complete(request);
             established.remove(request);
         } else if (request.isAdopted() && request.isPending()) {
-            // The decision module counts it as established and gives no response; the client still needs one.
+            // The decision module regards an adopted connection as established and decides on no response for it.
             responses.fail(request);
         }
         events.add((balancer, nowMs, nowUs) -> {
@@ -179,7 +180,7 @@
         }
     }
 
-    /** Cancels the open attempt of that request, if it has that number and is not established. */
+    /** Cancels the open attempt of that request if it has this number and is not established. */
     void cancel(long requestId, int attemptNumber) {
         Request request = table.find(requestId);
         if (request != null && request.attempt() != null && request.attempt().number() == attemptNumber) {
@@ -187,7 +188,7 @@
         }
     }
 
-    /** Cancels the open attempt of a request, if there is one that is not established. */
+    /** Cancels the open attempt of a request if there is one and it is not established. */
     void cancelOpen(Request request) {
         Attempt attempt = request.attempt();
         if (attempt != null && !request.isEstablished()) {
@@ -195,7 +196,7 @@
         }
     }
 
-    /** Ends an attempt from this side: its connector drops it first. */
+    /** Ends an attempt on the initiative of the node: the connector closes it first. */
     void abandon(Attempt attempt, Outcome outcome) {
         attempt.request().connector().abandon(attempt);
         ended(attempt, outcome, LoadReport.NONE);
@@ -203,7 +204,7 @@
 
     private void establishmentTimedOut(Attempt attempt) {
         if (!attempt.isEnded() && !attempt.request().isEstablished()) {
-            // Without a connection nothing of the request has reached the endpoint.
+            // If the attempt was never connected, no byte of the request has reached the endpoint.
             abandon(attempt, attempt.isConnected() ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
         }
     }
--- a/node/src/main/java/tulipshed/proxy/BalancerFactory.java
+++ b/node/src/main/java/tulipshed/proxy/BalancerFactory.java
@@ -11,8 +11,8 @@
      * Creates a decision module.
      *
      * @param seed its random seed
-     * @param nowUs the time now, in microseconds on the clock of the core
-     * @param actions takes its decisions, also from within this call
+     * @param nowUs the present time in microseconds, on the clock of the core
+     * @param actions receives its decisions, which may be made even during this call
      */
     BalancerApi create(BalancerSettings settings, long seed, long nowUs, BalancerActions actions);
 }
--- a/node/src/main/java/tulipshed/proxy/ClientConnection.java
+++ b/node/src/main/java/tulipshed/proxy/ClientConnection.java
@@ -3,15 +3,15 @@
 /** The client's side of a request, implemented by its protocol frontend. Called on the event-loop thread only. */
 public interface ClientConnection {
     /**
-     * Final response: rejected; a retry is harmless.
+     * Sends the final response that rejects the request; a retry is harmless.
      *
-     * @param retryAfterMs when to retry, in milliseconds from now; 0 where nothing is said of that
+     * @param retryAfterMs the Retry-After in milliseconds; 0 for none
      */
     void reject(double retryAfterMs);
 
-    /** Final response: failed; the request may have had an effect. */
+    /** Sends the final response that the request failed; it may have had an effect. */
     void fail();
 
-    /** Asks the client of an established connection to reconnect, and closes the connection on both sides. */
+    /** Tells the client of an established connection to reconnect, and closes the client and upstream connections. */
     void migrate();
 }
--- a/node/src/main/java/tulipshed/proxy/ConnectionAdopter.java
+++ b/node/src/main/java/tulipshed/proxy/ConnectionAdopter.java
@@ -8,8 +8,8 @@
 /**
  * Resumes connections that were established at an endpoint before this node started. Confined to the event-loop thread.
  *
- * <p>The cached endpoint list may be older than the connection. An endpoint that it does not name yet is waited for, but
- * only briefly once discovery has delivered its own list.
+ * <p>The cached endpoint list may be older than the connection and may lack its endpoint. The endpoint is then awaited, but
+ * only briefly once discovery has delivered a list.
  */
 final class ConnectionAdopter {
     private final Clock clock;
@@ -22,8 +22,8 @@
     private final EndpointRegistry endpoints;
     private final AttemptManager attempts;
 
-    /** Requests whose endpoint is waited for; the table does not have them yet. */
-    private final Set<Request> waiting = new LinkedHashSet<>();
+    /** Requests whose endpoint is awaited; they are not in the table yet. */
+    private final Set<Request> awaitingEndpoint = new LinkedHashSet<>();
 
     ConnectionAdopter(
             CoreContext context,
@@ -43,44 +43,45 @@
         this.attempts = attempts;
     }
 
-    /** Resumes a connection at the endpoint of that id, now or once the endpoint list names it. */
+    /** Resumes a connection at the endpoint with that id, as soon as the address of the endpoint is known. */
     void adopt(Request request, String endpointId) {
         routing.classify(request);
-        responses.expect(request);
+        responses.startTracking(request);
         resume(request, endpointId, clock.nowMs());
     }
 
     private void resume(Request request, String endpointId, double arrivedMs) {
         Endpoint endpoint = endpoints.find(endpointId);
         double nowMs = clock.nowMs();
-        waiting.remove(request);
+        awaitingEndpoint.remove(request);
         if (!request.isPending()) {
             return;
         }
         if (endpoint != null && endpoint.address() != null) {
             open(request, endpoint, nowMs, arrivedMs + limits.adoptionTimeoutMs());
         } else if (nowMs < arrivedMs + endpointTimeoutMs()) {
-            waiting.add(request);
+            awaitingEndpoint.add(request);
             events.schedule(nowMs + limits.unknownEndpointPollMs(), () -> resume(request, endpointId, arrivedMs));
         } else {
             responses.fail(request);
         }
     }
 
-    /** Answers the requests whose endpoint is still waited for, before the node exits: they cannot be resumed here. */
+    /** Fails the requests whose endpoint is still awaited, as the node exits before they can be resumed. */
     void failAllWaiting() {
-        waiting.stream().filter(Request::isPending).forEach(responses::fail);
-        waiting.clear();
+        awaitingEndpoint.stream().filter(Request::isPending).forEach(responses::fail);
+        awaitingEndpoint.clear();
     }
 
     private double endpointTimeoutMs() {
         return endpoints.isListReceived() ? limits.unlistedEndpointTimeoutMs() : limits.adoptionTimeoutMs();
     }
 
-    private void open(Request request, Endpoint endpoint, double nowMs, double endsMs) {
+    private void open(Request request, Endpoint endpoint, double nowMs, double establishByMs) {
         table.register(request);
-        Attempt attempt = attempts.createAdopted(request, endpoint, nowMs, endsMs);
-        // The settings may have dropped its class while it waited. It is not retried, so that any class serves.
+        Attempt attempt = attempts.createAdopted(request, endpoint, nowMs, establishByMs);
+        // The class may have been removed from the settings meanwhile. Adopted connections are not retried, so any
+        // class will do.
         int classIndex = Math.max(0, settings.indexOfClass(request.className()));
         events.add((balancer, eventMs, nowUs) -> {
             request.assignPool(routing.poolOf(request));
--- a/node/src/main/java/tulipshed/proxy/ConnectionMigrator.java
+++ b/node/src/main/java/tulipshed/proxy/ConnectionMigrator.java
@@ -5,7 +5,7 @@
 import tulipshed.decision.api.LoadReport;
 import tulipshed.decision.api.Outcome;
 
-/** Ends established connections in a way that makes their clients reconnect. Confined to the event-loop thread. */
+/** Migrates established connections: ends them and tells their clients to reconnect. Confined to the event-loop thread. */
 final class ConnectionMigrator {
     private final RequestTable table;
     private final EstablishedConnections established;
@@ -20,7 +20,7 @@
         this.log = context.log().logger(CoreContext.LOG_SUBJECT);
     }
 
-    /** Migrates the client of that request, if it is established, as decided. */
+    /** Migrates the client of that request if it is established, as the decision module decided. */
     void migrate(long requestId) {
         Request request = table.find(requestId);
         if (request != null && request.isEstablished()) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Migrates the client of an established request; the outcome is that of its attempt. */
+    /** Migrates the client of an established request and ends its attempt with the outcome. */
     void migrate(Request request, Outcome outcome) {
         Attempt attempt = request.attempt();
         request.client().migrate();
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Migrates the client that has been established longest; false where there is none. */
+    /** Migrates the client of the oldest established connection; returns false if there is none. */
     boolean migrateOldest() {
         Optional<Request> oldest = established.oldest();
         oldest.ifPresent(request -> migrate(request, Outcome.CANCELLED));
--- a/node/src/main/java/tulipshed/proxy/CoreComponents.java
+++ b/node/src/main/java/tulipshed/proxy/CoreComponents.java
@@ -6,7 +6,7 @@
 import tulipshed.logging.NodeLog;
 import tulipshed.time.Clock;
 
-/** Creates the parts of one {@link ProxyCore} and connects them with each other and with the decision module. */
+/** The components of one {@link ProxyCore}, connected with each other and with the decision module. */
 final class CoreComponents {
     final ActiveSettings settings;
     final EventBatch events;
@@ -26,7 +26,7 @@
     final ReplicatedConnections replicatedConnections;
     final BalancerApi balancer;
 
-    /** Creates the parts under these settings; parameters as those of {@link ProxyCore}. */
+    /** Creates the components; the parameters are those of the constructor of {@link ProxyCore}. */
     CoreComponents(
             Clock clock,
             Limits limits,
--- a/node/src/main/java/tulipshed/proxy/DecisionBuffer.java
+++ b/node/src/main/java/tulipshed/proxy/DecisionBuffer.java
@@ -6,8 +6,8 @@
 import tulipshed.time.Clock;
 
 /**
- * Holds back what the decision module decides until the complete batch of events has been delivered. Timers and log lines
- * take effect at once. Confined to the event-loop thread.
+ * Defers the decisions of the decision module until all events of the batch have been delivered. Timers and log lines take
+ * effect immediately. Confined to the event-loop thread.
  */
 final class DecisionBuffer implements BalancerActions {
     private static final String LOG_SUBJECT = "balancer";
@@ -17,7 +17,7 @@
     private final Clock clock;
     private final Logger log;
 
-    /** The parts of the core that carry out the decisions. */
+    /** The components that carry out the decisions. */
     record Targets(
             RequestLifecycle requests,
             AttemptManager attempts,
--- a/node/src/main/java/tulipshed/proxy/Endpoint.java
+++ b/node/src/main/java/tulipshed/proxy/Endpoint.java
@@ -4,41 +4,41 @@
 import tulipshed.decision.api.EndpointInfo;
 import tulipshed.decision.api.EndpointStatus;
 
-/** An endpoint as the endpoint list last described it. Confined to the event-loop thread. */
+/** An endpoint as described by the latest endpoint list. Confined to the event-loop thread. */
 public final class Endpoint {
     private final String id;
     private InetSocketAddress address;
     private EndpointStatus status = EndpointStatus.REMOVED;
     private EndpointInfo info;
 
-    /** An endpoint that no list has named yet. */
+    /** Creates an endpoint that no list has contained yet. */
     Endpoint(String id) {
         this.id = id;
     }
 
-    /** Takes over what the list says; the address is null where it is not known. */
+    /** Applies the description from the list; the address is null if it is not known. */
     void update(EndpointInfo listed, InetSocketAddress listedAddress) {
         info = listed;
         status = listed.status();
         address = listedAddress;
     }
 
-    /** The list names this endpoint no more; connections to it may still be open. */
+    /** Records that the endpoint is no longer listed; connections to it may still be open. */
     void markRemoved() {
         status = EndpointStatus.REMOVED;
     }
 
-    /** The id by which the list names this endpoint. */
+    /** The id of this endpoint in the list. */
     public String id() {
         return id;
     }
 
-    /** Where the endpoint accepts connections of this node; null where that is not known. */
+    /** The address at which the endpoint accepts connections from this node; null if it is not known. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Whether the list last named the endpoint as serving. */
+    /** Whether the endpoint is listed as serving. */
     public boolean isServing() {
         return status == EndpointStatus.SERVING;
     }
@@ -48,12 +48,12 @@
         return isServing() && address != null;
     }
 
-    /** What the list last said of the endpoint; null where no list has named it. */
+    /** The latest description of the endpoint in the list; null if no list has contained it. */
     EndpointInfo info() {
         return info;
     }
 
-    /** Whether the list names the endpoint, serving or draining. */
+    /** Whether the endpoint is listed, as serving or draining. */
     boolean isListed() {
         return status != EndpointStatus.REMOVED;
     }
--- a/node/src/main/java/tulipshed/proxy/EndpointDrainer.java
+++ b/node/src/main/java/tulipshed/proxy/EndpointDrainer.java
@@ -4,11 +4,11 @@
 import tulipshed.decision.api.Outcome;
 
 /**
- * Ends the attempts that may not stay on an endpoint that stopped serving, spread over part of the drain grace so that
- * their clients do not all reconnect at once. Confined to the event-loop thread.
+ * Ends attempts that may not remain at an endpoint that is no longer serving, spread over part of the drain grace period so
+ * that their clients do not all reconnect at the same time. Confined to the event-loop thread.
  */
 final class EndpointDrainer {
-    /** The fraction of the drain grace over which attempts leave; the rest is reserve for those that are slow. */
+    /** The fraction of the drain grace period over which attempts are ended; the rest is a reserve for slow ones. */
     private static final double DRAIN_SPREAD_FRACTION = 0.6;
 
     private final CoreContext context;
@@ -23,18 +23,18 @@
         this.migrator = migrator;
     }
 
-    /** Schedules the end of each attempt that must leave its endpoint and is not scheduled to yet. */
+    /** Schedules the end of each attempt that must endAttempt its endpoint and is not yet scheduled to. */
     void drain() {
-        List<Attempt> leaving = table.all().stream()
+        List<Attempt> drained = table.all().stream()
                 .map(Request::attempt)
                 .filter(EndpointDrainer::mustLeave)
                 .toList();
         double spreadMs = DRAIN_SPREAD_FRACTION * context.settings().drainGraceMs();
         double nowMs = context.clock().nowMs();
-        for (int index = 0; index < leaving.size(); index++) {
-            Attempt attempt = leaving.get(index);
+        for (int index = 0; index < drained.size(); index++) {
+            Attempt attempt = drained.get(index);
             attempt.markDraining();
-            context.events().schedule(nowMs + spreadMs * index / leaving.size(), () -> leave(attempt));
+            context.events().schedule(nowMs + spreadMs * index / drained.size(), () -> endAttempt(attempt));
         }
     }
 
@@ -45,7 +45,7 @@
                 && attempt.request().connector().mustLeaveDrainingEndpoint();
     }
 
-    private void leave(Attempt attempt) {
+    private void endAttempt(Attempt attempt) {
         if (attempt.isEnded()) {
             return;
         }
--- a/node/src/main/java/tulipshed/proxy/EndpointListEntry.java
+++ b/node/src/main/java/tulipshed/proxy/EndpointListEntry.java
@@ -6,7 +6,7 @@
 /**
  * One entry of the endpoint list.
  *
- * @param info what the decision module learns about the endpoint
- * @param address where the endpoint accepts connections; null in an update that leaves the known address as it is
+ * @param info the description of the endpoint for the decision module
+ * @param address the address at which the endpoint accepts connections; null in an update that does not change it
  */
 public record EndpointListEntry(EndpointInfo info, InetSocketAddress address) {}
--- a/node/src/main/java/tulipshed/proxy/EndpointListSource.java
+++ b/node/src/main/java/tulipshed/proxy/EndpointListSource.java
@@ -1,7 +1,7 @@
 package tulipshed.proxy;
 
-/** Where the endpoint list comes from, such as the client of the discovery service. */
+/** A source of the endpoint list, such as the client of the discovery service. */
 public interface EndpointListSource {
-    /** Starts to watch the list; its updates arrive at {@link ProxyCore#endpointsChanged}. */
+    /** Starts watching the list; updates are reported to {@link ProxyCore#endpointsChanged}. */
     void watch();
 }
--- a/node/src/main/java/tulipshed/proxy/EndpointRegistry.java
+++ b/node/src/main/java/tulipshed/proxy/EndpointRegistry.java
@@ -11,20 +11,20 @@
 import tulipshed.decision.api.EndpointListKind;
 
 /**
- * The endpoints that the list has named, including removed ones to which connections may still be open. Confined to the
+ * The endpoints that the list has contained, including removed ones to which connections may still be open. Confined to the
  * event-loop thread.
  */
 final class EndpointRegistry {
-    /** So many endpoints may be remembered, listed or removed, however short the list is. */
-    private static final int MIN_REMEMBERED = 64;
+    /** The number of listed and removed endpoints that may always be retained, however short the list is. */
+    private static final int MIN_RETAINED = 64;
 
-    /** Listed and removed endpoints may be remembered in this proportion to the listed ones. */
-    private static final int REMEMBERED_PER_LISTED = 2;
+    /** The maximum ratio of retained endpoints, listed and removed, to listed ones. */
+    private static final int MAX_RETAINED_PER_LISTED = 2;
 
-    /** Oldest first. */
+    /** All retained endpoints, oldest first. */
     private final Map<String, Endpoint> endpointsById = new LinkedHashMap<>();
 
-    private int maxRemembered = MIN_REMEMBERED;
+    private int maxRetained = MIN_RETAINED;
     private boolean listReceived;
 
     /** Applies an update of the list. */
@@ -37,17 +37,20 @@
             Endpoint endpoint = getOrCreate(entry.info().id());
             endpoint.update(entry.info(), entry.address() == null ? endpoint.address() : entry.address());
         }
-        forgetOldestRemoved();
+        evictOldestRemoved();
     }
 
-    /** Releases replace endpoints by others with new ids; connections that are still open hold their endpoint themselves. */
-    private void forgetOldestRemoved() {
-        if (endpointsById.size() <= maxRemembered) {
+    /**
+     * Bounds the map, as each release replaces all endpoints by ones with new ids; open connections keep their own
+     * reference.
+     */
+    private void evictOldestRemoved() {
+        if (endpointsById.size() <= maxRetained) {
             return;
         }
-        maxRemembered = Math.max(MIN_REMEMBERED, REMEMBERED_PER_LISTED * (int) listedCount());
+        maxRetained = Math.max(MIN_RETAINED, MAX_RETAINED_PER_LISTED * (int) listedCount());
         Iterator<Endpoint> oldestFirst = endpointsById.values().iterator();
-        while (endpointsById.size() > maxRemembered && oldestFirst.hasNext()) {
+        while (endpointsById.size() > maxRetained && oldestFirst.hasNext()) {
             if (!oldestFirst.next().isListed()) {
                 oldestFirst.remove();
             }
@@ -62,43 +65,43 @@
                 .forEach(Endpoint::markRemoved);
     }
 
-    /** The endpoint of that id, or null where no list has named it. */
+    /** The endpoint with that id, null if no list has contained it or it has been evicted. */
     Endpoint find(String id) {
         return endpointsById.get(id);
     }
 
-    /** The endpoint of that id; one that no list has named is created, as removed. */
+    /** The endpoint with that id; if there is none, it is created with the status REMOVED. */
     Endpoint getOrCreate(String id) {
         return endpointsById.computeIfAbsent(id, Endpoint::new);
     }
 
-    /** Whether a connection can be opened to the endpoint of that id. */
+    /** Whether a connection can be opened to the endpoint with that id. */
     boolean isAvailable(String id) {
         Endpoint endpoint = find(id);
         return endpoint != null && endpoint.isAvailable();
     }
 
-    /** How many endpoints are remembered; for tests. */
-    int rememberedCount() {
+    /** The number of retained endpoints; for tests. */
+    int retainedCount() {
         return endpointsById.size();
     }
 
-    /** Whether discovery has delivered a list since the start, other than the cached one. */
+    /** Whether discovery has delivered a list since the start; the cached list does not count. */
     boolean isListReceived() {
         return listReceived;
     }
 
-    /** How many endpoints the list names. */
+    /** The number of listed endpoints. */
     long listedCount() {
         return endpointsById.values().stream().filter(Endpoint::isListed).count();
     }
 
-    /** How many of the listed endpoints are serving. */
+    /** The number of listed endpoints that are serving. */
     long servingCount() {
         return endpointsById.values().stream().filter(Endpoint::isServing).count();
     }
 
-    /** What the list says of the endpoints that it names. */
+    /** The descriptions of the listed endpoints. */
     Collection<EndpointInfo> listedInfos() {
         return endpointsById.values().stream()
                 .filter(Endpoint::isListed)
--- a/node/src/main/java/tulipshed/proxy/EstablishedConnections.java
+++ b/node/src/main/java/tulipshed/proxy/EstablishedConnections.java
@@ -5,20 +5,20 @@
 import java.util.Set;
 
 /**
- * The connections that are established through this process, oldest first; published to the other process of a hot
- * restart where there is one. Confined to the event-loop thread.
+ * The connections established through this process, oldest first. They are published to the other process of a hot restart
+ * if there is one. Confined to the event-loop thread.
  */
 final class EstablishedConnections {
     private final Set<Request> requests = new LinkedHashSet<>();
-    /** Null before {@link #setHotRestartPeer}: nothing is published then. */
+    /** Null before {@link #setHotRestartPeer}; nothing is published until then. */
     private HotRestartPeer hotRestartPeer;
 
-    /** Publishes connections from now on to the other process of this node. */
+    /** Sets the other process of this node; connections added from now on are published to it. */
     void setHotRestartPeer(HotRestartPeer peer) {
         hotRestartPeer = peer;
     }
 
-    /** Adds a connection that was just established at the endpoint. */
+    /** Adds a connection that has been established at the endpoint. */
     void add(Request request, Endpoint endpoint) {
         requests.add(request);
         if (hotRestartPeer != null) {
@@ -39,12 +39,12 @@
         }
     }
 
-    /** The connection established first among those that are left. */
+    /** The oldest connection, if there is any. */
     Optional<Request> oldest() {
         return requests.stream().findFirst();
     }
 
-    /** How many connections are established. */
+    /** The number of established connections. */
     int size() {
         return requests.size();
     }
--- a/node/src/main/java/tulipshed/proxy/EventBatch.java
+++ b/node/src/main/java/tulipshed/proxy/EventBatch.java
@@ -8,8 +8,9 @@
 import tulipshed.time.Clock;
 
 /**
- * Collects events and delivers them to the decision module in one batch, after which the deferred actions run, the decisions
- * among them. So a decision never precedes an event that was already known. Confined to the event-loop thread.
+ * Collects events and delivers them to the decision module in one batch; then runs the deferred actions, including the
+ * decisions made during the batch. A decision therefore never takes effect before an event that had already occurred.
+ * Confined to the event-loop thread.
  */
 final class EventBatch {
     private final Clock clock;
@@ -23,7 +24,7 @@
 
     /** An event for the decision module. */
     interface Event {
-        /** Delivers the event; both times are those of the batch. */
+        /** Delivers the event; both arguments give the time of the batch, in milliseconds and in microseconds. */
         void deliver(BalancerApi balancer, double nowMs, long nowUs);
     }
 
@@ -33,7 +34,7 @@
         this.log = log.logger(CoreContext.LOG_SUBJECT);
     }
 
-    /** Sets the decision module, which may have scheduled timers already while it was created. */
+    /** Sets the decision module, whose constructor may already have scheduled timers, and schedules the first batch. */
     void start(BalancerApi created) {
         balancer = created;
         scheduleRun();
@@ -45,12 +46,14 @@
         scheduleRun();
     }
 
-    /** Runs the action once the events of the batch have been delivered; an action that runs now may defer to the next. */
+    /**
+     * Defers the action until the events of the batch have been delivered; one deferred by an action runs in the next batch.
+     */
     void defer(Runnable action) {
         deferredActions.add(action);
     }
 
-    /** Runs the task at that time, unless the timer is cancelled before. */
+    /** Schedules the task for {@code atMs} on the clock of the core; cancel the returned timer to prevent it. */
     TimerQueue.Timer schedule(double atMs, Runnable task) {
         TimerQueue.Timer timer = timers.add(atMs, task);
         scheduleRun();
@@ -84,7 +87,7 @@
         }
     }
 
-    /** A defect met in one task, or memory that ran out there, must not cost other requests their responses. */
+    /** Logs any failure of the task, even an OutOfMemoryError: other requests of the batch must still get their responses. */
     private void runGuarded(Runnable task) {
         try {
             task.run();
@@ -98,7 +101,7 @@
             StackTraceElement[] trace = failure.getStackTrace();
             log.error("event handler failed: " + failure + " at " + (trace.length > 0 ? trace[0] : "unknown location"));
         } catch (Error outOfMemory) {
-            // Without memory for the line, the batch goes on all the same.
+            // There is no memory left for the log line; the rest of the batch still runs.
         }
     }
 }
--- a/node/src/main/java/tulipshed/proxy/EventLoop.java
+++ b/node/src/main/java/tulipshed/proxy/EventLoop.java
@@ -1,10 +1,10 @@
 package tulipshed.proxy;
 
-/** The one thread on which all of a node's work runs. */
+/** The single-threaded event loop on which all work of a node runs. */
 public interface EventLoop {
-    /** Runs the task after all input that is ready now has been read. */
+    /** Schedules the task to run after all input that is ready now has been read. */
     void execute(Runnable task);
 
-    /** Runs the task after {@code delayMs} milliseconds, or a little later. */
+    /** Schedules the task to run after {@code delayMs} milliseconds, or slightly later. */
     void schedule(double delayMs, Runnable task);
 }
--- a/node/src/main/java/tulipshed/proxy/ExecutionRecord.java
+++ b/node/src/main/java/tulipshed/proxy/ExecutionRecord.java
@@ -4,49 +4,49 @@
 import tulipshed.time.Clock;
 
 /**
- * Whether a request may have executed at an endpoint, and what its class permits because of that. Confined to the event-loop
- * thread.
+ * Tracks whether a request may have executed at an endpoint, and whether the idempotency of its class then permits another
+ * attempt or a rejection. Confined to the event-loop thread.
  */
 final class ExecutionRecord {
     private RequestClass requestClass;
-    /** When the first attempt started that may have executed; NaN where none may have. */
-    private double executedMs = Double.NaN;
+    /** Start time of the first attempt that may have executed; NaN if there is none. */
+    private double firstExecutionMs = Double.NaN;
 
-    /** Fixes the class of the request. */
-    void setRequestClass(RequestClass fixed) {
-        requestClass = fixed;
+    /** Sets the class of the request, which later changes of the settings do not affect. */
+    void setRequestClass(RequestClass assigned) {
+        requestClass = assigned;
     }
 
-    /** Returns the class of the request, null before it is fixed. */
+    /** Returns the class of the request, null before it is set. */
     RequestClass requestClass() {
         return requestClass;
     }
 
-    /** Records that an attempt which started then may have executed; only the first one counts. */
+    /** Records that the attempt started at {@code startedMs} may have executed; only the first such attempt is kept. */
     void recordExecution(double startedMs) {
         if (!mayHaveExecuted()) {
-            executedMs = startedMs;
+            firstExecutionMs = startedMs;
         }
     }
 
     private boolean mayHaveExecuted() {
-        return !Double.isNaN(executedMs);
+        return !Double.isNaN(firstExecutionMs);
     }
 
-    /** Whether an attempt may be forwarded now, given that earlier ones may have executed. */
+    /** Whether another attempt may be forwarded now without the risk of a second execution that the class forbids. */
     boolean permitsForwarding(double nowMs) {
         return !mayHaveExecuted()
                 || switch (requestClass.idempotency()) {
                     case IDEMPOTENT -> true;
-                    case WITH_KEY -> nowMs < executedMs + Clock.toMillis(requestClass.deduplicationWindowUs());
+                    case WITH_KEY -> nowMs < firstExecutionMs + Clock.toMillis(requestClass.deduplicationWindowUs());
                     case NOT_IDEMPOTENT -> false;
                 };
     }
 
     /**
-     * Whether a rejection, which promises that a retry is harmless, is a correct response.
+     * Whether the request may be rejected; a rejection promises the client that a retry is harmless.
      *
-     * @param attemptConnected whether an attempt is open that may be executing
+     * @param attemptConnected whether the open attempt is connected and may be executing
      */
     boolean permitsRejection(boolean attemptConnected) {
         return requestClass.isRepeatHarmless() || (!mayHaveExecuted() && !attemptConnected);
--- a/node/src/main/java/tulipshed/proxy/FinalResponses.java
+++ b/node/src/main/java/tulipshed/proxy/FinalResponses.java
@@ -1,6 +1,6 @@
 package tulipshed.proxy;
 
-/** Sends each client its one final response, and counts it. Confined to the event-loop thread. */
+/** Sends each client its single final response, and counts it. Confined to the event-loop thread. */
 final class FinalResponses {
     private final ActiveSettings settings;
     private final NodeMetrics metrics;
@@ -10,32 +10,32 @@
         this.metrics = metrics;
     }
 
-    /** Fixes the class of a request that arrived; from here on it counts as active until {@link #complete}. */
-    void expect(Request request) {
+    /** Sets the class of an arrived request, which counts as active until {@link #complete}. */
+    void startTracking(Request request) {
         request.setRequestClass(settings.requestClass(request.classIndex()));
         metrics.recordArrival();
     }
 
-    /** Counts a request whose connection is established now. */
+    /** Marks a request as established and counts it. */
     void established(Request request) {
         request.markEstablished();
         metrics.recordEstablished(request.className());
     }
 
-    /** Completes a request without a response: its client or its connection is gone. */
+    /** Completes a request without a response, as its client has disconnected or its connection has ended. */
     void complete(Request request) {
         request.complete();
         metrics.recordCompletion();
     }
 
-    /** Fails a pending request; nothing is promised about its effect. */
+    /** Fails a pending request, which may have had an effect. */
     void fail(Request request) {
         complete(request);
         metrics.recordFailed(request.className());
         request.client().fail();
     }
 
-    /** Rejects a pending request, of which a retry is harmless; {@code retryAfterMs} is 0 for no delay. */
+    /** Rejects a pending request, a retry of which is harmless; {@code retryAfterMs} is 0 for no Retry-After. */
     void reject(Request request, double retryAfterMs) {
         complete(request);
         metrics.recordRejected(request.className());
--- a/node/src/main/java/tulipshed/proxy/HotRestartPeer.java
+++ b/node/src/main/java/tulipshed/proxy/HotRestartPeer.java
@@ -3,23 +3,23 @@
 import java.util.Map;
 
 /**
- * The other process of this node while one takes over from the other. Each publishes its established connections, by slot,
- * to the other. Called on the event-loop thread only.
+ * The other process of this node during a hot restart. Each process publishes its established connections to the other,
+ * by slot. Called on the event-loop thread only.
  */
 public interface HotRestartPeer {
     /**
      * An established connection.
      *
      * @param endpointId the endpoint that serves it
-     * @param group its affinity group, null where there is none
-     * @param loadHintUsPerS its expected load in microseconds of work per second, 0 where unknown
+     * @param group its affinity group, null if there is none
+     * @param loadHintUsPerS its expected load in microseconds of work per second, 0 if unknown
      */
     record EstablishedConnection(String endpointId, String group, double loadHintUsPerS) {}
 
-    /** Publishes a connection of this process; returns its slot, below 0 where there was no room. */
+    /** Publishes a connection of this process; returns its slot, or a negative value if there is no space for it. */
     int connectionEstablished(EstablishedConnection connection);
 
-    /** Withdraws the connection that was published in that slot. */
+    /** Withdraws the connection published in that slot. */
     void connectionEnded(int slot);
 
     /** The connections of the other process, by slot. */
--- a/node/src/main/java/tulipshed/proxy/NodeMetrics.java
+++ b/node/src/main/java/tulipshed/proxy/NodeMetrics.java
@@ -21,25 +21,25 @@
         private long rejected;
         private long failed;
 
-        /** How many connections were established. */
+        /** The number of established connections. */
         public long established() {
             return established;
         }
 
-        /** How many requests were rejected. */
+        /** The number of rejected requests. */
         public long rejected() {
             return rejected;
         }
 
-        /** How many requests failed. */
+        /** The number of failed requests. */
         public long failed() {
             return failed;
         }
     }
 
-    /** Adds the classes of new settings, with counts of 0; a class that was dropped keeps its counts. */
+    /** Adds the classes of new settings with counts of 0; a class that the settings no longer contain keeps its counts. */
     void declareClasses(List<RequestClass> classes) {
-        classes.forEach(named -> responses.computeIfAbsent(named.name(), name -> new ResponseCounts()));
+        classes.forEach(requestClass -> responses.computeIfAbsent(requestClass.name(), name -> new ResponseCounts()));
     }
 
     /** Counts a request that arrived. */
@@ -47,7 +47,7 @@
         activeRequests++;
     }
 
-    /** Counts a request that has ended, established ones with their connection. */
+    /** Counts a request that has ended; an established one ends with its connection. */
     void recordCompletion() {
         activeRequests--;
     }
@@ -82,12 +82,12 @@
         reloadsRejected++;
     }
 
-    /** Adds a counter that a frontend keeps itself; it replaces one of the same name. */
-    public void frontendCounters(String name, LongSupplier counter) {
+    /** Registers a counter that a frontend maintains; it replaces any of the same name. */
+    public void registerFrontendCounter(String name, LongSupplier counter) {
         frontendCounters.put(name, counter);
     }
 
-    /** The counters that frontends keep themselves, by name. */
+    /** The counters that frontends maintain, by name. */
     public Map<String, LongSupplier> frontendCounters() {
         return frontendCounters;
     }
--- a/node/src/main/java/tulipshed/proxy/PeerMessages.java
+++ b/node/src/main/java/tulipshed/proxy/PeerMessages.java
@@ -13,12 +13,12 @@
         this.events = context.events();
     }
 
-    /** Sets what sends datagrams; without one they are dropped. */
+    /** Sets the sender of datagrams; until one is set, datagrams are dropped. */
     void setSender(PeerSender datagramSender) {
         sender = datagramSender;
     }
 
-    /** Sends a datagram, unless the settings allow none. */
+    /** Sends a datagram, or drops it if the settings disable peer messages. */
     @Override
     public void send(int peer, byte[] body) {
         if (settings.allowsPeerMessages()) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Hands a datagram of the node of that index to the decision module. */
+    /** Delivers a datagram from the node with index {@code from} to the decision module. */
     void received(int from, byte[] body) {
         events.add((balancer, nowMs, nowUs) -> balancer.peerMessageReceived(nowUs, from, body));
     }
--- a/node/src/main/java/tulipshed/proxy/PeerSender.java
+++ b/node/src/main/java/tulipshed/proxy/PeerSender.java
@@ -2,7 +2,10 @@
 
 import tulipshed.decision.api.BalancerActions;
 
-/** Sends datagrams to the other nodes of the tier; they may arrive late or never. Called on the event-loop thread only. */
+/**
+ * Sends datagrams to the other nodes of the tier; delivery is not guaranteed and may be late. Called on the event-loop thread
+ * only.
+ */
 public interface PeerSender {
     /**
      * Sends a datagram.
--- a/node/src/main/java/tulipshed/proxy/ProxyCore.java
+++ b/node/src/main/java/tulipshed/proxy/ProxyCore.java
@@ -12,17 +12,17 @@
 import tulipshed.time.Clock;
 
 /**
- * The core of the proxy, between protocol frontends, endpoints and the decision module, without knowledge of any protocol.
+ * The protocol-independent core of the proxy, between protocol frontends, endpoints and the decision module.
  *
  * <p>Frontends, connectors and discovery report events here. The events of one batch are delivered to the decision module
- * together, and its decisions are then carried out in their order. The core enforces what needs no decision: one final
- * response per request, one open attempt at a time, nothing forwarded to an endpoint that is not serving, a bound on every
+ * together, and its decisions are then carried out in order. Independently of the decisions, the core guarantees one final
+ * response per request and at most one open attempt, forwards nothing to an endpoint that is not serving, and bounds every
  * wait. Confined to the event-loop thread.
  */
 public final class ProxyCore {
-    private final CoreComponents parts;
+    private final CoreComponents components;
     private final Clock clock;
-    /** Null where this node has one process only. */
+    /** Null if this node has only one process. */
     private HotRestartPeer hotRestartPeer;
 
     private double quotaShare = 1;
@@ -41,223 +41,224 @@
             NodeLog log,
             BalancerFactory factory) {
         this.clock = clock;
-        parts = new CoreComponents(clock, limits, initialSettings, seed, loop, log, factory);
+        components = new CoreComponents(clock, limits, initialSettings, seed, loop, log, factory);
     }
 
     // ---- Configuration ----
 
-    /** Replaces the settings. Events reported before still reach the decision module under the old ones. */
+    /** Replaces the settings. Events reported earlier are delivered to the decision module before the new settings. */
     public void reconfigure(BalancerSettings changed) {
-        parts.settings.replace(changed);
-        parts.routing.reconfigure(changed);
-        parts.metrics.declareClasses(changed.classes());
-        parts.events.add((balancer, nowMs, nowUs) -> balancer.reconfigure(nowUs, changed));
+        components.settings.replace(changed);
+        components.routing.reconfigure(changed);
+        components.metrics.declareClasses(changed.classes());
+        components.events.add((balancer, nowMs, nowUs) -> balancer.reconfigure(nowUs, changed));
     }
 
     /**
      * Replaces the operators' routing rules; null for none. Pending requests follow the new routes, established connections
-     * stay where they are.
+     * stay at their endpoints.
      */
     public void setRouter(Router router) {
-        parts.routeMonitor.setRouter(router);
+        components.routeMonitor.setRouter(router);
     }
 
-    /** Sets where the endpoint list is watched. */
+    /** Sets the source of the endpoint list. */
     public void setEndpointListSource(EndpointListSource source) {
-        parts.endpointListSource.set(source);
+        components.endpointListSource.set(source);
     }
 
-    /** Sets what sends health checks; without one each completes at once as unused, so that no request waits for it. */
+    /** Sets the sender of health checks; without one, checks complete immediately as UNUSED, so that no request waits. */
     public void setHealthChecker(HealthChecker checker) {
-        parts.healthChecks.setHealthChecker(checker);
+        components.healthChecks.setHealthChecker(checker);
     }
 
-    /** Sets what sends datagrams to other nodes; without one, or where the settings allow none, they are dropped. */
+    /** Sets the sender of datagrams to other nodes; they are dropped without one or if the settings disable them. */
     public void setPeerSender(PeerSender sender) {
-        parts.peerMessages.setSender(sender);
+        components.peerMessages.setSender(sender);
     }
 
-    /** Sets the share, from 0 to 1, that this process has of the quota of the node. */
+    /** Sets the share of the quota of the node that this process has, from 0 to 1. */
     public void setQuotaShare(double shareOfNode) {
         if (shareOfNode != quotaShare) {
             quotaShare = shareOfNode;
-            parts.events.add((balancer, nowMs, nowUs) -> balancer.quotaShareChanged(nowUs, shareOfNode));
+            components.events.add((balancer, nowMs, nowUs) -> balancer.quotaShareChanged(nowUs, shareOfNode));
         }
     }
 
-    /** Sets the other process of this node, to which established connections are published from now on. */
+    /** Sets the other process of this node; connections established from now on are published to it. */
     public void setHotRestartPeer(HotRestartPeer peer) {
         hotRestartPeer = peer;
-        parts.established.setHotRestartPeer(peer);
+        components.established.setHotRestartPeer(peer);
     }
 
     // ---- Events of frontends and connectors ----
 
-    /** A request arrived; it gets exactly one final response. */
+    /** Reports the arrival of a request, which gets exactly one final response. */
     public void requestArrived(Request request) {
-        parts.requests.arrived(request);
+        components.requests.arrived(request);
     }
 
-    /** A connection that was established at that endpoint before this node started is to be resumed. */
+    /** Resumes a connection that was established at that endpoint before this node started. */
     public void adoptConnection(Request request, String endpointId) {
-        parts.adopter.adopt(request, endpointId);
+        components.adopter.adopt(request, endpointId);
     }
 
     /**
-     * Whether the attempt's first byte may be sent; to be asked once its connection is up. Not so where the endpoint has
-     * started to drain or was removed while the connection was made, and where the time of the attempt or the deduplication
-     * window of a retry has passed meanwhile. The latter two end the attempt as unused, which does not count against the
-     * endpoint.
+     * Whether the first byte of the attempt may be sent; called once its connection is up. Returns false if the endpoint
+     * started draining or was removed while connecting, or if the attempt timed out or the deduplication window of a retry
+     * passed meanwhile. In the latter two cases the attempt ends as UNUSED, which does not count against the endpoint.
      */
     public boolean mayForward(Attempt attempt) {
-        return parts.attempts.mayForward(attempt);
+        return components.attempts.mayForward(attempt);
     }
 
-    /** An attempt has been forwarded completely to its endpoint. */
+    /** Counts an attempt that has been forwarded completely to its endpoint. */
     public void attemptForwarded() {
-        parts.metrics.recordForwarded();
+        components.metrics.recordForwarded();
     }
 
-    /** The endpoint serves the attempt; false where that comes too late and must not reach the client. */
+    /**
+     * Reports that the endpoint serves the attempt; returns false if that is too late and must not be relayed to the client.
+     */
     public boolean attemptEstablished(Attempt attempt) {
-        return parts.attempts.established(attempt);
+        return components.attempts.established(attempt);
     }
 
-    /** The attempt ended, without a load report. */
+    /** Reports the end of an attempt without a load report. */
     public void attemptEnded(Attempt attempt, Outcome outcome) {
-        parts.attempts.ended(attempt, outcome, LoadReport.NONE);
+        components.attempts.ended(attempt, outcome, LoadReport.NONE);
     }
 
-    /** The attempt ended; without effect where it has ended already. */
+    /** Reports the end of an attempt; no effect if it has already ended. */
     public void attemptEnded(Attempt attempt, Outcome outcome, LoadReport report) {
-        parts.attempts.ended(attempt, outcome, report);
+        components.attempts.ended(attempt, outcome, report);
     }
 
-    /** The client disconnected; without effect where it already has its final response. */
+    /** Reports that the client disconnected; no effect if it already has its final response. */
     public void clientDisconnected(Request request) {
-        parts.requests.clientDisconnected(request);
+        components.requests.clientDisconnected(request);
     }
 
-    /** The endpoint of an established attempt stopped responding: the client is migrated. */
+    /** Migrates the client of an established attempt whose endpoint stopped responding. */
     public void endpointUnresponsive(Attempt attempt) {
-        parts.migrator.endpointUnresponsive(attempt);
+        components.migrator.endpointUnresponsive(attempt);
     }
 
-    /** The endpoint of an established attempt reported its message latency, in milliseconds. */
+    /** Reports the message latency, in milliseconds, that the endpoint of an established attempt sent. */
     public void latencyReported(Attempt attempt, double latencyMs) {
-        parts.attempts.latencyReported(attempt, latencyMs);
+        components.attempts.latencyReported(attempt, latencyMs);
     }
 
-    /** The load of an established connection changed, in microseconds of work per second. */
+    /** Reports the new load of an established connection, in microseconds of work per second. */
     public void loadReported(Attempt attempt, double loadUsPerS) {
-        parts.attempts.loadReported(attempt, loadUsPerS);
+        components.attempts.loadReported(attempt, loadUsPerS);
     }
 
     // ---- Events of discovery, health checks and other nodes ----
 
-    /** The endpoint list was updated; {@link #mayForward} follows it at once. */
+    /** Applies an update of the endpoint list, which {@link #mayForward} takes into account immediately. */
     public void endpointsChanged(EndpointListKind kind, List<EndpointListEntry> entries) {
-        parts.endpoints.update(kind, entries);
-        parts.drainer.drain();
+        components.endpoints.update(kind, entries);
+        components.drainer.drain();
         List<EndpointInfo> infos = entries.stream().map(EndpointListEntry::info).toList();
-        parts.events.add((balancer, nowMs, nowUs) -> balancer.endpointsChanged(nowUs, kind, infos));
+        components.events.add((balancer, nowMs, nowUs) -> balancer.endpointsChanged(nowUs, kind, infos));
         if (kind != EndpointListKind.FAILED) {
-            parts.routeMonitor.endpointsChanged();
+            components.routeMonitor.endpointsChanged();
         }
     }
 
-    /** A health check completed; the report is {@link LoadReport#NONE} where none came. */
+    /** Reports the result of a health check; the report is {@link LoadReport#NONE} if there is none. */
     public void healthCheckCompleted(String endpointId, Outcome outcome, LoadReport report) {
-        parts.healthChecks.completed(endpointId, outcome, report);
+        components.healthChecks.completed(endpointId, outcome, report);
     }
 
-    /** A datagram of another node arrived; {@code from} is the index of that node, whose identity was checked. */
+    /** Reports a datagram from another node, whose index is {@code from} and whose identity has been verified. */
     public void peerMessageReceived(int from, byte[] body) {
-        parts.peerMessages.received(from, body);
+        components.peerMessages.received(from, body);
     }
 
-    /** Notifies the decision module of what changed among the connections of the other process of this node. */
+    /** Notifies the decision module of new and ended connections of the other process of this node. */
     public void syncHotRestartPeer() {
-        parts.replicatedConnections.synchronize(hotRestartPeer.peerConnections());
+        components.replicatedConnections.synchronize(hotRestartPeer.peerConnections());
     }
 
     // ---- Shutdown ----
 
-    /** Migrates the client that has been established longest; false where none is. */
+    /** Migrates the client of the oldest established connection; returns false if there is none. */
     public boolean migrateOldest() {
-        return parts.migrator.migrateOldest();
+        return components.migrator.migrateOldest();
     }
 
-    /** Answers all pending requests before the node exits, with a rejection only where a retry is harmless. */
+    /** Sends all pending requests their final response before the node exits: a rejection only if a retry is harmless. */
     public void rejectAllPending() {
-        parts.requests.rejectAllPending();
-        parts.adopter.failAllWaiting();
+        components.requests.rejectAllPending();
+        components.adopter.failAllWaiting();
     }
 
     // ---- Queries ----
 
     /** The counters of this node. */
     public NodeMetrics metrics() {
-        return parts.metrics;
+        return components.metrics;
     }
 
-    /** How many endpoints the list names. */
+    /** The number of listed endpoints. */
     public long listedEndpoints() {
-        return parts.endpoints.listedCount();
+        return components.endpoints.listedCount();
     }
 
-    /** How many of the listed endpoints are serving. */
+    /** The number of listed endpoints that are serving. */
     public long servingEndpoints() {
-        return parts.endpoints.servingCount();
+        return components.endpoints.servingCount();
     }
 
-    /** Whether the list names the endpoint of that id as serving, with an address. */
+    /** Whether the endpoint with that id is listed as serving and its address is known. */
     public boolean isServing(String endpointId) {
-        return parts.endpoints.isAvailable(endpointId);
+        return components.endpoints.isAvailable(endpointId);
     }
 
-    /** How many of the listed endpoints get nothing new now, by decision. */
+    /** The number of listed endpoints that the decision module regards as ineligible now. */
     public int ineligibleEndpoints() {
-        return parts.balancer.ineligibleCount(Clock.toMicros(clock.nowMs()));
+        return components.balancer.ineligibleCount(Clock.toMicros(clock.nowMs()));
     }
 
-    /** Whether discovery has delivered a list since the start, other than the cached one. */
+    /** Whether discovery has delivered a list since the start; the cached list does not count. */
     public boolean endpointListReceived() {
-        return parts.endpoints.isListReceived();
+        return components.endpoints.isListReceived();
     }
 
-    /** How many connections are established through this process. */
+    /** The number of connections established through this process. */
     public int establishedCount() {
-        return parts.established.size();
+        return components.established.size();
     }
 
     /** Whether the routing rules have routes. */
     public boolean hasRoutes() {
-        return parts.routing.hasRoutes();
+        return components.routing.hasRoutes();
     }
 
-    /** How many routes use another pool than their preferred one. */
+    /** The number of routes that do not use their preferred pool. */
     public int spilledRoutes() {
-        return parts.routing.spilledRouteCount();
+        return components.routing.spilledRouteCount();
     }
 
-    /** Whether responses may end with a load report, by the settings. */
+    /** Whether responses of endpoints may end with a load report, by the settings. */
     public boolean expectsInlineLoadReports() {
-        return parts.settings.expectsInlineLoadReports();
+        return components.settings.expectsInlineLoadReports();
     }
 
-    /** The delay that a rejected client may be given: at most that of the settings, 0 where they allow none. */
+    /** The Retry-After for a rejected client: at most the maximum of the settings, 0 if they disable it. */
     public double retryAfterMs(double wantedMs) {
-        return parts.settings.retryAfterMs(wantedMs);
+        return components.settings.retryAfterMs(wantedMs);
     }
 
-    /** The longest time that a client of any class waits for its final response. */
+    /** The longest deadline of all classes, in milliseconds. */
     public double longestDeadlineMs() {
-        return parts.settings.longestDeadlineMs();
+        return components.settings.longestDeadlineMs();
     }
 
-    /** Runs the current batch at once. For tests. */
+    /** Runs the current batch immediately. For tests. */
     void runBatch() {
-        parts.events.run();
+        components.events.run();
     }
 }
--- a/node/src/main/java/tulipshed/proxy/ReplaceableEndpointListSource.java
+++ b/node/src/main/java/tulipshed/proxy/ReplaceableEndpointListSource.java
@@ -1,10 +1,10 @@
 package tulipshed.proxy;
 
-/** Forwards to the source that was set last; without one nothing is watched. Confined to the event-loop thread. */
+/** Forwards to the source set last; until one is set, watching has no effect. Confined to the event-loop thread. */
 final class ReplaceableEndpointListSource implements EndpointListSource {
     private EndpointListSource source = () -> {};
 
-    /** Sets where the endpoint list is watched from now on. */
+    /** Sets the source for future calls of {@link #watch}. */
     void set(EndpointListSource replacement) {
         source = replacement;
     }
--- a/node/src/main/java/tulipshed/proxy/ReplicatedConnections.java
+++ b/node/src/main/java/tulipshed/proxy/ReplicatedConnections.java
@@ -8,8 +8,9 @@
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
 /**
- * The connections of the other process of a hot restart, as the decision module of this process knows them: adopted under
- * ids of this process, so that it sees the load that they put on their endpoints. Confined to the event-loop thread.
+ * Replicas of the connections held by the other process of a hot restart. They are reported to the decision module of this
+ * process as adopted connections with ids of this process, so that it accounts for the load of their endpoints. Confined to
+ * the event-loop thread.
  */
 final class ReplicatedConnections {
     private static final int NO_TENANT = -1;
@@ -29,10 +30,10 @@
     }
 
     /**
-     * Notifies the decision module of connections that ended in the other process since the last call, and then of those
-     * that were established there at known endpoints.
+     * Notifies the decision module of connections that ended in the other process since the last call, and then of new ones
+     * whose endpoint is known.
      *
-     * @param connectionsBySlot all that the other process has now
+     * @param connectionsBySlot all connections that the other process holds now
      */
     void synchronize(Map<Integer, EstablishedConnection> connectionsBySlot) {
         replicasBySlot.entrySet().removeIf(entry -> {
--- a/node/src/main/java/tulipshed/proxy/Request.java
+++ b/node/src/main/java/tulipshed/proxy/Request.java
@@ -9,7 +9,7 @@
 public final class Request {
     private static final int NO_HOT_RESTART_SLOT = -1;
 
-    /** Progress towards the final response, of which there is one. */
+    /** The progress towards the single final response. */
     enum State {
         PENDING,
         ESTABLISHED,
@@ -35,9 +35,9 @@
     private TimerQueue.Timer deadlineTimer;
 
     /**
-     * A request of unknown origin that arrives at {@code nowMs}.
+     * Creates a request of unknown origin that arrives at {@code nowMs}.
      *
-     * @param adopted whether its connection was established before this node started; no deadline ends such a request
+     * @param adopted whether its connection was established before this node started; its deadline does not end such a request
      */
     public Request(
             ClientConnection client,
@@ -48,7 +48,7 @@
         this(client, connector, parameters, RequestOrigin.UNKNOWN, nowMs, adopted);
     }
 
-    /** A request of known origin; otherwise as the other constructor. */
+    /** Creates a request of known origin; the other parameters are as above. */
     public Request(
             ClientConnection client,
             UpstreamConnector connector,
@@ -64,12 +64,12 @@
         this.adopted = adopted;
     }
 
-    /** Sets the id by which the decision module knows this request. */
+    /** Sets the id that identifies this request to the decision module. */
     void assignId(long assigned) {
         id = assigned;
     }
 
-    /** The id, 0 where none has been assigned yet. */
+    /** The id, 0 if none has been assigned yet. */
     long id() {
         return id;
     }
@@ -79,17 +79,17 @@
         return id != 0;
     }
 
-    /** Where the request came from; unknown once it is established. */
+    /** The origin of the request; unknown once it is established. */
     RequestOrigin origin() {
         return origin;
     }
 
-    /** What the client asks for, as classified. */
+    /** The parameters of the request, as classified by the routing rules. */
     RequestParameters parameters() {
         return parameters;
     }
 
-    /** Replaces the parameters by what the routing rules made of them; the deadline does not change. */
+    /** Replaces the parameters with those that the routing rules assign; the deadline does not change. */
     void setParameters(RequestParameters classified) {
         parameters = classified;
     }
@@ -109,47 +109,47 @@
         return parameters.requestClass();
     }
 
-    /** Fixes the class; a later change of the settings leaves an open request its own. */
-    void setRequestClass(RequestClass fixed) {
-        execution.setRequestClass(fixed);
+    /** Sets the class, which the request keeps when the settings change. */
+    void setRequestClass(RequestClass assigned) {
+        execution.setRequestClass(assigned);
     }
 
-    /** The name of the class that was fixed at the arrival. */
+    /** The name of the class at arrival. */
     String className() {
         return execution.requestClass().name();
     }
 
-    /** Records that an attempt which started then may have executed; only the first one counts. */
+    /** Records that the attempt started at {@code startedMs} may have executed; only the first such attempt is kept. */
     void recordExecution(double startedMs) {
         execution.recordExecution(startedMs);
     }
 
-    /** Whether an attempt may be forwarded now, given that earlier ones may have executed. */
+    /** Whether another attempt may be forwarded now without the risk of a second execution that the class forbids. */
     boolean mayForward(double nowMs) {
         return execution.permitsForwarding(nowMs);
     }
 
-    /** Whether a rejection, which promises that a retry is harmless, is a correct response, also while an attempt is open. */
+    /** Whether the request may be rejected, even with an open attempt; a rejection promises that a retry is harmless. */
     boolean mayBeRejected() {
         return execution.permitsRejection(attempt != null && attempt.isConnected());
     }
 
-    /** Sets the slot in which the other process of a hot restart finds this connection; below 0 for none. */
+    /** Sets the slot in which this connection is published to the other process of a hot restart; negative for none. */
     void setHotRestartSlot(int slot) {
         hotRestartSlot = slot;
     }
 
-    /** Whether the other process of a hot restart was notified of this connection. */
+    /** Whether this connection is published to the other process of a hot restart. */
     boolean hasHotRestartSlot() {
         return hotRestartSlot >= 0;
     }
 
-    /** The slot in which the other process of a hot restart finds this connection; below 0 for none. */
+    /** The slot in which this connection is published to the other process of a hot restart; negative for none. */
     int hotRestartSlot() {
         return hotRestartSlot;
     }
 
-    /** The request as the decision module is notified of it at {@code nowMs}. */
+    /** The description of this request that the decision module receives at {@code nowMs}. */
     NewRequest toNewRequest(double nowMs, int settingsClassIndex) {
         double remainingMs = Math.max(0, deadlineMs - nowMs);
         return new NewRequest(
@@ -166,7 +166,7 @@
                 pool);
     }
 
-    /** What opens the attempts of this request. */
+    /** The connector that opens the attempts of this request. */
     UpstreamConnector connector() {
         return connector;
     }
@@ -176,7 +176,7 @@
         return client;
     }
 
-    /** When the client stops waiting, on the clock of the core. */
+    /** The time at which the client stops waiting, in milliseconds on the clock of the core. */
     public double deadlineMs() {
         return deadlineMs;
     }
@@ -196,7 +196,7 @@
         return state == State.ESTABLISHED;
     }
 
-    /** Records that the connection is established. The origin, which only rules for arrivals use, is released. */
+    /** Records that the connection is established, and releases the origin, which only the routing of arrivals needs. */
     void markEstablished() {
         cancelDeadlineTimer();
         origin = RequestOrigin.UNKNOWN;
@@ -209,7 +209,7 @@
         state = State.COMPLETED;
     }
 
-    /** Sets the timer of the deadline, which is cancelled once the request is no longer pending. */
+    /** Sets the deadline timer, which is cancelled once the request is no longer pending. */
     void setDeadlineTimer(TimerQueue.Timer timer) {
         deadlineTimer = timer;
     }
@@ -221,7 +221,7 @@
         }
     }
 
-    /** The open attempt, or null; there is one at most. */
+    /** The open attempt, of which there is at most one; null if there is none. */
     Attempt attempt() {
         return attempt;
     }
@@ -237,7 +237,7 @@
         attempt = null;
     }
 
-    /** How many attempts there have been, the open one included. */
+    /** The number of attempts so far, including the open one. */
     int attemptCount() {
         return attemptCount;
     }
--- a/node/src/main/java/tulipshed/proxy/RequestLifecycle.java
+++ b/node/src/main/java/tulipshed/proxy/RequestLifecycle.java
@@ -7,8 +7,8 @@
 import tulipshed.time.Clock;
 
 /**
- * Takes requests from their arrival to their one final response: by decision, at the deadline, when the client
- * disconnects, or at shutdown. Confined to the event-loop thread.
+ * Manages requests from their arrival to their single final response, which follows a decision, the deadline or a shutdown.
+ * A request whose client disconnects ends without a response. Confined to the event-loop thread.
  */
 final class RequestLifecycle {
     private final Clock clock;
@@ -36,40 +36,40 @@
         this.attempts = attempts;
     }
 
-    /** Takes a new request, which gets exactly one final response from here on. */
+    /** Accepts a new request, which gets exactly one final response. */
     void arrived(Request request) {
         routing.classify(request);
-        responses.expect(request);
+        responses.startTracking(request);
         table.register(request);
-        expectDecisionBy(decisionDueMs(request), request);
+        scheduleDecisionTimeout(decisionDeadlineMs(request), request);
         events.add((balancer, nowMs, nowUs) -> {
             request.assignPool(routing.poolOf(request));
             balancer.requestArrived(nowUs, request.toNewRequest(nowMs, request.classIndex()));
         });
     }
 
-    /** The margin before the deadline; where the client waits no longer than that, half of the time it waits. */
-    private double decisionDueMs(Request request) {
+    /** The deadline less the response margin; if the timeout is no longer than the margin, half of the timeout from now. */
+    private double decisionDeadlineMs(Request request) {
         double nowMs = clock.nowMs();
-        double dueMs = request.deadlineMs() - limits.requests().responseMarginMs();
-        return dueMs > nowMs ? dueMs : (nowMs + request.deadlineMs()) / 2;
+        double atMs = request.deadlineMs() - limits.requests().responseMarginMs();
+        return atMs > nowMs ? atMs : (nowMs + request.deadlineMs()) / 2;
     }
 
-    private void expectDecisionBy(double dueMs, Request request) {
-        request.setDeadlineTimer(events.schedule(dueMs, () -> decisionDue(request)));
+    private void scheduleDecisionTimeout(double atMs, Request request) {
+        request.setDeadlineTimer(events.schedule(atMs, () -> decisionTimedOut(request)));
     }
 
-    private void decisionDue(Request request) {
+    private void decisionTimedOut(Request request) {
         if (request.attempt() != null && clock.nowMs() < request.deadlineMs()) {
-            // The attempt ends by now too, and the decision that follows is awaited no longer than the client waits.
-            expectDecisionBy(request.deadlineMs(), request);
+            // The attempt times out at the same time; the decision that follows has until the deadline of the client.
+            scheduleDecisionTimeout(request.deadlineMs(), request);
         } else {
-            // Not before the decisions on what has happened by now.
+            // Deferred, so that decisions on events that have already occurred are carried out first.
             events.add((balancer, nowMs, nowUs) -> events.defer(() -> failUndecided(request)));
         }
     }
 
-    /** The decision module decides in time by itself; should it not, the client still gets its one response. */
+    /** Guarantees a final response if the decision module, which should decide before the deadline, has not. */
     private void failUndecided(Request request) {
         if (request.isPending()) {
             log.warn("request " + request.id() + " failed: no decision before its deadline");
@@ -78,42 +78,43 @@
         }
     }
 
-    /** The client disconnected; without effect where it already has its final response. */
+    /** Ends a request whose client disconnected; no effect if it already has its final response. */
     void clientDisconnected(Request request) {
         if (!request.isPending()) {
             return;
         }
         responses.complete(request);
         if (!request.hasId()) {
-            // An adopted connection still waiting for its endpoint: the decision module does not know it yet.
+            // An adopted connection that still awaits its endpoint; it has not been reported to the decision module.
             return;
         }
         cancel(request);
     }
 
-    /** Notifies the decision module that nobody waits for a response any more, and ends the attempt if one is open. */
+    /** Notifies the decision module that no client waits for a response any more, and cancels the open attempt, if any. */
     private void cancel(Request request) {
         events.add((balancer, nowMs, nowUs) -> {
-            events.defer(() -> forget(request));
+            events.defer(() -> cancelAttemptAndRemove(request));
             balancer.requestCancelled(nowUs, request.id());
         });
     }
 
     /**
-     * Deferred, as the same batch may have brought the decision to start an attempt: it is reported as unused while the
-     * request is known still. Otherwise the decision module would count it at its endpoint for ever.
+     * Cancels the open attempt and removes the request. Deferred, as the same batch may contain the decision to start an
+     * attempt, which is reported as unused only while the request is in the table. Without that report the decision module
+     * would count the attempt at its endpoint forever.
      */
-    private void forget(Request request) {
+    private void cancelAttemptAndRemove(Request request) {
         attempts.cancelOpen(request);
         table.removeIfFinished(request);
     }
 
-    /** Rejects the request of that id, if it is still pending. */
+    /** Rejects the request with that id if it is still pending. */
     void reject(long requestId, double retryAfterMs) {
         respond(requestId, request -> responses.reject(request, retryAfterMs));
     }
 
-    /** Fails the request of that id, if it is still pending. */
+    /** Fails the request with that id if it is still pending. */
     void fail(long requestId) {
         respond(requestId, responses::fail);
     }
@@ -126,7 +127,7 @@
         }
     }
 
-    /** Answers every pending request at once, with a rejection only where a retry is harmless. */
+    /** Sends every pending request its final response: a rejection if a retry is harmless, otherwise a failure. */
     void rejectAllPending() {
         for (Request request : List.copyOf(table.all())) {
             if (request.isPending()) {
--- a/node/src/main/java/tulipshed/proxy/RequestRouting.java
+++ b/node/src/main/java/tulipshed/proxy/RequestRouting.java
@@ -14,8 +14,8 @@
 import tulipshed.routing.Router;
 
 /**
- * Applies the operators' routing rules to requests, and notifies the decision module of pools and of requests that change
- * theirs. Confined to the event-loop thread.
+ * Applies the operators' routing rules to requests, and notifies the decision module of changed pools and of rerouted
+ * requests. Confined to the event-loop thread.
  */
 final class RequestRouting {
     private static final String LOG_SUBJECT = "route";
@@ -24,9 +24,9 @@
     private final Map<String, Integer> classIndices = new HashMap<>();
     private final Map<String, Integer> tenantIndices = new HashMap<>();
     private BalancerSettings settings;
-    /** Null where there are no rules. */
+    /** Null if there are no rules. */
     private Router router;
-    /** The pool in use, by route, where that is not the preferred one. */
+    /** The pool in use by route name, for routes that do not use their preferred pool. */
     private Map<String, String> spilloverPools = Map.of();
 
     RequestRouting(BalancerSettings settings, NodeLog log) {
@@ -34,16 +34,16 @@
         reconfigure(settings);
     }
 
-    /** Replaces the settings, whose names of classes and tenants the rules use. */
+    /** Replaces the settings; the rules refer to their classes and tenants by name. */
     void reconfigure(BalancerSettings changed) {
         settings = changed;
         classIndices.clear();
         tenantIndices.clear();
-        changed.classes().forEach(named -> classIndices.put(named.name(), classIndices.size()));
-        changed.tenants().forEach(named -> tenantIndices.put(named.name(), tenantIndices.size()));
+        changed.classes().forEach(requestClass -> classIndices.put(requestClass.name(), classIndices.size()));
+        changed.tenants().forEach(tenant -> tenantIndices.put(tenant.name(), tenantIndices.size()));
     }
 
-    /** Replaces the rules, null for none; their pools are filled from the endpoints listed now. */
+    /** Replaces the rules, null for none, and fills their pools from the listed endpoints. */
     void setRouter(Router changed, Collection<EndpointInfo> listed, double nowMs) {
         router = changed;
         spilloverPools = Map.of();
@@ -52,19 +52,19 @@
         }
     }
 
-    /** Whether pools or routes may change without a change of the endpoint list. */
+    /** Whether pools or the pools that routes use may change without a change of the endpoint list. */
     boolean needsPolling() {
         return router != null && (router.hasRoutes() || router.poolsDependOnAge());
     }
 
-    /** Gives a request the class, tenant and group that the rules assign. */
+    /** Sets the class, tenant and group of a request to those that the rules assign. */
     void classify(Request request) {
         if (router == null) {
             return;
         }
         RequestParameters parameters = request.parameters();
         RequestClassification classified = router.classify(attributesOf(request));
-        // A name that the settings no longer have changes nothing.
+        // A class or tenant that has been removed from the settings leaves the value of the request unchanged.
         request.setParameters(new RequestParameters(
                 classIndices.getOrDefault(classified.className(), parameters.requestClass()),
                 classified.tenant() == null
@@ -78,7 +78,7 @@
                 parameters.reconnecting()));
     }
 
-    /** The pool that must serve the request as routes are now, null for any endpoint. */
+    /** The pool that must serve the request by the present routes, null for any endpoint. */
     String poolOf(Request request) {
         return hasRoutes() ? router.poolFor(attributesOf(request)) : null;
     }
@@ -97,7 +97,7 @@
                 request.origin());
     }
 
-    /** The settings may have fewer classes by now than those under which the request arrived. */
+    /** Limits the index, as the settings may have fewer classes than when the request arrived. */
     private String classNameOf(int index) {
         int lastIndex = settings.classes().size() - 1;
         return settings.classes().get(Math.min(index, lastIndex)).name();
@@ -109,7 +109,7 @@
                 : settings.tenants().get(index).name();
     }
 
-    /** Fills the pools from the endpoints listed now; whether any pool changed. */
+    /** Fills the pools from the listed endpoints; returns whether any pool changed. */
     boolean updatePools(Collection<EndpointInfo> listed, double nowMs) {
         return router != null && router.updatePools(listed, nowMs);
     }
@@ -119,7 +119,7 @@
         balancer.poolsChanged(nowUs, router == null ? Map.of() : router.endpointIdsByPool());
     }
 
-    /** Decides which pool each route uses, by eligible endpoints; a change is logged, and pending requests are rerouted. */
+    /** Selects the pool of each route by eligible endpoints; on a change, logs it and reroutes pending requests. */
     void evaluateSpillover(BalancerApi balancer, long nowUs, Collection<Request> requests) {
         if (router == null || !router.reevaluateSpillover(pool -> balancer.eligibleCount(nowUs, pool))) {
             return;
@@ -141,7 +141,7 @@
                 .forEach(route -> log.info(route + " uses its preferred pool again"));
     }
 
-    /** Assigns pending requests the pool that the routes give now; established connections are left alone. */
+    /** Assigns pending requests their pool by the present routes; established connections stay at their endpoint. */
     void rerouteRequests(BalancerApi balancer, long nowUs, Collection<Request> requests) {
         for (Request request : requests) {
             if (request.isPending()) {
@@ -163,7 +163,7 @@
         return router != null && router.hasRoutes();
     }
 
-    /** How many routes use another pool than their preferred one. */
+    /** The number of routes that do not use their preferred pool. */
     int spilledRouteCount() {
         return spilloverPools.size();
     }
--- a/node/src/main/java/tulipshed/proxy/RequestTable.java
+++ b/node/src/main/java/tulipshed/proxy/RequestTable.java
@@ -5,25 +5,25 @@
 import java.util.Map;
 
 /**
- * The requests that the decision module knows, by id: those that are pending, established, or answered with an attempt
- * still open. Confined to the event-loop thread.
+ * The requests reported to the decision module, by id: those that are pending or established, and those with a final
+ * response whose attempt is still open. Confined to the event-loop thread.
  */
 final class RequestTable {
     private final Map<Long, Request> requests = new HashMap<>();
     private long lastId;
 
-    /** An id that no request of this process has had; the first is 1. */
+    /** Returns a new id, unique within this process; the first is 1. */
     long nextId() {
         return ++lastId;
     }
 
-    /** Assigns an id to the request and keeps the request until {@link #removeIfFinished}. */
+    /** Assigns an id to the request and adds it to the table. */
     void register(Request request) {
         request.assignId(nextId());
         requests.put(request.id(), request);
     }
 
-    /** The request of that id, or null where there is none (any more). */
+    /** The request with that id, null if there is none or it has been removed. */
     Request find(long id) {
         return requests.get(id);
     }
--- a/node/src/main/java/tulipshed/proxy/RouteMonitor.java
+++ b/node/src/main/java/tulipshed/proxy/RouteMonitor.java
@@ -3,8 +3,8 @@
 import tulipshed.routing.Router;
 
 /**
- * Re-evaluates pools and routes when the endpoint list changes and, as endpoints become ineligible and grow older without
- * any change of the list, in regular intervals. Confined to the event-loop thread.
+ * Re-evaluates pools and routes when the endpoint list changes, and also at regular intervals, as the eligibility and the age
+ * of endpoints change without a change of the list. Confined to the event-loop thread.
  */
 final class RouteMonitor {
     private final CoreContext context;
@@ -31,7 +31,7 @@
         schedulePoll();
     }
 
-    /** Evaluates pools and routes against the endpoint list as it is now. */
+    /** Re-evaluates pools and routes after a change of the endpoint list. */
     void endpointsChanged() {
         if (routing.needsPolling()) {
             evaluate();
--- a/node/src/main/java/tulipshed/proxy/TimerQueue.java
+++ b/node/src/main/java/tulipshed/proxy/TimerQueue.java
@@ -4,31 +4,31 @@
 import java.util.function.Consumer;
 
 /**
- * Timers in the order of their deadlines; those of one deadline run in the order in which they were added. Confined to the
+ * Timers ordered by deadline; timers with equal deadlines run in the order in which they were added. Confined to the
  * event-loop thread.
  */
 final class TimerQueue {
-    /** Below this many cancelled timers in the queue a sweep is not worth its cost. */
+    /** Up to this number of cancelled timers, removing them costs more than keeping them. */
     private static final int MIN_CANCELLED_FOR_SWEEP = 1024;
 
     /** Later than any deadline. */
     private static final double NO_WAKEUP_MS = Double.MAX_VALUE;
 
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    /** The time of the wakeup to come. */
+    /** Time of the scheduled wakeup, {@link #NO_WAKEUP_MS} if none is scheduled. */
     private double wakeupMs = NO_WAKEUP_MS;
 
     private long addedCount;
     private int cancelledCount;
 
     /**
-     * A task with a deadline. Cancel those that are no longer needed: most timeouts do not expire, and until their deadline
-     * each would keep its request in memory, at a high rate many times as many as there are open requests.
+     * A task with a deadline. Cancel timers that are no longer needed: most timeouts never expire, and an uncancelled timer
+     * keeps its request in memory until the deadline. At a high request rate these would be many times the open requests.
      */
     final class Timer implements Comparable<Timer> {
         private final double deadlineMs;
         private final long sequence;
-        /** Null once the timer has run or was cancelled. */
+        /** Null once the timer has run or has been cancelled. */
         private Runnable task;
 
         private Timer(double deadlineMs, long sequence, Runnable task) {
@@ -37,7 +37,7 @@
             this.task = task;
         }
 
-        /** Releases the task, which will not run; without effect where it has run or was cancelled. */
+        /** Cancels the timer and releases its task; no effect if it has run or has been cancelled. */
         void cancel() {
             if (task != null) {
                 task = null;
@@ -64,14 +64,14 @@
         }
     }
 
-    /** Adds a task to run at the deadline. */
+    /** Adds a timer for the task. */
     Timer add(double deadlineMs, Runnable task) {
         Timer timer = new Timer(deadlineMs, addedCount++, task);
         timers.add(timer);
         return timer;
     }
 
-    /** Passes all tasks whose deadline has come to the runner, also those that expire while this goes on. */
+    /** Passes every task with a deadline of at most {@code nowMs} to the runner, including ones added meanwhile. */
     void runExpired(double nowMs, Consumer<Runnable> runner) {
         while (!timers.isEmpty() && timers.peek().deadlineMs <= nowMs) {
             Timer timer = timers.poll();
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Has the loop run {@code wakeup} at the next deadline, unless that is scheduled already. */
+    /** Schedules {@code wakeup} on the loop at the next deadline, unless a wakeup by then is already scheduled. */
     void scheduleWakeup(double nowMs, EventLoop loop, Runnable wakeup) {
         while (!timers.isEmpty() && timers.peek().isCancelled()) {
             timers.poll();
@@ -97,19 +97,19 @@
         double atMs = timers.peek().deadlineMs;
         wakeupMs = atMs;
         loop.schedule(Math.max(0, atMs - nowMs), () -> {
-            wakeupCame(atMs);
+            clearWakeup(atMs);
             wakeup.run();
         });
     }
 
-    /** A wakeup that came, also before its time as timers of the loop may, is not one to come. */
-    private void wakeupCame(double scheduledMs) {
+    /** Clears the scheduled wakeup once it runs, so that another is scheduled; the loop may run it before its time. */
+    private void clearWakeup(double scheduledMs) {
         if (wakeupMs == scheduledMs) {
             wakeupMs = NO_WAKEUP_MS;
         }
     }
 
-    /** How many timers are held, with cancelled ones that have not been swept yet. */
+    /** The number of timers in the queue, including cancelled ones that have not been removed yet. */
     int size() {
         return timers.size();
     }
--- a/node/src/main/java/tulipshed/quic/QuicFrontend.java
+++ b/node/src/main/java/tulipshed/quic/QuicFrontend.java
@@ -75,12 +75,12 @@
         for (QuicCounter counter : QuicCounter.values()) {
             context.core()
                     .metrics()
-                    .frontendCounters(
+                    .registerFrontendCounter(
                             counter.metricName(), () -> context.metrics().get(counter));
         }
-        context.core().metrics().frontendCounters("quic_connections", context.table()::sessionCount);
-        context.core().metrics().frontendCounters("quic_ids", context.table()::idCount);
-        context.core().metrics().frontendCounters("quic_flow_sockets", context.sockets()::count);
+        context.core().metrics().registerFrontendCounter("quic_connections", context.table()::sessionCount);
+        context.core().metrics().registerFrontendCounter("quic_ids", context.table()::idCount);
+        context.core().metrics().registerFrontendCounter("quic_flow_sockets", context.sockets()::count);
     }
 
     private void listen(InetSocketAddress address) throws IOException {
--- a/node/src/test/java/tulipshed/proxy/EndpointRegistryTest.java
+++ b/node/src/test/java/tulipshed/proxy/EndpointRegistryTest.java
@@ -11,7 +11,7 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.decision.api.EndpointStatus;
 
-/** What the core knows of endpoints by their list. */
+/** The registry of endpoints and its updates from endpoint lists. */
 class EndpointRegistryTest {
     private final EndpointRegistry endpoints = new EndpointRegistry();
 
@@ -52,15 +52,15 @@
         assertFalse(endpoints.isAvailable("s-9"));
     }
 
-    /** A release gives each endpoint a new id; a process lives through many. */
+    /** Each release gives all endpoints new ids, and a process may run for many releases. */
     @Test
-    void remembersBoundedNumberOfRemovedEndpoints() {
+    void retainsBoundedNumberOfRemovedEndpoints() {
         int endpointsPerRelease = 100;
         for (int release = 0; release < 50; release++) {
             endpoints.update(EndpointListKind.COMPLETE, release(release, endpointsPerRelease));
         }
         assertEquals(endpointsPerRelease, endpoints.listedCount());
-        assertTrue(endpoints.rememberedCount() <= 2 * endpointsPerRelease, "remembered " + endpoints.rememberedCount());
+        assertTrue(endpoints.retainedCount() <= 2 * endpointsPerRelease, "retained " + endpoints.retainedCount());
         assertTrue(endpoints.find("s-49-0").isListed());
         assertFalse(endpoints.isAvailable("s-0-0"));
     }
