--- a/node/src/main/java/tulipshed/routing/AdditionalAttributes.java
+++ b/node/src/main/java/tulipshed/routing/AdditionalAttributes.java
@@ -5,7 +5,7 @@
 import java.util.function.BiConsumer;
 
 /**
- * The attributes that a request carries besides those that every request has: those that the operators have declared, and
+ * Optional attributes of a request, in addition to those of every request: attributes declared by the operators, and
  * those that the QUIC frontend reads from the client's handshake. Immutable.
  */
 public final class AdditionalAttributes {
@@ -18,29 +18,29 @@
         this.valuesByName = valuesByName;
     }
 
-    /** Returns a builder without attributes. */
+    /** Returns an empty builder. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Whether there are none. */
+    /** Whether there are no additional attributes. */
     public boolean isEmpty() {
         return valuesByName.isEmpty();
     }
 
-    /** Returns the value of the attribute of that name, null where the request does not carry it. */
+    /** Returns the value of the attribute with that name, null if the request does not have it. */
     public AttributeValue get(String name) {
         return valuesByName.get(name);
     }
 
-    /** Passes each attribute, by its name in expressions, in no particular order. */
+    /** Passes the name in expressions and the value of each attribute to the action, in no particular order. */
     public void forEach(BiConsumer<String, AttributeValue> action) {
         valuesByName.forEach(action);
     }
 
-    /** Collects attributes. For one use: {@link #build} hands over what was collected. */
+    /** Collects attributes. For a single use: {@link #build} hands over the collected attributes without copying them. */
     public static final class Builder {
-        /** Null while there is no attribute, as for most requests. */
+        /** Null until an attribute is added, as most requests have none. */
         private Map<String, AttributeValue> valuesByName;
 
         private Builder() {}
@@ -54,7 +54,7 @@
             return this;
         }
 
-        /** Returns the attributes; the builder is not to be used any more. */
+        /** Returns the attributes; the builder must not be used afterwards. */
         public AdditionalAttributes build() {
             if (valuesByName == null) {
                 return NONE;
--- a/node/src/main/java/tulipshed/routing/AttributeDeclarations.java
+++ b/node/src/main/java/tulipshed/routing/AttributeDeclarations.java
@@ -9,11 +9,11 @@
 import tulipshed.routing.AttributeValue.StringValue;
 
 /**
- * Which additional attributes a request may carry, and how long its strings may be. A frontend rejects as malformed a
- * request that violates them, so that no expression ever reads it.
+ * The declared additional attributes of requests, and the maximum lengths of strings. Frontends reject requests that violate
+ * them as malformed, so that expressions never read such values.
  */
 public final class AttributeDeclarations {
-    /** Nothing declared: additional attributes are ignored, and strings are bounded by the length of a line only. */
+    /** No declarations: additional attributes are ignored, and only the length of a line limits strings. */
     public static final AttributeDeclarations NONE =
             new AttributeDeclarations(Map.of(), Integer.MAX_VALUE, Integer.MAX_VALUE);
 
@@ -26,11 +26,11 @@
     private final int maxGroupLength;
 
     /**
-     * Declares the additional attributes of these names.
+     * Creates declarations of the additional attributes with these names.
      *
-     * @param byName the declarations, in the order in which they are listed
-     * @param maxKeyLength the characters of an idempotency key at most
-     * @param maxGroupLength the characters of an affinity group at most
+     * @param byName the declarations by attribute name, in the order of the operators' file
+     * @param maxKeyLength the maximum number of characters of an idempotency key
+     * @param maxGroupLength the maximum number of characters of an affinity group
      */
     public AttributeDeclarations(Map<String, AttributeDeclaration> byName, int maxKeyLength, int maxGroupLength) {
         this.byName = Collections.unmodifiableMap(new LinkedHashMap<>(byName));
@@ -38,17 +38,17 @@
         this.maxGroupLength = maxGroupLength;
     }
 
-    /** Returns the declarations by name, in the order in which they were listed. */
+    /** Returns the declarations by attribute name, in the order of the operators' file. */
     public Map<String, AttributeDeclaration> byName() {
         return byName;
     }
 
-    /** Returns the characters of an idempotency key at most. */
+    /** Returns the maximum number of characters of an idempotency key. */
     public int maxKeyLength() {
         return maxKeyLength;
     }
 
-    /** Returns the characters of an affinity group at most. */
+    /** Returns the maximum number of characters of an affinity group. */
     public int maxGroupLength() {
         return maxGroupLength;
     }
@@ -56,7 +56,7 @@
     /**
      * Parses the value of a declared attribute.
      *
-     * @return null where the text is not of the declared type, or too long
+     * @return the value, null if the text is not of the declared type or is too long
      */
     public AttributeValue parse(String name, String text) {
         AttributeDeclaration declaration = byName.get(name);
--- a/node/src/main/java/tulipshed/routing/AttributeValue.java
+++ b/node/src/main/java/tulipshed/routing/AttributeValue.java
@@ -1,11 +1,11 @@
 package tulipshed.routing;
 
-/** The value of one additional attribute of a request, of the type that its declaration has. */
+/** The value of an additional attribute of a request, of the declared type. */
 public sealed interface AttributeValue {
-    /** A string, of at most as many characters as its declaration allows. */
+    /** A string, not longer than its declaration allows. */
     record StringValue(String value) implements AttributeValue {}
 
-    /** An integer of 64 bits. */
+    /** A 64-bit integer. */
     record IntegerValue(long value) implements AttributeValue {}
 
     /** A decimal number. */
--- a/node/src/main/java/tulipshed/routing/ClassificationRule.java
+++ b/node/src/main/java/tulipshed/routing/ClassificationRule.java
@@ -3,7 +3,7 @@
 import tulipshed.expression.CompiledExpression;
 
 /**
- * What one classification rule assigns; null keeps what the request came with.
+ * The assignments of one classification rule; null leaves the value of the request unchanged.
  *
  * @param name the name of the rule
  * @param className the name of the class, or null
--- a/node/src/main/java/tulipshed/routing/ClassificationRules.java
+++ b/node/src/main/java/tulipshed/routing/ClassificationRules.java
@@ -5,7 +5,7 @@
 import tulipshed.expression.Program;
 import tulipshed.expression.RuleTable;
 
-/** Ordered rules that assign a class, tenant or group to a request; the first whose condition holds applies. */
+/** Ordered rules that assign a class, tenant or group to a request; the first rule whose condition holds applies. */
 public final class ClassificationRules {
     private final RequestSchema schema;
     private final List<ClassificationRule> rules;
@@ -13,10 +13,10 @@
     private final EvaluationFrame frame;
 
     /**
-     * Rules over the attributes of a schema.
+     * Creates rules over the attributes of a schema.
      *
      * @param conditions the conditions of the rules, in the order of the rules
-     * @param program the program of the conditions and group expressions, which is complete
+     * @param program the complete program of the conditions and group expressions
      */
     public ClassificationRules(
             RequestSchema schema, List<ClassificationRule> rules, RuleTable conditions, Program program) {
@@ -26,7 +26,7 @@
         frame = program.frame();
     }
 
-    /** Returns the class, tenant and group that the request has by the rules. */
+    /** Returns the class, tenant and group of the request after the rules. */
     RequestClassification classify(RequestAttributes request) {
         ClassificationRule rule = firstMatch(request);
         if (rule == null) {
@@ -40,13 +40,13 @@
                 group == null || group.length() == 0 ? null : group.toString());
     }
 
-    /** Returns the name of the rule that applies to the request, null where none does. */
+    /** Returns the name of the rule that applies to the request, null if none does. */
     String matchingRule(RequestAttributes request) {
         ClassificationRule rule = firstMatch(request);
         return rule == null ? null : rule.name();
     }
 
-    /** Leaves the attributes of the request in the frame. */
+    /** Returns the rule that applies, null if none does; the attributes of the request remain in the frame. */
     private ClassificationRule firstMatch(RequestAttributes request) {
         schema.fill(frame, request);
         int index = conditions.first(frame);
--- a/node/src/main/java/tulipshed/routing/EndpointSchema.java
+++ b/node/src/main/java/tulipshed/routing/EndpointSchema.java
@@ -6,11 +6,11 @@
 import tulipshed.expression.Schema;
 import tulipshed.expression.Type;
 
-/** The attributes of an endpoint in expressions. Holds their external names, those of the operators' file. */
+/** The attributes of an endpoint in expressions. Defines their external names, as used in the operators' file. */
 public final class EndpointSchema {
-    /** Characters of an ID, a zone or a machine type at most; an endpoint that exceeds it belongs to no pool. */
+    /** Maximum number of characters of an ID, zone or machine type; an endpoint that exceeds it belongs to no pool. */
     private static final int MAX_STRING_LENGTH = 256;
-    /** The age of an endpoint whose start is unknown, in milliseconds: a hundred years. */
+    /** Age of an endpoint whose start time is unknown, in milliseconds: a hundred years. */
     private static final long UNKNOWN_AGE_MS = 3_155_760_000_000L;
 
     private static final double US_PER_MS = 1000.0;
@@ -31,8 +31,8 @@
     /**
      * Sets the attributes of an endpoint in a frame.
      *
-     * @param nowMs the time, on the clock of the endpoint's start
-     * @return false where its strings are too long, and the frame is unchanged
+     * @param nowMs the present time, on the clock of the endpoint's start time
+     * @return false if a string is too long; the frame is then unchanged
      */
     boolean fill(EvaluationFrame frame, EndpointInfo endpoint, double nowMs) {
         if (endpoint.id().length() > MAX_STRING_LENGTH
--- a/node/src/main/java/tulipshed/routing/PoolMembership.java
+++ b/node/src/main/java/tulipshed/routing/PoolMembership.java
@@ -12,8 +12,8 @@
 import tulipshed.expression.Program;
 
 /**
- * Which endpoints belong to which pool. Evaluated when the endpoint list changes, and in between only where a condition
- * reads the age of an endpoint.
+ * The endpoints of each pool. Evaluated when the endpoint list changes, and also between changes if a condition reads the age
+ * of an endpoint.
  */
 public final class PoolMembership {
     private final EndpointSchema schema;
@@ -23,11 +23,11 @@
     private Map<String, Set<String>> endpointIdsByPool = new LinkedHashMap<>();
 
     /**
-     * Empty pools.
+     * Creates empty pools.
      *
-     * @param conditionByPool the conditions by name of the pool, in the order of the operators' file
+     * @param conditionByPool the conditions by pool name, in the order of the operators' file
      * @param dependsOnAge whether a condition reads the age of an endpoint
-     * @param program the program of the conditions, which is complete
+     * @param program the complete program of the conditions
      */
     public PoolMembership(
             EndpointSchema schema,
@@ -41,12 +41,12 @@
         conditionByPool.keySet().forEach(pool -> endpointIdsByPool.put(pool, Set.of()));
     }
 
-    /** Whether pools may change while the endpoint list does not. */
+    /** Whether pools may change without a change of the endpoint list. */
     boolean dependsOnAge() {
         return dependsOnAge;
     }
 
-    /** Evaluates the conditions of all pools anew; whether any pool changed. */
+    /** Re-evaluates the conditions of all pools; returns whether any pool changed. */
     boolean update(Collection<EndpointInfo> listed, double nowMs) {
         Map<String, Set<String>> updated = new LinkedHashMap<>();
         conditionByPool.keySet().forEach(pool -> updated.put(pool, new HashSet<>()));
@@ -69,7 +69,7 @@
         return Collections.unmodifiableMap(endpointIdsByPool);
     }
 
-    /** Returns how many endpoints a pool has. */
+    /** Returns the number of endpoints of a pool. */
     int size(String pool) {
         return endpointIdsByPool.get(pool).size();
     }
--- a/node/src/main/java/tulipshed/routing/PoolPreference.java
+++ b/node/src/main/java/tulipshed/routing/PoolPreference.java
@@ -4,11 +4,11 @@
 
 /** Pools in order of preference; the first that is not skipped is used. */
 final class PoolPreference {
-    private static final int NONE = -1;
+    private static final int NO_INDEX = -1;
 
     private final List<PoolTarget> targets;
     private final boolean[] skipped;
-    private int usedIndex;
+    private int selectedIndex;
 
     PoolPreference(List<PoolTarget> targets) {
         this.targets = List.copyOf(targets);
@@ -17,37 +17,37 @@
 
     /** Returns the pool in use. */
     String pool() {
-        return targets.get(usedIndex).pool();
+        return targets.get(selectedIndex).pool();
     }
 
-    /** Whether another pool than the preferred one is in use. */
+    /** Whether a pool other than the preferred one is in use. */
     boolean isSpilled() {
-        return usedIndex > 0;
+        return selectedIndex > 0;
     }
 
     /**
-     * Chooses the first pool that is not skipped; where all are, the first that has a ready endpoint, and else the first.
+     * Selects the first pool that is not skipped; if all are skipped, the first with a ready endpoint, otherwise the first.
      *
-     * @return whether another pool is in use from now on
+     * @return whether the selected pool changed
      */
     boolean reevaluate(PoolReadiness readiness) {
-        int firstKept = NONE;
-        int firstReady = NONE;
+        int firstNotSkipped = NO_INDEX;
+        int firstReady = NO_INDEX;
         for (int i = 0; i < skipped.length; i++) {
             PoolTarget target = targets.get(i);
             int readyCount = readiness.readyCount(target.pool());
             double readyShare = readiness.readyShare(target.pool());
             double minShare = skipped[i] ? target.restoreAt() : target.spillBelow();
             skipped[i] = readyCount == 0 || readyShare < minShare;
-            if (firstKept == NONE && !skipped[i]) {
-                firstKept = i;
+            if (firstNotSkipped == NO_INDEX && !skipped[i]) {
+                firstNotSkipped = i;
             }
-            if (firstReady == NONE && readyCount > 0) {
+            if (firstReady == NO_INDEX && readyCount > 0) {
                 firstReady = i;
             }
         }
-        int previousIndex = usedIndex;
-        usedIndex = firstKept != NONE ? firstKept : Math.max(firstReady, 0);
-        return usedIndex != previousIndex;
+        int previousIndex = selectedIndex;
+        selectedIndex = firstNotSkipped != NO_INDEX ? firstNotSkipped : Math.max(firstReady, 0);
+        return selectedIndex != previousIndex;
     }
 }
--- a/node/src/main/java/tulipshed/routing/PoolReadiness.java
+++ b/node/src/main/java/tulipshed/routing/PoolReadiness.java
@@ -1,10 +1,10 @@
 package tulipshed.routing;
 
-/** How many endpoints of each pool are ready. */
+/** The number and share of ready endpoints of each pool. */
 interface PoolReadiness {
-    /** Returns how many endpoints of the pool may be sent a request now. */
+    /** Returns the number of endpoints of the pool that are ready, which means that they may be sent a request now. */
     int readyCount(String pool);
 
-    /** Returns their share of the endpoints of the pool, from 0 to 1; 0 for an empty pool. */
+    /** Returns the share of the endpoints of the pool that are ready, from 0 to 1; 0 for an empty pool. */
     double readyShare(String pool);
 }
--- a/node/src/main/java/tulipshed/routing/PoolTarget.java
+++ b/node/src/main/java/tulipshed/routing/PoolTarget.java
@@ -1,11 +1,11 @@
 package tulipshed.routing;
 
 /**
- * A pool that a route may use. The two shares form a hysteresis; where both are 0, the pool is skipped only while none of
- * its endpoints is ready.
+ * A pool that a route may use. The two shares form a hysteresis; if both are 0, the pool is skipped only while none of its
+ * endpoints is ready.
  *
  * @param pool the name of the pool
- * @param spillBelow the pool is skipped once the share of its endpoints that are ready, from 0 to 1, falls below this
- * @param restoreAt a skipped pool is used again once that share reaches this; not less than {@code spillBelow}
+ * @param spillBelow the share of ready endpoints, from 0 to 1, below which the pool is skipped
+ * @param restoreAt the share of ready endpoints at which a skipped pool is used again; not less than {@code spillBelow}
  */
 public record PoolTarget(String pool, double spillBelow, double restoreAt) {}
--- a/node/src/main/java/tulipshed/routing/RequestAttributes.java
+++ b/node/src/main/java/tulipshed/routing/RequestAttributes.java
@@ -1,17 +1,17 @@
 package tulipshed.routing;
 
 /**
- * What is known of a request when it arrives, by the names of the settings.
+ * The attributes of a request on arrival, with class and tenant by their names in the settings.
  *
  * @param className the name of its class
- * @param tenant the name of its tenant, null where there is none
+ * @param tenant the name of its tenant, null if there is none
  * @param key its idempotency key
- * @param group its affinity group, null where there is none
+ * @param group its affinity group, null if there is none
  * @param timeoutMs how long its client waits for a final response, in milliseconds
- * @param loadHintUsPerS expected load in microseconds of work per second, 0 where the client gave none
+ * @param loadHintUsPerS the expected load in microseconds of work per second, 0 if the client sent no hint
  * @param retry whether the client has sent the request before
- * @param reconnecting whether the client comes back after its connection was migrated
- * @param origin where it came from
+ * @param reconnecting whether the client reconnects because its connection was migrated
+ * @param origin its origin
  */
 public record RequestAttributes(
         String className,
@@ -24,7 +24,7 @@
         boolean reconnecting,
         RequestOrigin origin) {
 
-    /** Returns the class, tenant and group as they arrived. */
+    /** Returns the class, tenant and group that the request has on arrival. */
     RequestClassification unclassified() {
         return new RequestClassification(className, tenant, group);
     }
--- a/node/src/main/java/tulipshed/routing/RequestClassification.java
+++ b/node/src/main/java/tulipshed/routing/RequestClassification.java
@@ -1,10 +1,10 @@
 package tulipshed.routing;
 
 /**
- * What the classification rules assign to a request.
+ * The class, tenant and group of a request after the classification rules.
  *
  * @param className the name of its class
- * @param tenant the name of its tenant, null where there is none
- * @param group its affinity group, null where there is none
+ * @param tenant the name of its tenant, null if there is none
+ * @param group its affinity group, null if there is none
  */
 public record RequestClassification(String className, String tenant, String group) {}
--- a/node/src/main/java/tulipshed/routing/RequestSchema.java
+++ b/node/src/main/java/tulipshed/routing/RequestSchema.java
@@ -12,9 +12,9 @@
 import tulipshed.routing.AttributeValue.IntegerValue;
 import tulipshed.routing.AttributeValue.StringValue;
 
-/** The attributes of a request in expressions. Holds their external names, those of the operators' file. */
+/** The attributes of a request in expressions. Defines their external names, as used in the operators' file. */
 public final class RequestSchema {
-    /** The server name that a QUIC client asks for (TLS SNI). */
+    /** The server name that a QUIC client requests (TLS SNI). */
     public static final String SERVER_NAME = "server-name";
     /** The first application protocol that a QUIC client offers (TLS ALPN). */
     public static final String ALPN = "alpn";
@@ -38,11 +38,11 @@
     private final Map<String, Attribute> additional = new LinkedHashMap<>();
 
     /**
-     * The schema of requests under these settings and declarations.
+     * Creates the schema of requests for these settings and declarations.
      *
-     * @param maxClassLength the characters of the name of a class at most
-     * @param maxTenantLength the characters of the name of a tenant at most, 0 where there are no tenants
-     * @param maxLineLength the characters at most of a key or a group for which less is not declared
+     * @param maxClassLength the maximum number of characters of a class name
+     * @param maxTenantLength the maximum number of characters of a tenant name, 0 if there are no tenants
+     * @param maxLineLength the maximum number of characters of a key or group unless a lower one is declared
      */
     public RequestSchema(
             int maxClassLength, int maxTenantLength, AttributeDeclarations declarations, int maxLineLength) {
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Ignores a value whose attribute was declared otherwise, or not at all, by the time that rules read it. */
+    /** Sets an additional attribute; ignored if its declaration was changed or removed after the request arrived. */
     private static void setAdditional(EvaluationFrame frame, Attribute attribute, AttributeValue value) {
         if (attribute == null) {
             return;
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Whether the strings of a request keep the lengths that expressions rely on; frontends check them on arrival. */
+    /** Whether the strings of a request have the maximum lengths that expressions rely on; frontends check them on arrival. */
     boolean fits(RequestAttributes request) {
         return request.className().length() <= requestClass.maxLength()
                 && request.key().length() <= key.maxLength()
--- a/node/src/main/java/tulipshed/routing/Route.java
+++ b/node/src/main/java/tulipshed/routing/Route.java
@@ -4,12 +4,12 @@
 import tulipshed.expression.CompiledExpression;
 import tulipshed.expression.EvaluationFrame;
 
-/** One route with the pools that its branches use now. */
+/** A route with the pool that each of its branches uses now. */
 final class Route {
     private final String name;
-    /** Null for a route of a single branch. */
+    /** Expression that selects the branch; null for a route with a single branch. */
     private final CompiledExpression splitPoint;
-    /** The split point at which each branch ends, exclusively. */
+    /** The exclusive upper bound of the split points of each branch. */
     private final long[] branchEnds;
 
     private final List<PoolPreference> branches;
@@ -31,7 +31,7 @@
         return name;
     }
 
-    /** Returns all branches, in the order of their definition. */
+    /** Returns all branches in the order of their definition. */
     List<PoolPreference> branches() {
         return branches;
     }
--- a/node/src/main/java/tulipshed/routing/Router.java
+++ b/node/src/main/java/tulipshed/routing/Router.java
@@ -8,8 +8,8 @@
 import tulipshed.decision.api.EndpointInfo;
 
 /**
- * Applies the operators' rules to requests: assigns class, tenant and group, and the pool that must serve a request. Which
- * endpoint of the pool serves it, and whether any does, is up to the decision module. Does no I/O; confined to one thread.
+ * Applies the operators' rules to requests: assigns class, tenant and group, and the pool that must serve a request. The
+ * decision module decides which endpoint of the pool serves it, if any. Does no I/O; confined to one thread.
  */
 public final class Router {
     private final AttributeDeclarations declarations;
@@ -31,11 +31,11 @@
     };
 
     /**
-     * A router of these rules.
+     * Creates a router with these rules.
      *
-     * @param classification null where there are no classification rules
-     * @param pools null where there are no pools
-     * @param routes null where there are no routes; they need pools
+     * @param classification null if there are no classification rules
+     * @param pools null if there are no pools
+     * @param routes null if there are no routes; routes require pools
      */
     public Router(
             AttributeDeclarations declarations,
@@ -55,19 +55,19 @@
         return declarations;
     }
 
-    /** Returns the class, tenant and group that the request has by the rules. */
+    /** Returns the class, tenant and group of the request after the rules. */
     public RequestClassification classify(RequestAttributes request) {
         return classification == null || !schema.fits(request)
                 ? request.unclassified()
                 : classification.classify(request);
     }
 
-    /** Returns the pool that must serve a classified request now, null where any endpoint may. */
+    /** Returns the pool that must serve a classified request now, null for any endpoint. */
     public String poolFor(RequestAttributes request) {
         return routes == null || !schema.fits(request) ? null : routes.poolFor(request);
     }
 
-    /** Returns the rules that apply to a request as it arrived. */
+    /** Returns the rules that apply to a request that has not been classified. */
     public MatchedRules matchedRules(RequestAttributes request) {
         RequestAttributes classified = request.withClassification(classify(request));
         return new MatchedRules(
@@ -75,7 +75,7 @@
                 routes == null ? null : routes.matchingRoute(classified));
     }
 
-    /** Evaluates the pools against the listed endpoints; whether any pool changed. */
+    /** Re-evaluates the pools with the listed endpoints; returns whether any pool changed. */
     public boolean updatePools(Collection<EndpointInfo> listed, double nowMs) {
         return pools != null && pools.update(listed, nowMs);
     }
@@ -85,21 +85,21 @@
         return pools == null ? Map.of() : pools.endpointIdsByPool();
     }
 
-    /** Whether pools may change while the endpoint list does not. */
+    /** Whether pools may change without a change of the endpoint list. */
     public boolean poolsDependOnAge() {
         return pools != null && pools.dependsOnAge();
     }
 
-    /** Whether there are routes, whose use of pools is to be re-evaluated in intervals. */
+    /** Whether there are routes, whose pools must be re-evaluated at intervals. */
     public boolean hasRoutes() {
         return routes != null;
     }
 
     /**
-     * Decides anew which pool each route uses.
+     * Re-evaluates which pool each route uses.
      *
-     * @param readyEndpoints how many endpoints of the pool of that name are ready
-     * @return whether any route uses another pool from now on
+     * @param readyEndpoints returns the number of ready endpoints of the pool with that name
+     * @return whether the pool of any route changed
      */
     public boolean reevaluateSpillover(ToIntFunction<String> readyEndpoints) {
         if (routes == null) {
@@ -110,7 +110,7 @@
         return routes.reevaluate(readiness);
     }
 
-    /** Returns the pool in use by name of the route, for routes that use another pool than their preferred one. */
+    /** Returns the pool in use by route name, for routes that do not use their preferred pool. */
     public Map<String, String> spilloverPools() {
         return routes == null ? Map.of() : routes.spilloverPools();
     }
--- a/node/src/main/java/tulipshed/routing/Routes.java
+++ b/node/src/main/java/tulipshed/routing/Routes.java
@@ -8,7 +8,7 @@
 import tulipshed.expression.Program;
 import tulipshed.expression.RuleTable;
 
-/** Ordered routes, which assign a pool to a request; the first whose condition holds applies. */
+/** Ordered routes, which assign a pool to a request; the first route whose condition holds applies. */
 public final class Routes {
     private final RequestSchema schema;
     private final List<Route> routes = new ArrayList<>();
@@ -16,10 +16,10 @@
     private final EvaluationFrame frame;
 
     /**
-     * Routes over the attributes of a schema.
+     * Creates routes over the attributes of a schema.
      *
      * @param conditions the conditions of the routes, in the order of the routes
-     * @param program the program of the conditions and split points, which is complete
+     * @param program the complete program of the conditions and split points
      */
     public Routes(RequestSchema schema, List<RouteDefinition> definitions, RuleTable conditions, Program program) {
         this.schema = schema;
@@ -30,26 +30,26 @@
         }
     }
 
-    /** Returns the pool that must serve the request now, null where any endpoint may. */
+    /** Returns the pool that must serve the request now, null for any endpoint. */
     String poolFor(RequestAttributes request) {
         Route route = firstMatch(request);
         return route == null ? null : route.branchFor(frame).pool();
     }
 
-    /** Returns the name of the route that applies to the request, null where none does. */
+    /** Returns the name of the route that applies to the request, null if none does. */
     String matchingRoute(RequestAttributes request) {
         Route route = firstMatch(request);
         return route == null ? null : route.name();
     }
 
-    /** Leaves the attributes of the request in the frame. */
+    /** Returns the route that applies, null if none does; the attributes of the request remain in the frame. */
     private Route firstMatch(RequestAttributes request) {
         schema.fill(frame, request);
         int index = conditions.first(frame);
         return index < 0 ? null : routes.get(index);
     }
 
-    /** Chooses the pool of every branch anew; whether any branch uses another pool from now on. */
+    /** Re-evaluates the pool of every branch; returns whether the pool of any branch changed. */
     boolean reevaluate(PoolReadiness readiness) {
         boolean changed = false;
         for (Route route : routes) {
@@ -60,7 +60,7 @@
         return changed;
     }
 
-    /** Returns the pool in use by name of the route, for routes that use another pool than their preferred one. */
+    /** Returns the pool in use by route name, for routes that do not use their preferred pool. */
     Map<String, String> spilloverPools() {
         Map<String, String> poolByRoute = new TreeMap<>();
         for (Route route : routes) {
--- a/node/src/main/java/tulipshed/routing/package-info.java
+++ b/node/src/main/java/tulipshed/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' routing rules: they classify requests by class, tenant and group, and assign the pool of endpoints that must
- * serve each. Does no I/O.
+ * The operators' routing rules, which assign to requests a class, a tenant, a group and the pool of endpoints that must serve
+ * them. Does no I/O.
  */
 package tulipshed.routing;
