--- a/node/src/test/java/tulipshed/proxy/ActiveSettingsTest.java
+++ b/node/src/test/java/tulipshed/proxy/ActiveSettingsTest.java
@@ -8,11 +8,11 @@
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.RequestClass;
 
-/** The settings in force and their replacement. */
+/** The active settings and their replacement. */
 class ActiveSettingsTest {
     private final ProxyCoreFixture fixture = new ProxyCoreFixture();
 
-    /** Otherwise the decision module would take an earlier request for one of the class that has its index now. */
+    /** Events carry the index of a class: under new settings, an earlier request would be taken for one of another class. */
     @Test
     void deliversNewSettingsAfterEarlierEvents() {
         BalancerSettings old = NodeJsonSettings.nodeSettings();
@@ -36,9 +36,11 @@
         fixture.updateEndpoint("s-9", EndpointStatus.SERVING);
         fixture.advance(150);
         assertEquals(
-                List.of("list CHANGES", "already open s-9", "open s-9"), fixture.takeRecorded(), "its class is gone");
+                List.of("endpoints CHANGES", "adopted s-9", "open s-9"),
+                fixture.takeRecorded(),
+                "its class has been removed");
         fixture.core.attemptEstablished(fixture.attempts.get(1));
-        assertEquals("2 0 0", fixture.responseCounts("slot-board"), "and its response counts for it all the same");
+        assertEquals("2 0 0", fixture.responseCounts("slot-board"), "the response still counts for the removed class");
         assertEquals(3000, fixture.core.longestDeadlineMs());
     }
 
--- a/node/src/test/java/tulipshed/proxy/AttemptManagerTest.java
+++ b/node/src/test/java/tulipshed/proxy/AttemptManagerTest.java
@@ -9,7 +9,7 @@
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.Outcome;
 
-/** Start and forwarding of attempts. */
+/** The start and forwarding of attempts. */
 class AttemptManagerTest {
     private final ProxyCoreFixture fixture = new ProxyCoreFixture();
 
@@ -18,10 +18,10 @@
         fixture.startAttempt(2000);
         fixture.decisions.startAttempt(fixture.balancer.lastRequestId, "s-1", 0);
         fixture.core.runBatch();
-        assertEquals(List.of("finished 1 UNUSED"), fixture.takeRecorded());
+        assertEquals(List.of("ended 1 UNUSED"), fixture.takeRecorded());
     }
 
-    /** An endpoint can start to drain while the connection is made. */
+    /** An endpoint can start draining while the attempt connects. */
     @Test
     void forwardsNothingToEndpointThatStartedDraining() {
         Attempt attempt = fixture.startAttempt(2000);
@@ -30,20 +30,22 @@
         fixture.core.attemptEnded(attempt, Outcome.CONNECT_FAILED);
         fixture.decisions.startAttempt(fixture.balancer.lastRequestId, "s-1", 0);
         assertEquals(
-                List.of("list CHANGES", "finished 0 CONNECT_FAILED", "finished 1 CONNECT_FAILED"),
+                List.of("endpoints CHANGES", "ended 0 CONNECT_FAILED", "ended 1 CONNECT_FAILED"),
                 fixture.takeRecorded());
     }
 
-    /** The event loop was busy when the attempt's time ended, so that its timer comes after its connection. */
+    /**
+     * Guards against forwarding after the timeout: a busy event loop may process the connect event before the expired timer.
+     */
     @Test
     void doesNotForwardAttemptWhoseTimeHasPassed() {
         Attempt attempt = fixture.startAttempt(2000);
         fixture.clock.advance(1961);
         assertFalse(fixture.core.mayForward(attempt));
-        assertEquals("finished 0 UNUSED", fixture.takeRecorded().get(0), "before the request is found to be undecided");
+        assertEquals("ended 0 UNUSED", fixture.takeRecorded().get(0), "before the missing decision is detected");
     }
 
-    /** The decision came in time, but the request would be sent too late. */
+    /** The retry is decided within the deduplication window, but its connection is up only after the window. */
     @Test
     void doesNotForwardRetryAfterDeduplicationWindow() {
         ProxyCoreFixture fixture = new ProxyCoreFixture(
@@ -60,9 +62,9 @@
         fixture.takeRecorded();
         Attempt late = fixture.attempts.get(fixture.attempts.size() - 1);
         fixture.advance(98);
-        assertTrue(fixture.core.mayForward(late), "just in time");
+        assertTrue(fixture.core.mayForward(late), "still within the window");
         fixture.advance(3);
         assertFalse(fixture.core.mayForward(late));
-        assertEquals(List.of("finished 1 UNUSED"), fixture.takeRecorded(), "which does not count against the endpoint");
+        assertEquals(List.of("ended 1 UNUSED"), fixture.takeRecorded(), "UNUSED does not count against the endpoint");
     }
 }
--- a/node/src/test/java/tulipshed/proxy/AttemptTimeoutTest.java
+++ b/node/src/test/java/tulipshed/proxy/AttemptTimeoutTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Timeouts of attempts, and what they prove. */
+/** Timeouts of attempts, and whether the request may have executed after them. */
 class AttemptTimeoutTest {
     private final ProxyCoreFixture fixture = new ProxyCoreFixture();
 
@@ -17,7 +17,7 @@
         fixture.advance(249);
         assertEquals(List.of(), fixture.takeRecorded());
         fixture.advance(2);
-        assertEquals(List.of("give up", "finished 0 CONNECT_FAILED"), fixture.takeRecorded());
+        assertEquals(List.of("abandon", "ended 0 CONNECT_FAILED"), fixture.takeRecorded());
     }
 
     @Test
@@ -26,18 +26,18 @@
         assertTrue(fixture.core.mayForward(attempt));
         fixture.advance(1950);
         assertEquals(List.of(), fixture.takeRecorded());
-        // Shortly before the client's deadline, so that the response arrives in time.
+        // The response margin before the client's deadline lets the response arrive in time.
         fixture.advance(11);
-        assertEquals(List.of("give up", "finished 0 TIMEOUT"), fixture.takeRecorded());
-        assertFalse(fixture.core.attemptEstablished(attempt), "what comes after the timeout is not relayed");
+        assertEquals(List.of("abandon", "ended 0 TIMEOUT"), fixture.takeRecorded());
+        assertFalse(fixture.core.attemptEstablished(attempt), "a response after the timeout is not relayed");
     }
 
-    /** Without a connection nothing was executed, also where the attempt times out before the connect timeout. */
+    /** An attempt that never connected was not executed, even if it times out before the connect timeout. */
     @Test
     void timeoutBeforeConnectCountsAsNeverExecuted() {
         ProxyCoreFixture fixture = ProxyCoreFixture.nonIdempotent();
         fixture.startAttempt(150);
         fixture.advance(111);
-        assertEquals(List.of("give up", "finished 0 CONNECT_FAILED"), fixture.takeRecorded());
+        assertEquals(List.of("abandon", "ended 0 CONNECT_FAILED"), fixture.takeRecorded());
     }
 }
--- a/node/src/test/java/tulipshed/proxy/ConnectionAdopterTest.java
+++ b/node/src/test/java/tulipshed/proxy/ConnectionAdopterTest.java
@@ -18,16 +18,16 @@
         fixture.updateEndpoint("s-1", EndpointStatus.DRAINING);
         fixture.takeRecorded();
         fixture.adoptConnection("s-1");
-        assertEquals(List.of("already open s-1", "open s-1"), fixture.takeRecorded());
+        assertEquals(List.of("adopted s-1", "open s-1"), fixture.takeRecorded());
         Attempt attempt = fixture.attempts.get(0);
         assertTrue(fixture.core.mayForward(attempt));
         fixture.advance(5000);
         assertTrue(fixture.core.attemptEstablished(attempt));
         fixture.core.attemptEnded(attempt, Outcome.OK);
-        assertEquals(List.of("finished 0 OK concluded"), fixture.takeRecorded());
+        assertEquals(List.of("ended 0 OK concluded"), fixture.takeRecorded());
     }
 
-    /** The cached list can be older than the connection. */
+    /** The cached list can be older than the connection and lack its endpoint. */
     @Test
     void adoptionWaitsForUnlistedEndpoint() {
         Request request = fixture.adoptConnection("s-9");
@@ -35,9 +35,9 @@
         assertEquals(List.of(), fixture.takeRecorded());
         fixture.updateEndpoint("s-9", EndpointStatus.SERVING);
         fixture.advance(150);
-        assertEquals(List.of("list CHANGES", "already open s-9", "open s-9"), fixture.takeRecorded());
+        assertEquals(List.of("endpoints CHANGES", "adopted s-9", "open s-9"), fixture.takeRecorded());
         assertTrue(request.isPending());
-        // Discovery has delivered its list by now: an endpoint that it does not name is not waited for as long.
+        // Discovery has delivered a list by now: an unlisted endpoint is awaited for a shorter time.
         fixture.adoptConnection("s-10");
         fixture.advance(900);
         assertEquals(List.of(), fixture.takeRecorded());
@@ -54,7 +54,7 @@
         assertEquals(List.of("client: fail"), fixture.takeRecorded());
     }
 
-    /** Otherwise the process would end with no answer to it. */
+    /** Otherwise the process would exit without a final response to the request. */
     @Test
     void shutdownFailsAdoptionThatWaitsForItsEndpoint() {
         Request waiting = fixture.adoptConnection("s-9");
@@ -63,7 +63,8 @@
         assertFalse(waiting.isPending());
         fixture.updateEndpoint("s-9", EndpointStatus.SERVING);
         fixture.advance(150);
-        assertEquals(List.of("list CHANGES"), fixture.takeRecorded(), "nothing is opened for it any more");
+        assertEquals(
+                List.of("endpoints CHANGES"), fixture.takeRecorded(), "no attempt is opened for the failed request");
     }
 
     @Test
@@ -71,6 +72,6 @@
         fixture.adoptConnection("s-1");
         fixture.takeRecorded();
         fixture.core.attemptEnded(fixture.attempts.get(0), Outcome.RESET);
-        assertEquals(List.of("client: fail", "finished 0 RESET concluded"), fixture.takeRecorded());
+        assertEquals(List.of("client: fail", "ended 0 RESET concluded"), fixture.takeRecorded());
     }
 }
--- a/node/src/test/java/tulipshed/proxy/ConnectionMigratorTest.java
+++ b/node/src/test/java/tulipshed/proxy/ConnectionMigratorTest.java
@@ -20,9 +20,9 @@
         assertEquals(
                 List.of(
                         "WARN core: endpoint s-1 unresponsive: migrating its client",
-                        "client: move",
-                        "started 0",
-                        "finished 0 RESET concluded"),
+                        "client: migrate",
+                        "established 0",
+                        "ended 0 RESET concluded"),
                 fixture.takeRecorded());
     }
 
--- a/node/src/test/java/tulipshed/proxy/EndpointDrainerTest.java
+++ b/node/src/test/java/tulipshed/proxy/EndpointDrainerTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.decision.api.EndpointStatus;
 
-/** Attempts that must leave a draining endpoint. */
+/** The end of attempts that must leave a draining endpoint. */
 class EndpointDrainerTest {
     private final ProxyCoreFixture fixture = new ProxyCoreFixture();
 
@@ -21,7 +21,7 @@
         fixture.updateEndpoint("s-1", EndpointStatus.DRAINING);
         fixture.advance(200);
         List<String> recorded = fixture.takeRecorded();
-        assertTrue(recorded.contains("client: move") && recorded.contains("finished 0 RESET"), recorded.toString());
+        assertTrue(recorded.contains("client: migrate") && recorded.contains("ended 0 RESET"), recorded.toString());
         assertFalse(recorded.contains("client: fail"), recorded.toString());
     }
 }
--- a/node/src/test/java/tulipshed/proxy/EstablishedConnectionsTest.java
+++ b/node/src/test/java/tulipshed/proxy/EstablishedConnectionsTest.java
@@ -8,7 +8,7 @@
 import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
-/** Connections established through this process. */
+/** The connections established through this process, and their publication to the hot-restart peer. */
 class EstablishedConnectionsTest {
     private final ProxyCoreFixture fixture = new ProxyCoreFixture();
 
--- a/node/src/test/java/tulipshed/proxy/EventBatchTest.java
+++ b/node/src/test/java/tulipshed/proxy/EventBatchTest.java
@@ -21,7 +21,7 @@
         assertEquals(List.of("request 2000", "request 1000", "open s-1"), fixture.takeRecorded());
     }
 
-    /** Regression: an Error in one event lost the events behind it, so that their requests got no response. */
+    /** Regression: an Error in one event discarded the later events of the batch, so that their requests got no response. */
     @Test
     void deliversTheRestOfABatchAfterAnErrorInOneEvent() {
         List<String> log = new ArrayList<>();
--- a/node/src/test/java/tulipshed/proxy/HealthCheckDispatcherTest.java
+++ b/node/src/test/java/tulipshed/proxy/HealthCheckDispatcherTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.decision.api.EndpointStatus;
 
-/** Health checks that the decision module asks for. */
+/** Health checks that the decision module requests. */
 class HealthCheckDispatcherTest {
     private final ProxyCoreFixture fixture = new ProxyCoreFixture();
 
--- a/node/src/test/java/tulipshed/proxy/NodeJsonSettings.java
+++ b/node/src/test/java/tulipshed/proxy/NodeJsonSettings.java
@@ -21,7 +21,7 @@
         return NodeConfig.load(Map.of("PROXY_CONFIG", NODE_SETTINGS.toString())).settings();
     }
 
-    /** The settings with other classes. */
+    /** The settings with different classes. */
     static BalancerSettings withClasses(BalancerSettings settings, List<RequestClass> classes) {
         return new BalancerSettings(
                 settings.nodeIndex(),
@@ -39,7 +39,7 @@
                 settings.tenants());
     }
 
-    /** The configuration of {@code node.json} with each occurrence of a text replaced by another. */
+    /** The configuration of {@code node.json} with every occurrence of {@code replaced} replaced. */
     static NodeConfig load(String replaced, String replacement) {
         try {
             Path file = Files.createTempFile("node", ".json");
--- a/node/src/test/java/tulipshed/proxy/NodeMetricsTest.java
+++ b/node/src/test/java/tulipshed/proxy/NodeMetricsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.decision.api.Outcome;
 
-/** What the core counts. */
+/** The counters of the core. */
 class NodeMetricsTest {
     private final ProxyCoreFixture fixture = new ProxyCoreFixture();
 
--- a/node/src/test/java/tulipshed/proxy/ProxyCoreFixture.java
+++ b/node/src/test/java/tulipshed/proxy/ProxyCoreFixture.java
@@ -14,20 +14,20 @@
 import tulipshed.time.ManualClock;
 
 /**
- * A core on a clock and an event loop that the test drives. The fixture is also the client and the connector of all
- * requests. Its decision module decides what the test says; all that the core does is recorded in order.
+ * A core with a clock and an event loop that the test controls. The fixture is also the client and the connector of all
+ * requests. The test makes the decisions of the decision module; all actions of the core are recorded in order.
  */
 final class ProxyCoreFixture implements EventLoop, ClientConnection, UpstreamConnector {
     final ManualClock clock = new ManualClock(1_000_000);
-    /** What the core did and logged, in order. */
+    /** The actions and log lines of the core, in order. */
     final List<String> recorded = new ArrayList<>();
     /** The attempts that the core opened, in order. */
     final List<Attempt> attempts = new ArrayList<>();
-    /** Takes decisions; they are carried out at the end of the next batch. */
+    /** Accepts decisions, which are carried out at the end of the next batch. */
     BalancerActions decisions;
     /** The decision module, which records the events of the core. */
     final RecordingBalancer balancer = new RecordingBalancer(recorded);
-    /** What this fixture, as connector, answers. */
+    /** Whether this fixture, as connector, requires attempts to leave a draining endpoint. */
     boolean mustLeaveDraining;
 
     final BalancerSettings settings;
@@ -37,12 +37,12 @@
 
     private record Timer(double atMs, Runnable task) {}
 
-    /** A core under the settings of {@code node.json}, with the serving endpoint s-1 from a cached list. */
+    /** Creates a core with the settings of {@code node.json}, with the serving endpoint s-1 from a cached list. */
     ProxyCoreFixture() {
         this("", "");
     }
 
-    /** The same, with each occurrence of a text in the settings replaced by another. */
+    /** Creates the same with every occurrence of {@code replaced} in the settings replaced. */
     ProxyCoreFixture(String replaced, String replacement) {
         settings = NodeJsonSettings.load(replaced, replacement).settings();
         core = new ProxyCore(
@@ -60,19 +60,19 @@
         takeRecorded();
     }
 
-    /** A core whose requests are not idempotent. */
+    /** Creates a core whose requests are not idempotent. */
     static ProxyCoreFixture nonIdempotent() {
         return new ProxyCoreFixture("\"Effect\": \"repeatable\"", "\"Effect\": \"once\"");
     }
 
-    /** A core whose requests have an idempotency key, by which the endpoints of one zone deduplicate them. */
+    /** Creates a core whose requests have an idempotency key, by which endpoints of the same zone deduplicate them. */
     static ProxyCoreFixture withKeyPerZone() {
         return new ProxyCoreFixture(
                 "\"Effect\": \"repeatable\",\n    \"Group\": \"all\"",
                 "\"Effect\": \"by_key\",\n    \"Group\": \"zone\"");
     }
 
-    /** Discovery reports a change of one endpoint. */
+    /** Reports a change of one endpoint, as discovery does. */
     void updateEndpoint(String id, EndpointStatus status) {
         updateEndpoint(EndpointListKind.CHANGES, id, status);
     }
@@ -85,27 +85,27 @@
                         new InetSocketAddress("127.0.0.1", 1))));
     }
 
-    /** A request arrives whose client waits that long. */
+    /** Reports the arrival of a request with that timeout. */
     Request requestArrives(double timeoutMs) {
         Request request = newRequest(timeoutMs, false);
         core.requestArrived(request);
         return request;
     }
 
-    /** A connection is resumed that was established at that endpoint before. */
+    /** Resumes a connection that was established at that endpoint before the start. */
     Request adoptConnection(String endpointId) {
         Request request = newRequest(2000, true);
         core.adoptConnection(request, endpointId);
         return request;
     }
 
-    /** A request of this fixture's client that the core does not know yet. */
+    /** A request of this fixture's client that has not been reported to the core. */
     Request newRequest(double timeoutMs, boolean adopted) {
         return new Request(
                 this, this, new RequestParameters(0, 0, "k", null, timeoutMs, 0, false, false), clock.nowMs(), adopted);
     }
 
-    /** A request arrives, and an attempt at s-1 is opened for it; nothing of that stays recorded. */
+    /** Reports a request, opens an attempt at s-1 for it and clears the recorded lines. */
     Attempt startAttempt(double timeoutMs) {
         requestArrives(timeoutMs);
         runReadyTasks();
@@ -116,7 +116,7 @@
         return attempts.get(attempts.size() - 1);
     }
 
-    /** The final responses to one class: how many were established, rejected and failed. */
+    /** The counts of established, rejected and failed requests of a class. */
     String responseCounts(String requestClass) {
         NodeMetrics.ResponseCounts counts = core.metrics().responses().get(requestClass);
         return counts.established() + " " + counts.rejected() + " " + counts.failed();
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Runs ready tasks; returns what was recorded since the last call. */
+    /** Runs ready tasks; returns the lines recorded since the last call. */
     List<String> takeRecorded() {
         runReadyTasks();
         List<String> taken = List.copyOf(recorded);
@@ -173,7 +173,7 @@
 
     @Override
     public void migrate() {
-        recorded.add("client: move");
+        recorded.add("client: migrate");
     }
 
     @Override
@@ -184,7 +184,7 @@
 
     @Override
     public void abandon(Attempt attempt) {
-        recorded.add("give up");
+        recorded.add("abandon");
     }
 
     @Override
--- a/node/src/test/java/tulipshed/proxy/RecordingBalancer.java
+++ b/node/src/test/java/tulipshed/proxy/RecordingBalancer.java
@@ -13,23 +13,23 @@
 import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.Outcome;
 
-/** A decision module that decides nothing by itself and records all events as lines of text, in order. */
+/** A decision module that makes no decisions of its own and records all events as lines of text, in order. */
 final class RecordingBalancer implements BalancerApi {
-    /** The eligible endpoints of a pool; 0 for other pools. */
+    /** The number of eligible endpoints by pool name; 0 for pools without an entry. */
     final Map<String, Integer> eligibleByPool = new HashMap<>();
-    /** The ID of the request of which this module was notified last. */
+    /** The ID of the last request reported to this module. */
     long lastRequestId;
 
     private final List<String> recorded;
 
-    /** Records into that list, which may have other lines too. */
+    /** Records into that list, which may also contain other lines. */
     RecordingBalancer(List<String> recorded) {
         this.recorded = recorded;
     }
 
     @Override
     public void endpointsChanged(long nowUs, EndpointListKind kind, List<EndpointInfo> entries) {
-        recorded.add("list " + kind);
+        recorded.add("endpoints " + kind);
     }
 
     @Override
@@ -42,12 +42,12 @@
     @Override
     public void connectionAdopted(long nowUs, NewRequest request, String endpointId) {
         lastRequestId = request.id();
-        recorded.add("already open " + endpointId);
+        recorded.add("adopted " + endpointId);
     }
 
     @Override
     public void attemptEstablished(long nowUs, long requestId, int attempt, long tookUs) {
-        recorded.add("started " + attempt);
+        recorded.add("established " + attempt);
     }
 
     @Override
@@ -57,18 +57,18 @@
 
     @Override
     public void latencyReported(long nowUs, long requestId, double latencyMs) {
-        recorded.add("delay " + latencyMs);
+        recorded.add("latency " + latencyMs);
     }
 
     @Override
     public void attemptEnded(
             long nowUs, long requestId, int attempt, boolean concluded, Outcome outcome, LoadReport report) {
-        recorded.add("finished " + attempt + " " + outcome + (concluded ? " concluded" : ""));
+        recorded.add("ended " + attempt + " " + outcome + (concluded ? " concluded" : ""));
     }
 
     @Override
     public void requestCancelled(long nowUs, long requestId) {
-        recorded.add("abandoned");
+        recorded.add("cancelled");
     }
 
     @Override
@@ -91,7 +91,7 @@
 
     @Override
     public void quotaShareChanged(long nowUs, double shareOfNode) {
-        recorded.add("share " + shareOfNode);
+        recorded.add("quota share " + shareOfNode);
     }
 
     @Override
@@ -106,7 +106,7 @@
 
     @Override
     public void requestRerouted(long nowUs, long requestId, String pool) {
-        recorded.add("route " + requestId + " " + pool);
+        recorded.add("rerouted " + requestId + " " + pool);
     }
 
     @Override
--- a/node/src/test/java/tulipshed/proxy/RecordingHotRestartPeer.java
+++ b/node/src/test/java/tulipshed/proxy/RecordingHotRestartPeer.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The other process of a hot restart, with connections that a test sets, which records what is published to it. */
+/** A hot-restart peer whose connections the test sets and which records those published to it. */
 final class RecordingHotRestartPeer implements HotRestartPeer {
     private static final int SLOT = 7;
 
--- a/node/src/test/java/tulipshed/proxy/ReplicatedConnectionsTest.java
+++ b/node/src/test/java/tulipshed/proxy/ReplicatedConnectionsTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
-/** Connections of the other process of a hot restart. */
+/** The replicas of connections of the other process of a hot restart. */
 class ReplicatedConnectionsTest {
     private final ProxyCoreFixture fixture = new ProxyCoreFixture();
 
-    /** Otherwise the process that takes over would distribute clients as if the endpoints had no load. */
+    /** Otherwise the new process would distribute clients as if the endpoints had no load from the old process. */
     @Test
     void replicatesConnectionsOfHotRestartPeer() {
         RecordingHotRestartPeer peer = new RecordingHotRestartPeer();
@@ -19,16 +19,16 @@
         peer.connections.put(4, new EstablishedConnection("nobody", "desk", 0));
         fixture.core.syncHotRestartPeer();
         fixture.core.syncHotRestartPeer();
-        assertEquals(List.of("already open s-1"), fixture.takeRecorded());
+        assertEquals(List.of("adopted s-1"), fixture.takeRecorded());
         peer.connections.put(3, new EstablishedConnection("s-1", "gate", 0));
         fixture.core.syncHotRestartPeer();
         assertEquals(
-                List.of("finished 0 CANCELLED concluded", "already open s-1"),
+                List.of("ended 0 CANCELLED concluded", "adopted s-1"),
                 fixture.takeRecorded(),
-                "another connection has the slot now");
+                "the slot now has another connection");
         peer.connections.clear();
         fixture.core.syncHotRestartPeer();
-        assertEquals(List.of("finished 0 CANCELLED concluded"), fixture.takeRecorded());
+        assertEquals(List.of("ended 0 CANCELLED concluded"), fixture.takeRecorded());
         assertEquals(0, fixture.core.establishedCount());
     }
 }
--- a/node/src/test/java/tulipshed/proxy/RequestLifecycleTest.java
+++ b/node/src/test/java/tulipshed/proxy/RequestLifecycleTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.decision.api.Outcome;
 
-/** The one final response of each request. */
+/** The single final response of each request. */
 class RequestLifecycleTest {
     private final ProxyCoreFixture fixture = new ProxyCoreFixture();
 
@@ -32,45 +32,45 @@
         List<String> recorded = fixture.takeRecorded();
         assertEquals(
                 1, recorded.stream().filter(line -> line.startsWith("client:")).count(), recorded.toString());
-        assertEquals("abandoned", recorded.get(recorded.size() - 1));
+        assertEquals("cancelled", recorded.get(recorded.size() - 1));
     }
 
     @Test
     void cancelsAttemptWhenClientDisconnects() {
         Attempt attempt = fixture.startAttempt(2000);
         fixture.core.clientDisconnected(attempt.request());
-        assertEquals(List.of("abandoned", "give up", "finished 0 CANCELLED concluded"), fixture.takeRecorded());
+        assertEquals(List.of("cancelled", "abandon", "ended 0 CANCELLED concluded"), fixture.takeRecorded());
         assertFalse(fixture.core.attemptEstablished(attempt));
     }
 
-    /** Otherwise the decision module would count the attempt at its endpoint for ever. */
+    /** Otherwise the decision module would count the attempt at its endpoint forever. */
     @Test
     void reportsAttemptAsUnusedWhenClientDisconnectedBeforeItsStart() {
         Request request = fixture.requestArrives(2000);
         fixture.core.clientDisconnected(request);
         fixture.decisions.startAttempt(1, "s-1", 0);
         fixture.core.runBatch();
-        assertEquals(List.of("request 2000", "abandoned", "finished 0 UNUSED concluded"), fixture.takeRecorded());
+        assertEquals(List.of("request 2000", "cancelled", "ended 0 UNUSED concluded"), fixture.takeRecorded());
     }
 
-    /** The last attempt ends just as a missing decision would be noticed. */
+    /** The last attempt times out at the same time as the first check for a missing decision. */
     @Test
     void failsRequestWithoutDecisionAfterItsLastAttempt() {
         assertTrue(fixture.core.mayForward(fixture.startAttempt(300)));
         fixture.advance(299);
-        assertEquals(List.of("give up", "finished 0 TIMEOUT"), fixture.takeRecorded());
+        assertEquals(List.of("abandon", "ended 0 TIMEOUT"), fixture.takeRecorded());
         fixture.advance(1);
         assertEquals("client: fail", fixture.takeRecorded().get(1));
     }
 
-    /** The margin for the response leaves no time for an attempt, but the decision module still says what to answer. */
+    /** The response margin leaves no time for an attempt, but the decision module still decides on the final response. */
     @ParameterizedTest
     @ValueSource(doubles = {1, 20, 40})
     void leavesResponseToDecisionModuleWhenNoAttemptIsPossible(double timeoutMs) {
         fixture.requestArrives(timeoutMs);
         fixture.decisions.startAttempt(1, "s-1", 0);
         fixture.core.runBatch();
-        assertEquals(List.of("request " + (int) timeoutMs, "finished 0 UNUSED"), fixture.takeRecorded());
+        assertEquals(List.of("request " + (int) timeoutMs, "ended 0 UNUSED"), fixture.takeRecorded());
         fixture.advance(timeoutMs);
         assertEquals("client: fail", fixture.takeRecorded().get(1), "at its deadline at the latest");
     }
@@ -85,26 +85,26 @@
         fixture.core.rejectAllPending();
         assertEquals(
                 List.of(
-                        "client: move",
+                        "client: migrate",
                         "client: reject 0.0",
-                        "give up",
-                        "finished 0 CANCELLED concluded",
-                        "finished 0 CANCELLED concluded"),
+                        "abandon",
+                        "ended 0 CANCELLED concluded",
+                        "ended 0 CANCELLED concluded"),
                 fixture.takeRecorded());
     }
 
-    /** BUSY says that a retry is harmless; an open attempt may have executed. */
+    /** BUSY promises that a retry is harmless, but an open attempt may have executed. */
     @Test
     void shutdownFailsNonIdempotentRequestThatMayHaveExecuted() {
         for (ProxyCoreFixture fixture : List.of(ProxyCoreFixture.nonIdempotent(), ProxyCoreFixture.withKeyPerZone())) {
             Attempt open = fixture.startAttempt(2000);
             assertTrue(fixture.core.mayForward(open));
             fixture.core.rejectAllPending();
-            assertEquals(List.of("client: fail", "give up", "finished 0 CANCELLED concluded"), fixture.takeRecorded());
+            assertEquals(List.of("client: fail", "abandon", "ended 0 CANCELLED concluded"), fixture.takeRecorded());
             Attempt ended = fixture.startAttempt(2000);
             assertTrue(fixture.core.mayForward(ended));
             fixture.core.attemptEnded(ended, Outcome.RESET);
-            assertEquals(List.of("finished 0 RESET"), fixture.takeRecorded());
+            assertEquals(List.of("ended 0 RESET"), fixture.takeRecorded());
             fixture.core.rejectAllPending();
             assertEquals(
                     "client: fail",
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Its class was idempotent when it arrived; under the new settings it is not. */
+    /** The class was idempotent when the request arrived and is not under the new settings. */
     @Test
     void requestKeepsItsClassAcrossReconfiguration() {
         Attempt open = fixture.startAttempt(2000);
@@ -136,7 +136,7 @@
         Attempt full = fixture.startAttempt(2000);
         assertTrue(fixture.core.mayForward(full));
         fixture.core.attemptEnded(full, Outcome.FULL);
-        assertEquals(List.of("finished 0 FULL"), fixture.takeRecorded());
+        assertEquals(List.of("ended 0 FULL"), fixture.takeRecorded());
         fixture.core.rejectAllPending();
         assertEquals(
                 "client: reject 0.0",
--- a/node/src/test/java/tulipshed/proxy/RequestRoutingTest.java
+++ b/node/src/test/java/tulipshed/proxy/RequestRoutingTest.java
@@ -13,7 +13,7 @@
 import tulipshed.operators.OperatorsFile;
 import tulipshed.routing.Router;
 
-/** How the operators' routing rules apply to requests. */
+/** The application of the operators' routing rules to requests. */
 class RequestRoutingTest {
     private static final String POOLS =
             "(pool a (where (in member.id [\"s-1\" \"s-2\"]))) (pool b (where (= member.id \"s-3\")))";
@@ -55,16 +55,16 @@
         assertEquals(List.of(), fixture.takeRecorded());
         fixture.advance(2);
         assertEquals(
-                List.of("INFO route: r uses pool b instead of its preferred pool", "route 1 b"),
+                List.of("INFO route: r uses pool b instead of its preferred pool", "rerouted 1 b"),
                 fixture.takeRecorded());
         fixture.balancer.eligibleByPool.put("a", 1);
         fixture.updateEndpoint("s-2", EndpointStatus.SERVING);
         assertEquals(
                 List.of(
-                        "list CHANGES",
+                        "endpoints CHANGES",
                         "pools {a=[s-1, s-2], b=[s-3]}",
                         "INFO route: r uses its preferred pool again",
-                        "route 1 a"),
+                        "rerouted 1 a"),
                 fixture.takeRecorded().stream()
                         .map(line -> line.replace("s-2, s-1", "s-1, s-2"))
                         .toList());
@@ -79,13 +79,13 @@
         fixture.requestArrives(1500);
         fixture.takeRecorded();
         fixture.core.setRouter(null);
-        assertEquals(List.of("pools {}", "route 2 null"), fixture.takeRecorded());
+        assertEquals(List.of("pools {}", "rerouted 2 null"), fixture.takeRecorded());
         assertTrue(attempt.request().isEstablished());
         fixture.advance(300);
         assertEquals(List.of(), fixture.takeRecorded(), "routes are no longer polled");
     }
 
-    /** BalancerSettings may drop a class that a rule assigns, before the rules are reloaded. */
+    /** New settings may lack a class that a rule assigns, until the rules are reloaded. */
     @Test
     void ignoresClassThatSettingsNoLongerName() {
         fixture.core.setRouter(router("(classify (rule r (when true) (class \"slot-booking\")))"));
--- a/node/src/test/java/tulipshed/proxy/RequestTableTest.java
+++ b/node/src/test/java/tulipshed/proxy/RequestTableTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Requests by id. */
+/** The table of requests by id. */
 class RequestTableTest {
     private final ProxyCoreFixture fixture = new ProxyCoreFixture();
 
--- a/node/src/test/java/tulipshed/proxy/ThreadConfinementTest.java
+++ b/node/src/test/java/tulipshed/proxy/ThreadConfinementTest.java
@@ -6,7 +6,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The state of the core is confined to the event-loop thread: nothing in it starts or coordinates threads. */
+/** The state of the core is confined to the event-loop thread: none of its classes starts or coordinates threads. */
 class ThreadConfinementTest {
     @Test
     void coreUsesNoThreadsOrLocks() {
--- a/node/src/test/java/tulipshed/proxy/TimerQueueTest.java
+++ b/node/src/test/java/tulipshed/proxy/TimerQueueTest.java
@@ -11,14 +11,14 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Timers by deadline, and their cancellation. */
+/** The order of timers, and their cancellation. */
 class TimerQueueTest {
-    /** Upper bound of cancelled timers that are held beyond as many as there are pending ones. */
+    /** Upper bound of the cancelled timers in the queue, in addition to the number of pending timers. */
     private static final int MAX_UNSWEPT = 1100;
 
-    /** Regression: a timer was lost whose wakeup the loop ran early, as rounding makes it, and its request was answered late. */
+    /** Regression: after a wakeup that rounding made early, no other was scheduled, so that the final response came late. */
     @Test
-    void asksForAnotherWakeupAfterOneThatCameEarly() {
+    void schedulesAnotherWakeupAfterAnEarlyOne() {
         TimerQueue queue = new TimerQueue();
         WakeupRecorder loop = new WakeupRecorder();
         List<Double> ranAtMs = new ArrayList<>();
@@ -36,9 +36,9 @@
         assertEquals(List.of(deadlineMs), ranAtMs);
     }
 
-    /** One wakeup to come is enough: a batch that runs before it asks for no second one. */
+    /** A batch that runs before a scheduled wakeup does not schedule a second one. */
     @Test
-    void asksForNoSecondWakeupWhileOneIsToCome() {
+    void schedulesNoSecondWakeupWhileOneIsPending() {
         TimerQueue queue = new TimerQueue();
         WakeupRecorder loop = new WakeupRecorder();
         queue.add(100, () -> {});
@@ -47,7 +47,7 @@
         assertEquals(List.of(100.0), loop.delaysMs);
     }
 
-    /** A loop whose tasks run when the test says. */
+    /** An event loop that runs its tasks when the test calls {@link #runNext}. */
     private static final class WakeupRecorder implements EventLoop {
         final List<Double> delaysMs = new ArrayList<>();
         private final List<Runnable> tasks = new ArrayList<>();
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Each timer runs at its deadline unless it was cancelled, and cancelled ones are released soon. */
+    /** Each timer runs at its deadline unless it has been cancelled, and the number of retained cancelled timers is bounded. */
     @Property(tries = 200, seed = "95")
     void runsTimersInOrderAndReleasesCancelledOnes(@ForAll long seed) {
         Random random = new Random(seed);
@@ -108,7 +108,7 @@
                 pending =
                         pendingByDeadline.values().stream().mapToInt(List::size).sum();
             }
-            assertTrue(queue.size() <= 2 * pending + MAX_UNSWEPT, queue.size() + " held for " + pending);
+            assertTrue(queue.size() <= 2 * pending + MAX_UNSWEPT, queue.size() + " retained for " + pending);
         }
     }
 }
--- a/node/src/test/java/tulipshed/routing/RouterTest.java
+++ b/node/src/test/java/tulipshed/routing/RouterTest.java
@@ -34,7 +34,7 @@
                 .router();
     }
 
-    /** Endpoints of machine types a and b; the first started at 1000 ms, the start of the others is unknown. */
+    /** Endpoints of machine types a and b; the first started at 1000 ms, the start times of the others are unknown. */
     private static List<EndpointInfo> endpoints(int ofTypeA, int ofTypeB) {
         List<EndpointInfo> endpoints = new ArrayList<>();
         for (int i = 0; i < ofTypeA + ofTypeB; i++) {
@@ -63,7 +63,7 @@
         assertNull(router.poolFor(requestWithKey("k")), "no route assigns a pool");
     }
 
-    /** Hysteresis: a ready share that oscillates between the two bounds must not make the route oscillate. */
+    /** Hysteresis: a ready share that oscillates between the two bounds must not change the pool of the route. */
     @Property(tries = 300, seed = "41")
     void keepsPoolWhileReadyShareStaysBetweenTheTwoBounds(@ForAll long seed) {
         Random random = new Random(seed);
@@ -100,23 +100,28 @@
         Router below = routerOf("(route r (to (a (below 0.5) (back 0.5)) (b (below 0.5) (back 0.5))))");
         below.updatePools(endpoints(5, 5), 0);
         below.reevaluateSpillover(pool -> pool.equals("b") ? 1 : 0);
-        assertEquals("b", below.poolFor(requestWithKey("k")), "few are better than none");
+        assertEquals(
+                "b",
+                below.poolFor(requestWithKey("k")),
+                "a pool with few ready endpoints is preferred to one with none");
     }
 
     @Test
     void movesKeysOnlyToTheBranchWhoseWeightGrows() {
         Router before = routerOf("(route r (split key (90 a) (10 b)))");
         Router after = routerOf("(route r (split key (75 a) (25 b)))");
-        int b = 0;
-        int more = 0;
+        int countBefore = 0;
+        int countAfter = 0;
         for (int i = 0; i < 4000; i++) {
-            String was = before.poolFor(requestWithKey("key-" + i));
-            String is = after.poolFor(requestWithKey("key-" + i));
-            assertTrue(was.equals(is) || is.equals("b"));
-            b += was.equals("b") ? 1 : 0;
-            more += is.equals("b") ? 1 : 0;
+            String poolBefore = before.poolFor(requestWithKey("key-" + i));
+            String poolAfter = after.poolFor(requestWithKey("key-" + i));
+            assertTrue(poolBefore.equals(poolAfter) || poolAfter.equals("b"));
+            countBefore += poolBefore.equals("b") ? 1 : 0;
+            countAfter += poolAfter.equals("b") ? 1 : 0;
         }
-        assertTrue(b > 340 && b < 460 && more > 900 && more < 1100, b + " and " + more + " of 4000");
+        assertTrue(
+                countBefore > 340 && countBefore < 460 && countAfter > 900 && countAfter < 1100,
+                countBefore + " and " + countAfter + " of 4000");
     }
 
     @Test
--- a/node/src/test/java/tulipshed/time/SystemClockTest.java
+++ b/node/src/test/java/tulipshed/time/SystemClockTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class SystemClockTest {
-    /** Regression: the clock began at the machine's wall clock, which may be wrong by hours. */
+    /** Regression: the origin of the clock was the wall clock of the machine, which may be wrong by hours. */
     @Test
     void startsAtItsOwnOriginAndNeverGoesBack() {
         SystemClock clock = new SystemClock();
