--- a/node/src/main/java/tulipshed/limits/QuicLimits.java
+++ b/node/src/main/java/tulipshed/limits/QuicLimits.java
@@ -6,7 +6,7 @@
  * @param datagramBytes the maximum length of an accepted datagram
  * @param maxConnections the maximum number of tracked connections
  * @param maxIdsPerConnection the maximum number of connection IDs recorded per connection; the oldest is evicted
- * @param retainedFirstDatagrams the number of first datagrams of a client that are retained for a retry
+ * @param retainedFirstDatagrams the maximum number of first datagrams of a client that are retained for a retry
  * @param idleTimeoutMs the time after which an idle connection is dropped
  * @param finalResponseRepeatMs how long a final response is repeated to a client that sends its first packet again
  * @param unresponsiveAfterDatagrams the number of datagrams without a reply after which an endpoint may count as unresponsive
--- a/node/src/main/java/tulipshed/proxy/ActiveSettings.java
+++ b/node/src/main/java/tulipshed/proxy/ActiveSettings.java
@@ -6,7 +6,7 @@
 import tulipshed.decision.api.RequestClass;
 import tulipshed.time.Clock;
 
-/** The present settings, with durations in milliseconds. Confined to the event-loop thread. */
+/** The active settings, with durations in milliseconds. Confined to the event-loop thread. */
 final class ActiveSettings {
     private BalancerSettings settings;
 
@@ -19,7 +19,7 @@
         settings = changed;
     }
 
-    /** The class at {@code index} of the present settings. */
+    /** The class at {@code index} of the active settings. */
     RequestClass requestClass(int index) {
         return settings.classes().get(index);
     }
--- a/node/src/main/java/tulipshed/proxy/EndpointDrainer.java
+++ b/node/src/main/java/tulipshed/proxy/EndpointDrainer.java
@@ -23,7 +23,7 @@
         this.migrator = migrator;
     }
 
-    /** Schedules the end of each attempt that must endAttempt its endpoint and is not yet scheduled to. */
+    /** Schedules the end of each attempt that must leave its endpoint and is not yet scheduled to. */
     void drain() {
         List<Attempt> drained = table.all().stream()
                 .map(Request::attempt)
--- a/node/src/main/java/tulipshed/proxy/RequestTable.java
+++ b/node/src/main/java/tulipshed/proxy/RequestTable.java
@@ -17,7 +17,7 @@
         return ++lastId;
     }
 
-    /** Assigns an id to the request and adds it to the table. */
+    /** Assigns an id to the request and adds it to the table, where it stays until {@link #removeIfFinished}. */
     void register(Request request) {
         request.assignId(nextId());
         requests.put(request.id(), request);
