--- a/node/src/main/java/tulipshed/discovery/CallFailure.java
+++ b/node/src/main/java/tulipshed/discovery/CallFailure.java
@@ -4,10 +4,10 @@
 import tulipshed.config.MalformedInputException;
 
 /**
- * Why a call to discovery failed.
+ * Reason why a call to discovery failed.
  *
- * @param reason the class of failure
- * @param logText what the log says of it
+ * @param reason the category of the failure
+ * @param logText the description of the failure for the log
  */
 record CallFailure(Reason reason, String logText) {
     /** The connection was not established within its timeout. */
@@ -22,7 +22,7 @@
     /** The response started, but was not complete within its timeout. */
     static final CallFailure INCOMPLETE_RESPONSE = new CallFailure(Reason.RESPONSE_TIMEOUT, "incomplete response");
 
-    /** The classes of failure. */
+    /** Categories of failures. */
     enum Reason {
         CONNECT_TIMEOUT,
         CONNECT_FAILED,
@@ -33,27 +33,27 @@
         MALFORMED_LIST
     }
 
-    /** The connection was refused, or could not be opened for another reason. */
+    /** Returns the failure of a connection that was refused or could not be opened for another reason. */
     static CallFailure connectFailed(IOException cause) {
         return new CallFailure(Reason.CONNECT_FAILED, cause.getMessage());
     }
 
-    /** The response has a status other than 200. */
+    /** Returns the failure of a response with a status other than 200. */
     static CallFailure errorStatus(int status) {
         return new CallFailure(Reason.ERROR_STATUS, "status " + status);
     }
 
-    /** The bytes received are not an HTTP response within the limits. */
+    /** Returns the failure of a response that is not valid HTTP or exceeds the size limits. */
     static CallFailure malformedResponse(MalformedResponseException cause) {
         return new CallFailure(Reason.MALFORMED_RESPONSE, cause.getMessage());
     }
 
-    /** The body of the response is not an endpoint list. */
+    /** Returns the failure of a response whose body is not an endpoint list. */
     static CallFailure malformedList(MalformedInputException cause) {
         return new CallFailure(Reason.MALFORMED_LIST, cause.getMessage());
     }
 
-    /** Whether the server accepted the request, but its response was late or incomplete. */
+    /** Whether the connection was established, but the response was late or incomplete. */
     boolean isResponseTimeout() {
         return reason == Reason.RESPONSE_TIMEOUT;
     }
--- a/node/src/main/java/tulipshed/discovery/CallTimes.java
+++ b/node/src/main/java/tulipshed/discovery/CallTimes.java
@@ -2,40 +2,43 @@
 
 import tulipshed.time.Clock;
 
-/** When the last call to discovery began, and when the last list arrived. Confined to the event-loop thread. */
+/** Start time of the last call to discovery and arrival time of the last list. Confined to the event-loop thread. */
 final class CallTimes {
     private final Clock clock;
-    private double startedMs;
+    private double callStartedMs;
 
-    /** When the last list arrived, or the initial one was requested; NaN before that. */
-    private double respondedMs = Double.NaN;
+    /** Time at which the last list arrived or the initial list was requested; NaN before that. */
+    private double lastListMs = Double.NaN;
 
     CallTimes(Clock clock) {
         this.clock = clock;
     }
 
-    /** A call starts. */
-    void callStarts() {
-        startedMs = clock.nowMs();
+    /** Records the start of a call. */
+    void callStarted() {
+        callStartedMs = clock.nowMs();
     }
 
-    /** A list arrived, or the initial one is requested. */
-    void listArrived() {
-        respondedMs = clock.nowMs();
+    /** Records that a list arrived or that the initial list is requested. */
+    void listReceived() {
+        lastListMs = clock.nowMs();
     }
 
-    /** How long the last call has lasted, in milliseconds. */
-    double lastedMs() {
-        return clock.nowMs() - startedMs;
+    /** Duration of the last call so far, in milliseconds. */
+    double callDurationMs() {
+        return clock.nowMs() - callStartedMs;
     }
 
-    /** The time since the last list arrived, in milliseconds; NaN before the first. */
-    double sinceListMs() {
-        return clock.nowMs() - respondedMs;
+    /** Time since the last list arrived, in milliseconds; NaN before the first. */
+    double sinceLastListMs() {
+        return clock.nowMs() - lastListMs;
     }
 
-    /** How much of a time is left after the last list arrived, in milliseconds: 0 at least, all of it before the first. */
+    /**
+     * Remainder of {@code ms} milliseconds that began when the last list arrived: at least 0, and {@code ms} before the
+     * first list.
+     */
     double remainingMs(double ms) {
-        return Double.isNaN(respondedMs) ? ms : Math.max(0, ms - sinceListMs());
+        return Double.isNaN(lastListMs) ? ms : Math.max(0, ms - sinceLastListMs());
     }
 }
--- a/node/src/main/java/tulipshed/discovery/DelayedCall.java
+++ b/node/src/main/java/tulipshed/discovery/DelayedCall.java
@@ -2,29 +2,32 @@
 
 import tulipshed.proxy.EventLoop;
 
-/** A call that starts after a delay, unless another one starts or is put off before. Confined to the event-loop thread. */
+/**
+ * A call that starts after a delay, unless another call is started or scheduled before. Confined to the event-loop
+ * thread.
+ */
 final class DelayedCall {
     private final EventLoop loop;
 
-    /** Counts calls that started or were put off, of which only the last one counts. */
-    private long latest;
+    /** Number of the last call that was started or scheduled; only this one may run. */
+    private long lastCall;
 
     DelayedCall(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** Puts a call off, in place of any that was put off before. */
+    /** Schedules a call in place of any that was scheduled before. */
     void schedule(double delayMs, Runnable call) {
-        long scheduled = ++latest;
+        long callNumber = ++lastCall;
         loop.schedule(delayMs, () -> {
-            if (scheduled == latest) {
+            if (callNumber == lastCall) {
                 call.run();
             }
         });
     }
 
-    /** Gives up the call that was put off. */
+    /** Cancels the scheduled call, if any. */
     void cancel() {
-        latest++;
+        lastCall++;
     }
 }
--- a/node/src/main/java/tulipshed/discovery/DeliveryMode.java
+++ b/node/src/main/java/tulipshed/discovery/DeliveryMode.java
@@ -2,19 +2,22 @@
 
 import tulipshed.limits.DiscoveryLimits;
 
-/** Who serves the endpoint list, which decides how long a call may wait there for changes. */
+/** The kind of server that provides the endpoint list, which determines how long a call may wait for changes. */
 enum DeliveryMode {
-    /** Discovery itself; the decision module says when to call again after a failure. */
+    /** Calls go to discovery itself; the decision module requests the next call after a failure. */
     POLLED,
-    /** An agent on the node's machine that discovery pushes the list to; it is polled without a prompt. */
+    /**
+     * Calls go to an agent on the node's machine to which discovery pushes the list; failures are retried without a
+     * request by the decision module.
+     */
     PUSHED_TO_AGENT;
 
-    /** How long the server may hold back its response until there are changes, in milliseconds. */
+    /** Longest time for which the server may hold its response until there are changes, in milliseconds. */
     double longPollMs(DiscoveryLimits limits) {
         return this == PUSHED_TO_AGENT ? limits.agentWaitMs() : limits.watchWaitMs();
     }
 
-    /** How long the first byte of the response may take beyond the wait that was requested, in milliseconds. */
+    /** Longest time that the first byte of the response may take beyond the requested wait, in milliseconds. */
     double responseTimeoutMs(DiscoveryLimits limits) {
         return this == PUSHED_TO_AGENT ? limits.agentTimeoutMs() : limits.watchTimeoutMs();
     }
--- a/node/src/main/java/tulipshed/discovery/DiscoveryCalls.java
+++ b/node/src/main/java/tulipshed/discovery/DiscoveryCalls.java
@@ -3,38 +3,38 @@
 import java.net.InetSocketAddress;
 
 /**
- * Calls to discovery, one at a time. A call ends with exactly one notification of the listener, or with none where {@link
- * #close} abandons it. Confined to the event-loop thread.
+ * Calls to discovery, one at a time. Each call ends with exactly one notification of the listener, or with none if
+ * {@link #close} or {@link #setAddress} abandons it. Confined to the event-loop thread.
  */
 interface DiscoveryCalls {
-    /** Is notified of the end of each call. */
+    /** Receives the result of each call. */
     interface Listener {
-        /** The response to a call is complete. */
+        /** Called when the response to a call is complete. */
         void onResponse(int status, byte[] body);
 
-        /** A call failed; its connection is closed. */
+        /** Called when a call failed and its connection was closed. */
         void onCallFailed(CallFailure failure);
 
         /**
-         * How long the first byte of a response may take beyond the wait that was requested, in milliseconds; read when
+         * Longest time that the first byte of a response may take beyond the requested wait, in milliseconds. Read when
          * a request is sent, as it may change while the connection is being opened.
          */
         double responseTimeoutMs();
     }
 
-    /** The server that calls go to. */
+    /** Address of the server. */
     InetSocketAddress address();
 
-    /** Abandons the call in progress, if any; further calls go to the new address. */
+    /** Abandons the call in progress, if any, and sends further calls to the new address. */
     void setAddress(InetSocketAddress newAddress);
 
-    /** Whether it holds a connection, or is opening one. */
+    /** Whether a connection is open or being opened. */
     boolean isConnected();
 
     /** Whether a call has started and not ended. */
     boolean isCallInProgress();
 
-    /** Whether the last call, which may be in progress or not, was one that may wait for changes. */
+    /** Whether the last call, in progress or ended, was a long poll. */
     boolean isLastRequestLongPoll();
 
     /** Starts a call; none may be in progress. */
--- a/node/src/main/java/tulipshed/discovery/DiscoveryClient.java
+++ b/node/src/main/java/tulipshed/discovery/DiscoveryClient.java
@@ -11,11 +11,11 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * HTTP client of discovery that makes one call at a time, over a connection that is kept between calls.
+ * HTTP client of discovery that makes one call at a time, over a connection that stays open between calls.
  *
  * <p>Each step of a call (connect, first byte of the response, rest of the response) has a deadline of its own. A call
- * ends with exactly one notification of the listener, or with none where {@link #close} abandons it. Confined to the
- * event-loop thread.
+ * ends with exactly one notification of the listener, or with none if {@link #close} or {@link #setAddress} abandons
+ * it. Confined to the event-loop thread.
  */
 final class DiscoveryClient implements DiscoveryCalls, TcpConnection.Listener {
     private final Limits limits;
@@ -38,7 +38,7 @@
     /** Parses the response to the last call; null before the first. */
     private HttpResponseParser parser;
 
-    /** Counts deadlines, of which only the last one is in force. */
+    /** Number of the last deadline set; earlier ones are ignored when they expire. */
     private long deadlineCount;
 
     private enum State {
@@ -51,7 +51,7 @@
         READING_RESPONSE
     }
 
-    /** A client that is not connected yet. */
+    /** Creates a client that is not connected yet. */
     DiscoveryClient(InetSocketAddress address, Limits limits, XnioEventLoop loop, Logger log, Listener listener) {
         this.address = address;
         this.limits = limits;
@@ -116,10 +116,11 @@
     private void connect() {
         state = State.CONNECTING;
         setDeadline(limits.discovery().connectTimeoutMs(), CallFailure.CONNECT_TIMEOUT);
-        pendingConnection = loop.connect(address, this::connected, cause -> failCall(CallFailure.connectFailed(cause)));
+        pendingConnection =
+                loop.connect(address, this::connectionOpened, cause -> failCall(CallFailure.connectFailed(cause)));
     }
 
-    private void connected(StreamConnection established) {
+    private void connectionOpened(StreamConnection established) {
         log.trace("connected");
         pendingConnection = null;
         connection = loop.register(established, this);
@@ -136,7 +137,7 @@
         log.tracef("request sent: %s, bytes queued: %d", request.target(), connection.queuedBytes());
     }
 
-    /** Gives the call in progress this long for its next step, in place of the deadline before. */
+    /** Sets the deadline for the next step of the call in progress, in place of the previous deadline. */
     private void setDeadline(double ms, CallFailure failure) {
         long deadline = ++deadlineCount;
         loop.schedule(ms, () -> {
@@ -155,24 +156,24 @@
     }
 
     @Override
-    public void onReadable(TcpConnection from) {
-        while (connection == from && !from.isClosed()) {
+    public void onReadable(TcpConnection source) {
+        while (connection == source && !source.isClosed()) {
             readBuffer.clear();
-            int count = from.read(readBuffer);
+            int count = source.read(readBuffer);
             if (count == 0) {
                 return;
             }
             if (!isCallInProgress()) {
                 close();
             } else if (count < 0) {
-                endOfInput();
+                inputEnded();
             } else {
                 responseReceived(readBuffer.flip());
             }
         }
     }
 
-    private void endOfInput() {
+    private void inputEnded() {
         if (parser.endOfInput()) {
             completeCall(false);
         } else {
@@ -209,13 +210,13 @@
     }
 
     @Override
-    public void onWritten(TcpConnection from) {
-        // Requests are short; nothing waits for them to be written.
+    public void onWritten(TcpConnection source) {
+        // Requests are short, so nothing depends on the completion of a write.
     }
 
     @Override
-    public void onBroken(TcpConnection from) {
-        if (connection != from) {
+    public void onBroken(TcpConnection source) {
+        if (connection != source) {
             return;
         }
         if (isCallInProgress()) {
--- a/node/src/main/java/tulipshed/discovery/EndpointListCursor.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointListCursor.java
@@ -1,8 +1,8 @@
 package tulipshed.discovery;
 
 /**
- * The position of a watch in the history of discovery's endpoint list: the version received last, and what the next
- * request has to ask for. Confined to the event-loop thread.
+ * Position of a watch in the version history of discovery's endpoint list: the version received last, and which kind of
+ * request comes next. Confined to the event-loop thread.
  */
 final class EndpointListCursor {
     private static final String LIST_PATH = "/discovery/hosts";
@@ -11,22 +11,25 @@
     private boolean fullListRequired;
     private boolean catchUpRequired;
 
-    /** The version of the list received last; 0 where none is known. */
+    /** Version of the list received last; 0 if none was received. */
     long version() {
         return version;
     }
 
-    /** The next request asks for the full list, which discovery returns at once. */
+    /** Makes the next request ask for the full list, which discovery returns at once. */
     void requireFullList() {
         fullListRequired = true;
     }
 
-    /** The next request asks for the changes so far, without waiting for further ones. */
+    /** Makes the next request ask for the changes so far, without waiting for further ones. */
     void requireCatchUp() {
         catchUpRequired = true;
     }
 
-    /** The next request; it waits up to {@code longPollMs} for changes where nothing is required at once. */
+    /**
+     * Returns the next request; it waits up to {@code longPollMs} milliseconds for changes unless an immediate response
+     * is required.
+     */
     ListRequest nextRequest(double longPollMs) {
         if (fullListRequired) {
             return new ListRequest(LIST_PATH, 0);
@@ -35,9 +38,9 @@
         return new ListRequest(LIST_PATH + "?index=" + version + "&wait=" + (long) waitMs, waitMs);
     }
 
-    /** Moves on to the version of a list that was received, or was known before. */
+    /** Advances to the version of a list that was received, or that was cached before the start. */
     void advance(EndpointListUpdate update) {
-        // Changes that lead back to an older version do not show what the list contains at that version.
+        // Changes to an older version do not define the full content of the list at that version.
         fullListRequired = !fullListRequired && !update.full() && update.version() < version;
         version = update.version();
         catchUpRequired = false;
--- a/node/src/main/java/tulipshed/discovery/EndpointListListener.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointListListener.java
@@ -4,8 +4,8 @@
 import tulipshed.decision.api.EndpointListKind;
 import tulipshed.proxy.EndpointListEntry;
 
-/** Receives each list, and each failure that the decision module has to be notified of. */
+/** Receives each endpoint list, and each failed call that the decision module must be notified of. */
 interface EndpointListListener {
-    /** A list arrived, or a call failed, which brings no entries. */
+    /** Called when a list arrived, or when a call failed, in which case {@code entries} is empty. */
     void endpointsChanged(EndpointListKind kind, List<EndpointListEntry> entries);
 }
--- a/node/src/main/java/tulipshed/discovery/EndpointListUpdate.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointListUpdate.java
@@ -10,37 +10,37 @@
 import tulipshed.time.WallTime;
 
 /**
- * Discovery's endpoint list, or the changes to it.
+ * Full endpoint list of discovery, or changes to it.
  *
- * @param version the version of the list with these entries
- * @param full whether the entries are the full list rather than the changes since the version requested
- * @param entries the endpoints, or the changed ones among them
+ * @param version the version of the list after this update
+ * @param full whether the entries are the full list rather than the changes since the requested version
+ * @param entries all endpoints of the list, or the changed ones
  */
 public record EndpointListUpdate(long version, boolean full, List<ListedEndpoint> entries) {
     private static final double DEFAULT_WEIGHT = 1;
 
     /**
-     * Reads discovery's JSON form, whose field names differ from those of the code: {@code servers} are the entries, and of
-     * an entry {@code addr} is the address, {@code state} the status, {@code kind} the machine type and {@code started_ms}
-     * the start.
+     * Parses the JSON format of discovery, whose field names differ from the names in the code: {@code servers} holds
+     * the entries, and in an entry {@code addr} is the address, {@code state} the status, {@code kind} the machine type
+     * and {@code started_ms} the start time in milliseconds since the epoch.
      *
-     * @throws MalformedInputException if it is not of that form; the message says what is wrong
+     * @throws MalformedInputException if the JSON does not have this format; the message names the error
      */
     public static EndpointListUpdate read(Map<String, Object> json) {
         if (!(json.get("version") instanceof Double version) || !(json.get("servers") instanceof List<?> servers)) {
-            throw new MalformedInputException("a list without version or servers");
+            throw new MalformedInputException("endpoint list without version or servers");
         }
         List<ListedEndpoint> entries = new ArrayList<>();
         for (Object server : servers) {
             if (!(server instanceof Map<?, ?> fields)) {
-                throw new MalformedInputException("a list entry that is not an object");
+                throw new MalformedInputException("list entry is not an object");
             }
             entries.add(readEntry(fields));
         }
         return new EndpointListUpdate(version.longValue(), Boolean.TRUE.equals(json.get("full")), entries);
     }
 
-    /** Returns its version and what each entry says of its endpoint, for the log. */
+    /** Returns the version, and the ID and status of each entry, for the trace log. */
     String traceText() {
         return entries.stream()
                 .map(entry -> entry.id() + " " + entry.status())
@@ -50,11 +50,11 @@
     private static ListedEndpoint readEntry(Map<?, ?> fields) {
         EndpointStatus status = readStatus(fields);
         if (!(fields.get("id") instanceof String id)) {
-            throw new MalformedInputException("a list entry without id");
+            throw new MalformedInputException("list entry without id");
         }
         String address = fields.get("addr") instanceof String text ? text : null;
         if (address == null && status != EndpointStatus.REMOVED) {
-            throw new MalformedInputException("a list entry without addr: " + id);
+            throw new MalformedInputException("list entry without addr: " + id);
         }
         return new ListedEndpoint(
                 id,
@@ -72,7 +72,7 @@
             case "SERVING" -> EndpointStatus.SERVING;
             case "DRAINING" -> EndpointStatus.DRAINING;
             case "DELETED" -> EndpointStatus.REMOVED;
-            default -> throw new MalformedInputException("unknown state " + fields.get("state"));
+            default -> throw new MalformedInputException("list entry with unknown state: " + fields.get("state"));
         };
     }
 
--- a/node/src/main/java/tulipshed/discovery/EndpointStartTimes.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointStartTimes.java
@@ -11,43 +11,49 @@
 import tulipshed.time.WallTime;
 
 /**
- * Translates the starts of endpoints, which lists give as wall times of other machines, into the node's monotonic time. No
- * wall clock of this node is read.
+ * Translates the start times of endpoints, which lists give as wall-clock times of other machines, into the node's monotonic
+ * time. The wall clock of this node is never read.
  *
  * <ul>
- *   <li>Once the node watches, a listed start that is new to it, for a known endpoint or a new one, is translated to the
- *       moment of the list that brings it, whatever its value.
- *   <li>In the first lists, those before the node watched, the age of an endpoint is the difference between its start and a
- *       reference: the newest start in the same lists. The endpoint is at least that old. To tolerate clocks that are ahead,
- *       the newest eighth of the starts is left out.
- *   <li>The same listed start has the same translation for as long as it is remembered, and a different one has a different
- *       one, as the decision module distinguishes the processes of an endpoint by it.
+ *   <li>After the first list of a watch, a listed start that is new, for a known or a new endpoint, is translated to the
+ *       arrival time of the list that contains it, whatever its value.
+ *   <li>Up to the first list of a watch, the age of an endpoint is the difference between its start and a reference, the
+ *       newest start in the lists so far. The endpoint is at least that old. To tolerate clocks that are ahead, the newest
+ *       eighth of the starts is excluded from the reference.
+ *   <li>An unchanged listed start keeps its translation for as long as it is remembered, and a changed one gets a different
+ *       translation, as the decision module distinguishes the processes of an endpoint by it.
  * </ul>
  *
  * <p>{@code docs/clocks.md} has the reasons. Confined to the event-loop thread.
  */
 public final class EndpointStartTimes {
-    /** Of the known starts of the first lists, one in this many, and at least one, may be ahead of the others' clocks. */
+    /**
+     * Up to the first list of a watch, one in this many known starts, and at least one, may be from a clock that is
+     * ahead.
+     */
     private static final int STARTS_PER_OUTLIER = 8;
 
-    /** The translation of {@link ListedEndpoint#LONG_AGO}, which is the decision module's value for it. */
+    /** Translation of {@link ListedEndpoint#LONG_AGO}, with the same meaning in the decision module. */
     private static final long LONG_AGO_US = 0;
 
-    /** A hundred years: a greater age is that of a clock that was never set. */
+    /** 100 years; a greater age can only come from a clock that was never set. */
     private static final double MAX_AGE_MS = 3_155_760_000_000.0;
 
     private final Clock clock;
     private final StartTranslations translations = new StartTranslations();
 
-    /** Whether a list of a watch has arrived: starts that are new from then on have just happened. */
+    /** Whether a list of a watch has arrived. Starts that are new after that have just happened. */
     private boolean isWatching;
 
-    /** A translation that knows no endpoint yet; {@code clock} is the one of the core. */
+    /** Creates a translator without known endpoints; {@code clock} is the monotonic clock of the core. */
     public EndpointStartTimes(Clock clock) {
         this.clock = clock;
     }
 
-    /** Translates the entries of a list that arrives now. Every list of the node passes here once, in their order. */
+    /**
+     * Translates the entries of a list that has just arrived. Must be called once for every list of the node, in their
+     * order.
+     */
     public List<EndpointListEntry> translate(EndpointListKind kind, List<ListedEndpoint> entries) {
         double nowMs = clock.nowMs();
         Optional<WallTime> reference = isWatching ? Optional.empty() : referenceStart(entries);
@@ -73,7 +79,7 @@
         return current.startedUs();
     }
 
-    /** The least age of an entry with a start that is new, in milliseconds; 0 where there is no reference. */
+    /** Minimum age of an entry with a new start, in milliseconds; 0 without a reference. */
     private static double ageMs(ListedEndpoint entry, Optional<WallTime> reference) {
         double ageMs = reference
                 .map(recentStart -> recentStart.millisAfter(entry.started()))
@@ -86,11 +92,14 @@
             return LONG_AGO_US;
         }
         long startedUs = Clock.toMicros(nowMs - ageMs);
-        boolean isTaken = startedUs == LONG_AGO_US || (previous != null && previous.startedUs() == startedUs);
-        return isTaken ? startedUs + 1 : startedUs;
+        boolean isInUse = startedUs == LONG_AGO_US || (previous != null && previous.startedUs() == startedUs);
+        return isInUse ? startedUs + 1 : startedUs;
     }
 
-    /** The newest start of this list and of the listed endpoints, without those that may be ahead; empty for none. */
+    /**
+     * Newest start of this list and of the listed endpoints, apart from those excluded as outliers; empty if there is
+     * none.
+     */
     private Optional<WallTime> referenceStart(List<ListedEndpoint> entries) {
         Map<String, WallTime> starts = translations.listedStarts();
         entries.stream()
@@ -104,7 +113,7 @@
                 .findFirst();
     }
 
-    /** How many endpoints are remembered, for tests. */
+    /** Number of endpoints remembered, for tests. */
     int rememberedCount() {
         return translations.size();
     }
--- a/node/src/main/java/tulipshed/discovery/EndpointWatch.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointWatch.java
@@ -17,12 +17,14 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * Watches discovery's endpoint list by long polling: each call waits for changes, and the next call follows its response.
+ * Watches discovery's endpoint list by long polling: each call waits for changes, and the next call follows its
+ * response.
  *
- * <p>A failed call is repeated at once where {@link ImmediateRepeats} says so. Any other ends the watch and is passed to the
- * core as a failed list; the decision module says when to call again. The longer the last response is ago, the shorter a
- * call waits for changes. So two late responses to a long poll and its repeat still leave the change known within 6 s; other
- * failures in a row may not. Confined to the event-loop thread.
+ * <p>A failed call is retried at once if {@link ImmediateRetries} allows it. Any other failure ends the watch and is
+ * reported to the core as a failed list; the decision module then decides when to call again. The wait of a call
+ * becomes shorter as the time since the last response grows. So a change is known within 6 s even if the response to a
+ * long poll and the response to its retry are both late; after other consecutive failures it may take longer. Confined
+ * to the event-loop thread.
  */
 public final class EndpointWatch implements EndpointListSource {
     private static final String LOG_SUBJECT = "discovery";
@@ -32,23 +34,23 @@
     private final Logger log;
     private final DiscoveryCalls client;
     private final EndpointListCursor cursor = new EndpointListCursor();
-    private final ImmediateRepeats repeats = new ImmediateRepeats();
-    private final CallPrompts prompts = new CallPrompts();
+    private final ImmediateRetries retries = new ImmediateRetries();
+    private final WatchRequests watchRequests = new WatchRequests();
     private final DelayedCall delayedCall;
     private final EndpointStartTimes startTimes;
     private final CallTimes times;
     private DeliveryMode mode = DeliveryMode.POLLED;
     private Health health = Health.UNCONFIRMED;
 
-    /** Whether the call in progress is the one for the initial list. */
+    /** Whether the call in progress requests the initial list. */
     private boolean isInitialCall;
 
-    /** Whether the call in progress replaced a long poll in order to catch up, with no failure before it. */
-    private boolean isLongPollReplaced;
+    /** Whether the call in progress is a catch-up that replaced a long poll of a watch without failures. */
+    private boolean replacedLongPoll;
 
     private boolean stopped;
 
-    /** What the last call showed. */
+    /** Result of the last call. */
     private enum Health {
         /** No call has succeeded since the start or since the watch was reopened. */
         UNCONFIRMED,
@@ -57,10 +59,10 @@
     }
 
     /**
-     * A watch that makes no call before {@link #watch}, and at first asks for what discovery has since version 0.
+     * Creates a watch that makes no call before {@link #watch} and first requests the changes since version 0.
      *
      * @param discovery the address of discovery, or of its agent on the node's machine
-     * @param clock the clock of the core
+     * @param clock the monotonic clock of the core
      */
     public EndpointWatch(
             InetSocketAddress discovery, Limits limits, XnioEventLoop loop, ProxyCore core, Clock clock, NodeLog log) {
@@ -73,7 +75,7 @@
                 log);
     }
 
-    /** A watch whose calls are made by what the function returns for the listener of the calls. */
+    /** Creates a watch whose calls are made by the result of {@code calls} for the listener of the calls. */
     EndpointWatch(
             Function<DiscoveryCalls.Listener, DiscoveryCalls> calls,
             Limits limits,
@@ -90,55 +92,55 @@
         client = calls.apply(new CallListener());
     }
 
-    /** Passes the list that the node has already to the core, and goes on from its version; before the first call. */
+    /** Passes the cached list to the core and continues from its version; must precede the first call. */
     public void startFromCachedList(EndpointListUpdate cached) {
         cursor.advance(cached);
         notifyCore(EndpointListKind.CACHED, cached);
     }
 
-    /** Starts a call unless one is in progress or the watch has stopped; the decision module calls this. */
+    /** Starts a call unless one is in progress or the watch has stopped; called by the decision module. */
     @Override
     public void watch() {
-        prompts.arrived();
+        watchRequests.requestReceived();
         callUnlessInProgress(true);
     }
 
     /**
-     * Sets whether lists are pushed to an agent on the node's machine. What the agent has counts as known to the node, so
-     * the agent is polled without a prompt, and again soon after each failure. Where discovery itself is polled, the
-     * decision module says when.
+     * Sets whether lists are pushed to an agent on the node's machine. A change counts as known to the node once its
+     * agent has it, so the agent is polled without a request by the decision module, and again soon after each failure.
+     * If discovery itself is polled, the decision module decides when to call again after a failure.
      */
-    public void setPushed(boolean toAgent) {
-        DeliveryMode changed = toAgent ? DeliveryMode.PUSHED_TO_AGENT : DeliveryMode.POLLED;
+    public void setPushed(boolean pushed) {
+        DeliveryMode changed = pushed ? DeliveryMode.PUSHED_TO_AGENT : DeliveryMode.POLLED;
         if (changed != mode) {
             mode = changed;
-            prompts.forget();
+            watchRequests.reset();
         }
-        if (toAgent) {
+        if (pushed) {
             callUnlessInProgress(false);
         }
     }
 
     /**
-     * Requests all changes so far at once, without waiting for further ones, as a list that another process of the node
-     * received is binding for this one. Abandons a call in progress that waits for changes.
+     * Requests all changes so far without waiting for further ones, as this process must apply every list that another
+     * process of the node has received. Abandons a long poll in progress.
      */
     public void catchUp() {
         cursor.requireCatchUp();
         if (client.isCallInProgress() && client.isLastRequestLongPoll()) {
             client.close();
-            isLongPollReplaced = health == Health.WATCHING;
+            replacedLongPoll = health == Health.WATCHING;
         }
         callUnlessInProgress(false);
     }
 
     /**
-     * Requests all changes since the cached list, before the node accepts clients. Many nodes may do so at one moment, and
-     * discovery answers them in turn, so this call may take longer than others.
+     * Requests all changes since the cached list, before the node accepts clients. Many nodes may do so at the same
+     * time, and discovery handles their requests one after the other, so this call may take longer than others.
      */
     public void requestInitialList() {
         isInitialCall = true;
-        times.listArrived();
+        times.listReceived();
         catchUp();
     }
 
@@ -147,58 +149,61 @@
         return client.isCallInProgress();
     }
 
-    /** Whether it holds a connection, or is opening one. */
+    /** Whether a connection is open or being opened. */
     public boolean isConnected() {
         return client.isConnected();
     }
 
-    /** Closes the connection and makes no further call; for the end of the node. */
+    /** Closes the connection and makes no further call; called when the node shuts down. */
     public void stop() {
         stopped = true;
         client.close();
     }
 
     /**
-     * Changes the address of discovery. A call to the old address is abandoned without a notification. As the new address
-     * may count its versions differently, the full list is requested from it at once: its changes count as known to the
-     * node soon after the address changed. Does nothing where the address is the same.
+     * Changes the address of discovery. A call to the old address is abandoned without a notification. As version
+     * numbers of the new server may differ, the full list is requested from it at once, so that its changes are known
+     * to the node soon after the address has changed. Does nothing if the address is unchanged.
      */
-    public void setDiscoveryAddress(InetSocketAddress to) {
-        if (!to.equals(client.address())) {
+    public void setDiscoveryAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(client.address())) {
             isInitialCall = false;
-            isLongPollReplaced = false;
-            client.setAddress(to);
+            replacedLongPoll = false;
+            client.setAddress(newAddress);
             cursor.requireFullList();
             callUnlessInProgress(false);
         }
     }
 
-    private void callUnlessInProgress(boolean prompted) {
+    private void callUnlessInProgress(boolean requested) {
         if (!client.isCallInProgress() && !stopped) {
-            startCall(longPollMs(), prompted);
+            startCall(longPollMs(), requested);
         }
     }
 
-    private void startCall(double longPollMs, boolean prompted) {
+    private void startCall(double longPollMs, boolean requested) {
         delayedCall.cancel();
-        prompts.callStarts(prompted);
-        times.callStarts();
+        watchRequests.callStarted(requested);
+        times.callStarted();
         client.call(cursor.nextRequest(longPollMs));
     }
 
-    /** Where discovery itself is polled, the 6 s leave less time to wait the longer the last response is ago. */
+    /**
+     * If discovery itself is polled, the 6 s limit leaves less time to wait as the time since the last response grows.
+     */
     private double longPollMs() {
         double waitMs = mode.longPollMs(limits.discovery());
         return mode == DeliveryMode.POLLED && health != Health.WATCHING ? times.remainingMs(waitMs) : waitMs;
     }
 
-    /** Starts a call after a delay, unless one starts before; there is never more than one call to come. */
+    /** Starts a call after a delay, unless another call starts before; at most one call is scheduled. */
     private void startCallAfter(double delayMs) {
         delayedCall.schedule(delayMs, () -> {
             if (!stopped) {
-                // The 6 s leave no room for a delay where discovery itself is polled, so the wait is shorter by it.
-                double shorterMs = mode == DeliveryMode.POLLED ? delayMs : 0;
-                startCall(mode.longPollMs(limits.discovery()) - shorterMs, false);
+                // If discovery itself is polled, the 6 s limit leaves no time for a delay, so the wait is reduced by
+                // it.
+                double reductionMs = mode == DeliveryMode.POLLED ? delayMs : 0;
+                startCall(mode.longPollMs(limits.discovery()) - reductionMs, false);
             }
         });
     }
@@ -222,20 +227,20 @@
 
     private void apply(EndpointListUpdate update) {
         isInitialCall = false;
-        isLongPollReplaced = false;
+        replacedLongPoll = false;
         if (health != Health.WATCHING) {
             log.info("watching endpoint list from version " + update.version());
         }
         health = Health.WATCHING;
-        times.listArrived();
-        repeats.reset();
+        times.listReceived();
+        retries.reset();
         boolean nothingChanged = update.entries().isEmpty() || update.version() == cursor.version();
         if (log.isTraceEnabled()) {
             log.trace(update.traceText());
         }
         cursor.advance(update);
         notifyCore(update.full() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, update);
-        if (nothingChanged && (mode == DeliveryMode.PUSHED_TO_AGENT || isAnsweredAtOnce())) {
+        if (nothingChanged && (mode == DeliveryMode.PUSHED_TO_AGENT || isImmediateResponse())) {
             startCallAfter(limits.discovery().agentPollIntervalMs());
         } else {
             callUnlessInProgress(false);
@@ -243,12 +248,12 @@
     }
 
     /**
-     * Whether the response to a long poll came before there was time to wait for a change. Agents, and a discovery that
-     * cannot hold calls, may respond so although nothing changed.
+     * Whether the response to a long poll arrived sooner than the poll interval. Agents, and a discovery that cannot
+     * hold calls, may respond at once although nothing has changed.
      */
-    private boolean isAnsweredAtOnce() {
+    private boolean isImmediateResponse() {
         return client.isLastRequestLongPoll()
-                && times.lastedMs() < limits.discovery().agentPollIntervalMs();
+                && times.callDurationMs() < limits.discovery().agentPollIntervalMs();
     }
 
     private void notifyCore(EndpointListKind kind, EndpointListUpdate update) {
@@ -256,52 +261,53 @@
     }
 
     private void callFailed(CallFailure failure) {
-        boolean isRepeated = mode == DeliveryMode.POLLED && !isInitialCall && isRepeatedAtOnce(failure);
+        boolean isRetried = mode == DeliveryMode.POLLED && !isInitialCall && isRetriedAtOnce(failure);
         isInitialCall = false;
-        isLongPollReplaced = false;
-        if (isRepeated) {
-            reopen(failure);
+        replacedLongPoll = false;
+        if (isRetried) {
+            retryAtOnce(failure);
         } else {
-            fail(failure);
+            reportFailure(failure);
         }
     }
 
-    private boolean isRepeatedAtOnce(CallFailure failure) {
-        return repeats.permits(failure, client.isLastRequestLongPoll() || isLongPollReplaced);
+    private boolean isRetriedAtOnce(CallFailure failure) {
+        return retries.allows(failure, client.isLastRequestLongPoll() || replacedLongPoll);
     }
 
     /**
-     * Calls again at once, without waiting for changes: those that the late response would have reported may be seconds
-     * old. Nodes do not call in a herd by this, as each began its watch at a time of its own.
+     * Retries at once without waiting for changes, as changes that the late response would have reported may be seconds
+     * old. This does not synchronize the calls of the nodes, as each started its watch at a different time.
      */
-    private void reopen(CallFailure failure) {
+    private void retryAtOnce(CallFailure failure) {
         log.warn("reopening watch: " + failure.logText());
-        repeats.increment();
+        retries.increment();
         if (health == Health.WATCHING) {
             health = Health.UNCONFIRMED;
         }
         catchUp();
     }
 
-    private void fail(CallFailure failure) {
-        repeats.reset();
-        // An agent is polled so often that each failure of an outage would be a line.
+    private void reportFailure(CallFailure failure) {
+        retries.reset();
+        // An agent is polled so often that logging each failure of an outage would flood the log.
         if (mode == DeliveryMode.POLLED || health != Health.FAILING) {
             log.warn("call failed: " + failure.logText());
         }
         health = Health.FAILING;
         if (mode == DeliveryMode.PUSHED_TO_AGENT) {
             startCallAfter(limits.discovery().agentRetryDelayMs());
-        } else if (prompts.willRepeatLastCall()) {
-            // With a notification here, each call that a reload started in an outage would lead to a series of calls.
+        } else if (watchRequests.willRetryLastCall()) {
+            // If this failure were reported, each call started by a reload in an outage would lead to a series of
+            // further calls.
             return;
         } else {
-            prompts.failureReported();
+            watchRequests.failureReported();
         }
         listener.endpointsChanged(EndpointListKind.FAILED, List.of());
     }
 
-    /** Keeps the notifications of the client out of the public interface. */
+    /** Private implementation of the listener, so that its methods are not public on the watch. */
     private final class CallListener implements DiscoveryCalls.Listener {
         @Override
         public void onResponse(int status, byte[] body) {
--- a/node/src/main/java/tulipshed/discovery/HttpResponseParser.java
+++ b/node/src/main/java/tulipshed/discovery/HttpResponseParser.java
@@ -6,8 +6,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Parses one HTTP/1.1 response from input that arrives in pieces, with limits on the size of its head and its body.
- * Confined to one thread.
+ * Incremental parser of one HTTP/1.1 response, with limits on the size of the head and the body. Confined to one
+ * thread.
  */
 final class HttpResponseParser {
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?");
@@ -17,7 +17,7 @@
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
 
-    /** Nine digits at most, so that a length fits into a long in either radix. */
+    /** At most nine digits, so that a length fits into a long in either radix. */
     private static final Pattern LENGTH = Pattern.compile("[0-9a-fA-F]{1,9}");
 
     private static final int DECIMAL = 10;
@@ -30,19 +30,19 @@
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private State state = State.HEAD;
 
-    /** Bytes of lines so far: of the head, or since the last chunk. */
+    /** Bytes of lines parsed so far in the head or since the last chunk. */
     private int lineBytes;
 
-    /** 0 before the status line. */
+    /** Status code; 0 before the status line. */
     private int status;
 
-    /** Bytes left of the body or of the chunk; {@link #UNKNOWN_LENGTH} where the head does not state a length. */
+    /** Remaining bytes of the body or of the chunk; {@link #UNKNOWN_LENGTH} if the head gives no length. */
     private long remainingBytes = UNKNOWN_LENGTH;
 
     private boolean chunked;
     private boolean closesConnection;
 
-    /** Which part of the response comes next. */
+    /** The element of the response that is parsed next. */
     private enum State {
         HEAD,
         SIZED_BODY,
@@ -54,7 +54,7 @@
         COMPLETE
     }
 
-    /** A parser of one response; larger heads and bodies than these are malformed. */
+    /** Creates a parser of one response; a larger head or body is malformed. */
     HttpResponseParser(int maxHeadBytes, int maxBodyBytes) {
         this.maxHeadBytes = maxHeadBytes;
         this.maxBodyBytes = maxBodyBytes;
@@ -78,9 +78,9 @@
     }
 
     /**
-     * The connection ended.
+     * Handles the end of the connection.
      *
-     * @return whether that completes the response
+     * @return whether the response is complete
      */
     boolean endOfInput() {
         if (state == State.BODY_UNTIL_END_OF_INPUT) {
@@ -89,12 +89,12 @@
         return state == State.COMPLETE;
     }
 
-    /** The status code; 0 before the status line. */
+    /** Status code; 0 before the status line is parsed. */
     int status() {
         return status;
     }
 
-    /** The body so far. */
+    /** Body received so far. */
     byte[] body() {
         return body.toByteArray();
     }
@@ -109,7 +109,7 @@
                 ? input.remaining()
                 : (int) Math.min(input.remaining(), remainingBytes);
         if (body.size() + count > maxBodyBytes) {
-            throw new MalformedResponseException("a body of more than " + maxBodyBytes + " bytes");
+            throw new MalformedResponseException("response body exceeds " + maxBodyBytes + " bytes");
         }
         byte[] bytes = new byte[count];
         input.get(bytes);
@@ -122,7 +122,7 @@
 
     private void parseLineCharacter(char next) {
         if (++lineBytes > maxHeadBytes) {
-            throw new MalformedResponseException("a head of more than " + maxHeadBytes + " bytes");
+            throw new MalformedResponseException("response head exceeds " + maxHeadBytes + " bytes");
         }
         if (next != '\n') {
             line.append(next);
@@ -172,7 +172,7 @@
     private void parseField(String text) {
         int colon = text.indexOf(':');
         if (colon <= 0) {
-            throw new MalformedResponseException("a field without a name");
+            throw new MalformedResponseException("header field without a name");
         }
         String value = text.substring(colon + 1).strip().toLowerCase(Locale.ROOT);
         switch (text.substring(0, colon).toLowerCase(Locale.ROOT)) {
@@ -205,12 +205,12 @@
 
     private static long parseLength(String text, int radix) {
         if (!LENGTH.matcher(text).matches()) {
-            throw new MalformedResponseException("not a length: " + text);
+            throw new MalformedResponseException("invalid length: " + text);
         }
         try {
             return Long.parseLong(text, radix);
         } catch (NumberFormatException e) {
-            throw new MalformedResponseException("not a length: " + text);
+            throw new MalformedResponseException("invalid length: " + text);
         }
     }
 }
--- a/node/src/main/java/tulipshed/discovery/ListedEndpoint.java
+++ b/node/src/main/java/tulipshed/discovery/ListedEndpoint.java
@@ -7,12 +7,12 @@
 import tulipshed.time.WallTime;
 
 /**
- * One entry of the endpoint list as discovery gives it, with the start on the wall clock of whoever stamped it.
+ * Entry of the endpoint list as discovery returns it, whose start is the wall-clock time of another machine.
  *
- * @param cell the part of the zone that it is in
- * @param weight its relative capacity
- * @param started the start of its process; {@link #LONG_AGO} if it has run for long
- * @param address null in an update that leaves the known address as it is
+ * @param cell the subdivision of the zone that the endpoint is in
+ * @param weight the relative capacity of the endpoint
+ * @param started the start of the endpoint's process; {@link #LONG_AGO} if the list gives none
+ * @param address the address; null in a removal, which leaves the known address unchanged
  */
 public record ListedEndpoint(
         String id,
@@ -23,15 +23,15 @@
         double weight,
         WallTime started,
         InetSocketAddress address) {
-    /** The start of a process that has run for long. */
+    /** Start of a process that has been running for a long time; the value if the list gives no start. */
     public static final WallTime LONG_AGO = new WallTime(0);
 
-    /** Whether the list says when the process started. */
+    /** Whether the list gives the start of the process. */
     boolean isStartKnown() {
         return !started.equals(LONG_AGO);
     }
 
-    /** The entry for the core, with the start on the node's own clock, in microseconds. */
+    /** Returns the entry for the core, with the start as a time of the node's monotonic clock, in microseconds. */
     EndpointListEntry withStart(long startedUs) {
         return new EndpointListEntry(new EndpointInfo(id, status, zone, cell, machineType, weight, startedUs), address);
     }
--- a/node/src/main/java/tulipshed/discovery/StartTranslation.java
+++ b/node/src/main/java/tulipshed/discovery/StartTranslation.java
@@ -3,7 +3,7 @@
 import tulipshed.time.WallTime;
 
 /**
- * The start of an endpoint as it was listed, and its translation.
+ * Start of an endpoint's process as listed, and its translation.
  *
  * @param listedStart the start by the wall clock of another machine
  * @param startedUs the start by the node's monotonic clock, in microseconds
--- a/node/src/main/java/tulipshed/discovery/StartTranslations.java
+++ b/node/src/main/java/tulipshed/discovery/StartTranslations.java
@@ -9,39 +9,39 @@
 import tulipshed.time.WallTime;
 
 /**
- * The translations of the starts of endpoints that are listed, and of endpoints that were listed before. As many removed
- * endpoints are remembered as were ever listed at a time, so that a list that is empty once does not make the node forget any.
- * Confined to the event-loop thread.
+ * Translations of the starts of listed endpoints and of recently removed ones. The number of removed endpoints
+ * remembered is limited to the largest number ever listed at a time, so that an empty list does not discard the
+ * translations of the endpoints it removes. Confined to the event-loop thread.
  */
 final class StartTranslations {
     private final Map<String, StartTranslation> listed = new HashMap<>();
 
-    /** In the order of their removal; none is in {@link #listed}. */
+    /** Translations of removed endpoints in the order of removal; no endpoint is also in {@link #listed}. */
     private final Map<String, StartTranslation> removed = new LinkedHashMap<>();
 
     private int maxListed;
 
-    /** The latest translation for an endpoint, listed or removed; null where there is none. */
+    /** Returns the latest translation for a listed or removed endpoint; null if there is none. */
     StartTranslation get(String endpointId) {
         StartTranslation translation = listed.get(endpointId);
         return translation == null ? removed.get(endpointId) : translation;
     }
 
-    /** Sets the translation of an endpoint, which counts as listed. */
+    /** Sets the translation of an endpoint and marks the endpoint as listed. */
     void put(String endpointId, StartTranslation translation) {
         removed.remove(endpointId);
         listed.put(endpointId, translation);
         maxListed = Math.max(maxListed, listed.size());
     }
 
-    /** The listed start of each listed endpoint, by the endpoint's ID; a copy. */
+    /** Returns a copy of the listed starts of the listed endpoints, by endpoint ID. */
     Map<String, WallTime> listedStarts() {
         Map<String, WallTime> starts = new HashMap<>();
         listed.forEach((id, translation) -> starts.put(id, translation.listedStart()));
         return starts;
     }
 
-    /** Counts an endpoint as removed, if it is listed. */
+    /** Marks an endpoint as removed if it is listed. */
     void remove(String endpointId) {
         StartTranslation translation = listed.remove(endpointId);
         if (translation != null) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Counts every listed endpoint without an entry in this list as removed, in the order of their IDs. */
+    /** Marks every listed endpoint without an entry in this list as removed, in the order of IDs. */
     void removeUnlisted(List<ListedEndpoint> entries) {
         Set<String> entryIds = new HashSet<>();
         entries.forEach(entry -> entryIds.add(entry.id()));
@@ -63,7 +63,7 @@
                 .forEach(this::remove);
     }
 
-    /** How many endpoints are remembered, listed and removed. */
+    /** Number of endpoints remembered, listed and removed. */
     int size() {
         return listed.size() + removed.size();
     }
--- a/node/src/main/java/tulipshed/discovery/package-info.java
+++ b/node/src/main/java/tulipshed/discovery/package-info.java
@@ -4,6 +4,6 @@
  *
  * <p>{@link tulipshed.discovery.EndpointWatch} decides when to call and what a failure means, {@code DiscoveryClient}
  * makes one HTTP call at a time, {@code EndpointListCursor} tracks the version of the list, and {@link
- * tulipshed.discovery.EndpointStartTimes} translates the starts in a list into the node's own time.
+ * tulipshed.discovery.EndpointStartTimes} translates the start times in a list into the node's monotonic time.
  */
 package tulipshed.discovery;
--- a/node/src/main/java/tulipshed/peer/PeerSocket.java
+++ b/node/src/main/java/tulipshed/peer/PeerSocket.java
@@ -20,12 +20,12 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * The transport of messages between the nodes of a tier, one UDP datagram a message.
+ * Transport of messages between the nodes of a tier, with one UDP datagram for each message.
  *
- * <p>The socket is open only while the configuration names an address; without it nothing is sent. A datagram is accepted
- * if it comes from the address that the configuration gives for another node, is 1 to 256 bytes long, and is within its
- * sender's quota; any other is dropped and counted. Lost, delayed and duplicated messages are for the receiver to handle.
- * Confined to the event-loop thread.
+ * <p>The socket is open only while the configuration contains an address; otherwise nothing is sent. A datagram is
+ * accepted if it comes from the configured address of another node, is 1 to 256 bytes long, and is within the quota of
+ * its sender; any other datagram is dropped and counted. The receiver has to handle lost, delayed and duplicated
+ * messages. Confined to the event-loop thread.
  */
 public final class PeerSocket implements PeerSender {
     private final Clock clock;
@@ -35,7 +35,7 @@
     private final ProtocolErrorLog errors;
     private final ByteBuffer readBuffer;
 
-    /** Null while messages are off. */
+    /** Null while peer messages are disabled. */
     private PeerConfig config;
 
     private Map<InetSocketAddress, SenderQuota> senders = Map.of();
@@ -55,13 +55,13 @@
         this.loop = loop;
         this.core = core;
         errors = new ProtocolErrorLog("peer", "peer datagrams dropped", limits, log);
-        // One byte more than is accepted, which reveals a datagram that is too long.
+        // One byte longer than the limit, so that a datagram that is too long can be detected.
         readBuffer = ByteBuffer.allocateDirect(this.limits.maxBodyBytes() + 1);
         core.setPeerSender(this);
         publishCounters(core.metrics());
     }
 
-    /** Publishes the counters under their external names in the metrics. */
+    /** Registers the counters with the metrics under their external names. */
     private void publishCounters(NodeMetrics metrics) {
         metrics.frontendCounters("peers_sent", () -> sent);
         metrics.frontendCounters("peers_not_sent", () -> notSent);
@@ -70,18 +70,18 @@
     }
 
     /**
-     * Replaces the addresses. A socket whose address is no longer configured is closed at once; {@link #retryBind} opens
-     * the next.
+     * Replaces the configured addresses. A socket whose address is no longer configured is closed at once; {@link
+     * #retryBind} opens the next one.
      *
-     * @param changed the addresses, null to turn messages off
+     * @param newConfig the new configuration, null to disable messages
      */
-    public void configure(PeerConfig changed) {
-        if (socket != null && (changed == null || !changed.listen().equals(config.listen()))) {
+    public void configure(PeerConfig newConfig) {
+        if (socket != null && (newConfig == null || !newConfig.listen().equals(config.listen()))) {
             close();
         }
-        if (!Objects.equals(changed, config)) {
-            config = changed;
-            senders = changed == null ? Map.of() : senders(changed);
+        if (!Objects.equals(newConfig, config)) {
+            config = newConfig;
+            senders = newConfig == null ? Map.of() : senders(newConfig);
         }
     }
 
@@ -95,13 +95,14 @@
         return senders;
     }
 
-    /** Opens the socket if it is configured, closed, and its address is free; logs dropped datagrams. */
+    /** Opens the socket if it is configured and closed and its address is free, and logs dropped datagrams. */
     public void retryBind() {
         if (config != null && socket == null) {
             try {
                 socket = loop.bindUdp(config.listen(), readBuffer, this::onDatagram);
             } catch (IOException e) {
-                // The other process of a hot restart may still hold the address. The node serves without messages.
+                // The other process of a hot restart may still hold the address. Until it is free, the node runs
+                // without peer messages.
                 errors.record("cannot bind the address");
             }
         }
@@ -124,8 +125,8 @@
     /**
      * {@inheritDoc}
      *
-     * <p>A message that cannot be sent is counted and dropped: one to an unknown node, an empty or too long one, or any
-     * while the socket is closed.
+     * <p>A message that cannot be sent is counted and dropped: a message to an unknown node, an empty message, one that
+     * is too long, or any message while the socket is closed.
      */
     @Override
     public void send(int peer, byte[] body) {
@@ -143,7 +144,7 @@
         }
     }
 
-    /** Whether a node index is that of another node, or the constant for all of them. */
+    /** Whether {@code peer} is the index of another node or the constant for all peers. */
     private boolean isRecipient(int peer) {
         if (config == null) {
             return false;
--- a/node/src/main/java/tulipshed/peer/SenderQuota.java
+++ b/node/src/main/java/tulipshed/peer/SenderQuota.java
@@ -1,11 +1,11 @@
 package tulipshed.peer;
 
-/** Counts the messages of one sender against a quota for each second. Confined to the event-loop thread. */
+/** Limits the messages of one sender to a quota per second. Confined to the event-loop thread. */
 final class SenderQuota {
-    private static final double SECOND_MS = 1000;
+    private static final double WINDOW_MS = 1000;
 
     private final int nodeIndex;
-    private double secondStartedMs = Double.NEGATIVE_INFINITY;
+    private double windowStartMs = Double.NEGATIVE_INFINITY;
     private int count;
 
     /** Creates the quota of the node with this index. */
@@ -13,19 +13,19 @@
         this.nodeIndex = nodeIndex;
     }
 
-    /** The index of the sender. */
+    /** Index of the sender. */
     int nodeIndex() {
         return nodeIndex;
     }
 
     /**
-     * Counts one more message; a second begins with the first message after the one before has ended.
+     * Counts one message. A new one-second window begins with the first message after the previous window has ended.
      *
      * @return whether the message is within the quota
      */
     boolean tryAcquire(double nowMs, int maxPerSecond) {
-        if (nowMs >= secondStartedMs + SECOND_MS) {
-            secondStartedMs = nowMs;
+        if (nowMs >= windowStartMs + WINDOW_MS) {
+            windowStartMs = nowMs;
             count = 0;
         }
         count++;
--- a/node/src/main/java/tulipshed/transport/Acceptor.java
+++ b/node/src/main/java/tulipshed/transport/Acceptor.java
@@ -11,14 +11,15 @@
 import tulipshed.proxy.EventLoop;
 
 /**
- * One TCP listener. At most {@link SocketLimits#maxAcceptsPerEvent} connections are accepted between two selects, as the
- * kernel releases the descriptor of a closed connection only at a select: without that bound a burst would need descriptors
- * for closed connections and for waiting ones at the same time.
+ * A TCP listener. At most {@link SocketLimits#maxAcceptsPerEvent} connections are accepted between two selects, because
+ * the kernel releases the descriptor of a closed connection only at a select. Without this limit a burst would need
+ * descriptors for closed and for waiting connections at the same time.
  *
- * <p>A failed accept is repeated at once, up to {@link SocketLimits#maxAcceptAttempts} times, as most causes are transient or
- * concern one connection. Then a descriptor of the {@link DescriptorReserve} is released for it. Until the reserve is full
- * again descriptors count as exhausted, so that the connection is rejected or replaces an idle one. If that fails too the
- * listener pauses for {@link SocketLimits#acceptRetryDelayMs}. Confined to the event-loop thread.
+ * <p>A failed accept is retried at once, up to {@link SocketLimits#maxAcceptAttempts} attempts in total, as most causes
+ * are transient or concern a single connection. After that, a descriptor of the {@link DescriptorReserve} is released
+ * for the connection. Until the reserve is full again, descriptors count as exhausted, so that the connection is
+ * rejected or replaces an idle one. If this accept fails too, the listener pauses for {@link
+ * SocketLimits#acceptRetryDelayMs}. Confined to the event-loop thread.
  */
 public final class Acceptor implements Closeable {
     private final EventLoop loop;
@@ -34,10 +35,10 @@
     private boolean isClosed;
 
     /**
-     * A listener that is not started yet.
+     * Creates a listener that is not started yet.
      *
-     * @param maxConnections the connections open at a time; further ones wait in the kernel's backlog
-     * @param handler takes each accepted connection, on the event-loop thread
+     * @param maxConnections the maximum number of open connections; further ones wait in the kernel's backlog
+     * @param handler receives each accepted connection, on the event-loop thread
      */
     Acceptor(
             EventLoop loop,
@@ -54,27 +55,27 @@
         this.handler = handler;
     }
 
-    /** Starts accepting from a socket that listens already. */
+    /** Starts accepting connections from a listening socket. */
     void start(ListeningSocket listening) {
         socket = listening;
         socket.resumeAccepts();
     }
 
-    /** The local address. */
+    /** Local address. */
     public InetSocketAddress address() {
         return socket.address();
     }
 
-    /** Called between two selects while connections wait. */
+    /** Accepts waiting connections; called between two selects while connections wait. */
     void onAcceptable() {
         if (isRetryScheduled) {
-            // The select before this has released the descriptors of connections that were closed.
+            // The preceding select released the descriptors of closed connections.
             descriptors.refillReserve();
         }
         StreamConnection next = isClosed || isPaused ? null : accept();
-        for (int handled = 1; next != null; handled++) {
+        for (int handledCount = 1; next != null; handledCount++) {
             handle(next);
-            next = handled < limits.maxAcceptsPerEvent() && canAccept() ? accept() : null;
+            next = handledCount < limits.maxAcceptsPerEvent() && canAccept() ? accept() : null;
         }
     }
 
@@ -82,7 +83,7 @@
         return !isClosed && !isPaused && openConnections < maxConnections;
     }
 
-    /** The next connection; null where none waits or none can be accepted now. */
+    /** Returns the next connection; null if none waits or none can be accepted now. */
     private StreamConnection accept() {
         for (int attempt = 1; attempt <= limits.maxAcceptAttempts(); attempt++) {
             try {
@@ -151,7 +152,7 @@
         }
     }
 
-    /** Hands over all connections that the kernel has accepted, then stops listening. */
+    /** Passes all connections that wait in the kernel's backlog to the handler, then stops listening. */
     public void drainAndClose() {
         for (StreamConnection next = accept(); next != null; next = accept()) {
             handle(next);
--- a/node/src/main/java/tulipshed/transport/ClaimedIds.java
+++ b/node/src/main/java/tulipshed/transport/ClaimedIds.java
@@ -6,37 +6,40 @@
 import java.util.Map;
 
 /**
- * The ids of open requests, of which the other process must not open another one. Each process writes the hashes of its
- * ids to its own slot. Confined to the event-loop thread.
+ * IDs of the open requests of this process; the other process of a hot restart must not open a request with the same
+ * ID. Each process writes the hashes of its IDs to its own slot. Confined to the event-loop thread.
  */
 final class ClaimedIds {
     private static final long FNV_OFFSET_BASIS = 0xCBF29CE484222325L;
     private static final long FNV_PRIME = 0x100000001B3L;
 
-    /** 0 marks a free entry, so an id never has that hash. */
-    private static final long HASH_IN_PLACE_OF_ZERO = 1;
+    /** Replaces a hash of 0, which marks a free entry. */
+    private static final long ZERO_HASH_SUBSTITUTE = 1;
 
     private final OwnHotRestartSlot own;
     private final Map<String, Integer> entries = new HashMap<>();
     private final ArrayDeque<Integer> freeEntries = new ArrayDeque<>();
 
-    /** Whether the other process has claimed an id. */
+    /** Lookup of the IDs claimed by the other process. */
     interface PeerClaims {
-        /** Whether the other process has claimed an id with this hash. */
+        /** Whether the other process has claimed an ID with this hash. */
         boolean contains(long hash);
     }
 
-    /** No ids claimed; claims are written to {@code own}. */
+    /** Creates an empty set; claims are written to {@code own}. */
     ClaimedIds(OwnHotRestartSlot own) {
         this.own = own;
     }
 
-    /** Claims an id; false where the other process has claimed it. An id without a free entry is not shared. */
+    /**
+     * Claims an ID; returns false if the other process has claimed it. An ID for which no entry is free is not
+     * published.
+     */
     boolean claim(String id, PeerClaims peer) {
         long hash = hash(id);
         publish(id, hash);
-        // Each process writes its own claim before it reads the other's: of two at the same moment at least one is
-        // seen.
+        // Each process writes its own claim before it reads the other's claims. So if both claim an ID at the same
+        // time, at least one of them sees the other's claim.
         VarHandle.fullFence();
         if (peer.contains(hash)) {
             release(id);
@@ -45,7 +48,7 @@
         return true;
     }
 
-    /** Releases an id; does nothing where it is not claimed. */
+    /** Releases an ID; does nothing if it is not claimed. */
     void release(String id) {
         Integer entry = entries.remove(id);
         if (entry != null) {
@@ -55,25 +58,25 @@
     }
 
     private void publish(String id, long hash) {
-        int used = own.idCount();
-        if (freeEntries.isEmpty() && used == own.capacity()) {
+        int usedEntries = own.idCount();
+        if (freeEntries.isEmpty() && usedEntries == own.capacity()) {
             return;
         }
-        int entry = freeEntries.isEmpty() ? used : freeEntries.poll();
+        int entry = freeEntries.isEmpty() ? usedEntries : freeEntries.poll();
         entries.put(id, entry);
         own.putIdHash(entry, hash);
-        // The other process must not read an entry before its content.
-        if (entry == used) {
-            own.setIdCount(used + 1);
+        // The other process must not read an entry before its content is written.
+        if (entry == usedEntries) {
+            own.setIdCount(usedEntries + 1);
         }
     }
 
-    /** 64-bit FNV-1a over the characters; part of the shared file's format. */
+    /** Returns the 64-bit FNV-1a hash of the characters; part of the format of the shared file. */
     private static long hash(String id) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < id.length(); i++) {
             hash = (hash ^ id.charAt(i)) * FNV_PRIME;
         }
-        return hash == 0 ? HASH_IN_PLACE_OF_ZERO : hash;
+        return hash == 0 ? ZERO_HASH_SUBSTITUTE : hash;
     }
 }
--- a/node/src/main/java/tulipshed/transport/ConnectFailures.java
+++ b/node/src/main/java/tulipshed/transport/ConnectFailures.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * Tells why a TCP connection could not be opened: because this machine lacked something, or because of the remote end.
+ * Classifies failures to open a TCP connection as local, such as a shortage of descriptors, or caused by the remote end.
  *
- * <p>The platform gives no error number, but one exception type for some of them and the system's text for the others:
+ * <p>Java does not expose the error number. Some errors have an exception type of their own, others only the system's text:
  *
  * <pre>
  *  errors                                                    type                    cause
@@ -21,11 +21,11 @@
  *  ECONNRESET and all others                                 SocketException         remote
  * </pre>
  *
- * <p>EHOSTUNREACH is remote, as it is what the neighbours say of a host that is down.
+ * <p>EHOSTUNREACH is remote, as it is the error for a host on the local network that is down.
  */
 public final class ConnectFailures {
-    /** The system's texts for errors of this machine. */
-    private static final Set<String> LOCAL_REASONS = Set.of(
+    /** System error texts of local failures. */
+    private static final Set<String> LOCAL_ERROR_TEXTS = Set.of(
             "Too many open files",
             "Too many open files in system",
             "No buffer space available",
@@ -39,10 +39,10 @@
     private ConnectFailures() {}
 
     /**
-     * Whether opening a connection failed on this machine, before a byte was sent: the remote end had no part in it, and the
-     * next attempt may succeed.
+     * Whether the connection failed on this machine before a byte was sent: the failure says nothing about the remote
+     * end, and the next attempt may succeed.
      *
-     * @param failure what opening the socket or connecting it has thrown
+     * @param failure the exception thrown when the socket was opened or connected
      */
     public static boolean isLocal(IOException failure) {
         if (failure instanceof BindException) {
@@ -51,6 +51,6 @@
         if (failure instanceof ConnectException || failure instanceof NoRouteToHostException) {
             return false;
         }
-        return LOCAL_REASONS.contains(String.valueOf(failure.getMessage()));
+        return LOCAL_ERROR_TEXTS.contains(String.valueOf(failure.getMessage()));
     }
 }
--- a/node/src/main/java/tulipshed/transport/ConnectionAttempt.java
+++ b/node/src/main/java/tulipshed/transport/ConnectionAttempt.java
@@ -7,8 +7,8 @@
 import org.xnio.StreamConnection;
 
 /**
- * One attempt to open a TCP connection. It counts among the descriptors until it ends, which it does once: established,
- * failed, or either of these after it was abandoned. Confined to the event-loop thread.
+ * An attempt to open a TCP connection. It is counted as a descriptor until it ends, which happens exactly once: when
+ * the connection is established or fails, even if the attempt was abandoned before. Confined to the event-loop thread.
  */
 final class ConnectionAttempt implements ConnectionLoop.PendingConnection {
     private final DescriptorBudget descriptors;
@@ -18,7 +18,7 @@
     private boolean abandoned;
     private boolean ended;
 
-    /** An attempt that starts now; one of the two consumers is called unless it is abandoned before. */
+    /** Starts an attempt; one of the two consumers is called when it ends, unless it is abandoned before. */
     ConnectionAttempt(
             DescriptorBudget descriptors, Consumer<StreamConnection> onEstablished, Consumer<IOException> onFailed) {
         this.descriptors = descriptors;
@@ -27,12 +27,12 @@
         descriptors.opened();
     }
 
-    /** Sets what {@link #abandon} cancels. */
+    /** Sets the future that {@link #abandon} cancels. */
     void setFuture(IoFuture<StreamConnection> future) {
         this.future = future;
     }
 
-    /** The connection is established. */
+    /** Handles an established connection. */
     void established(StreamConnection connection) {
         if (ended) {
             return;
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The connection could not be opened. */
+    /** Handles a failure to open the connection. */
     void failed(IOException cause) {
         if (ended) {
             return;
--- a/node/src/main/java/tulipshed/transport/ConnectionLoop.java
+++ b/node/src/main/java/tulipshed/transport/ConnectionLoop.java
@@ -6,27 +6,30 @@
 import org.xnio.StreamConnection;
 import tulipshed.proxy.EventLoop;
 
-/** An event loop that also takes over and opens connections: what a protocol frontend needs of one. */
+/** An event loop that also opens connections and takes over open ones, as needed by a protocol frontend. */
 public interface ConnectionLoop extends EventLoop {
     /** A connection being opened. */
     interface PendingConnection {
-        /** Suppresses the notification of the result; a connection that is established all the same is closed. */
+        /** Suppresses the notification of the result; a connection that is established nevertheless is closed. */
         void abandon();
     }
 
-    /** Whether a client's connection and its upstream connection stay within the descriptors allowed. */
+    /** Whether the descriptor limit allows one more client connection together with its upstream connection. */
     boolean hasCapacityForClient();
 
-    /** Whether one more upstream connection stays within the descriptors allowed. */
+    /** Whether the descriptor limit allows one more upstream connection. */
     boolean hasCapacityForUpstream();
 
-    /** What this process shares with the other one of its node during a hot restart. */
+    /** State shared with the other process of the node during a hot restart. */
     HotRestartState hotRestartState();
 
-    /** Takes over a connection that is open; it counts among the descriptors until it is closed. */
+    /** Takes over an open connection, which is counted as a descriptor until it is closed. */
     TcpConnection register(StreamConnection connection, TcpConnection.Listener listener);
 
-    /** Opens a TCP connection; one of the two consumers is called, on the loop's thread, unless it is abandoned before. */
+    /**
+     * Opens a TCP connection; one of the two consumers is called on the loop's thread, unless the attempt is abandoned
+     * before.
+     */
     PendingConnection connect(
             InetSocketAddress to, Consumer<StreamConnection> onEstablished, Consumer<IOException> onFailed);
 }
--- a/node/src/main/java/tulipshed/transport/DescriptorBudget.java
+++ b/node/src/main/java/tulipshed/transport/DescriptorBudget.java
@@ -3,15 +3,16 @@
 import tulipshed.limits.Limits;
 
 /**
- * Counts the descriptors of open sockets against what the node may use, together with those of the other process of a hot
- * restart, and holds some in reserve. Where the kernel refuses descriptors earlier, clients have no more capacity than what
- * was open then, until the reserve is whole again. Confined to the event-loop thread.
+ * Compares the number of open sockets with the descriptors that the node may use, including those of the other process
+ * during a hot restart, and keeps some descriptors in reserve. If the kernel refuses a descriptor earlier, client
+ * capacity is limited to the sockets that were open then, until the reserve is full again. Confined to the event-loop
+ * thread.
  */
 final class DescriptorBudget {
-    /** A client's connection, and the upstream connection of its attempt. */
+    /** A client connection and the upstream connection of its attempt. */
     private static final int DESCRIPTORS_PER_CLIENT = 2;
 
-    /** An open management connection, and one that is accepted before the oldest is closed for it. */
+    /** An open management connection, and one accepted before the oldest is closed to make room for it. */
     private static final int DESCRIPTORS_PER_MANAGEMENT_CONNECTION = 2;
 
     private final Limits limits;
@@ -19,17 +20,17 @@
     private final DescriptorReserve reserve;
     private int openCount;
 
-    /** The sockets that were open when the kernel refused a descriptor. */
+    /** Number of sockets open when the kernel refused a descriptor. */
     private int observedLimit = Integer.MAX_VALUE;
 
-    /** A budget of which nothing is used; the count is published in {@code hotRestartState}. */
+    /** Creates a budget without open sockets; the count is published in {@code hotRestartState}. */
     DescriptorBudget(Limits limits, HotRestartState hotRestartState, DescriptorReserve reserve) {
         this.limits = limits;
         this.hotRestartState = hotRestartState;
         this.reserve = reserve;
     }
 
-    /** Gives up a reserved descriptor, as the kernel refuses others; false where there is none. */
+    /** Releases a reserved descriptor after the kernel refused another; returns false if none is left. */
     boolean releaseReserved() {
         boolean released = reserve.release();
         if (released) {
@@ -38,31 +39,31 @@
         return released;
     }
 
-    /** Takes back what was given up of the reserve; true once all is back, and descriptors are not short any more. */
+    /** Refills the reserve; returns true once it is full, which ends the descriptor shortage. */
     boolean refillReserve() {
-        boolean whole = reserve.refill();
-        if (whole) {
+        boolean isFull = reserve.refill();
+        if (isFull) {
             observedLimit = Integer.MAX_VALUE;
         }
-        return whole;
+        return isFull;
     }
 
-    /** A socket was opened. */
+    /** Counts an opened socket. */
     void opened() {
-        add(1);
+        adjustOpenCount(1);
     }
 
-    /** A socket was closed. */
+    /** Counts a closed socket. */
     void closed() {
-        add(-1);
+        adjustOpenCount(-1);
     }
 
-    /** Sockets open in this process. */
+    /** Number of sockets open in this process. */
     int openCount() {
         return openCount;
     }
 
-    /** Whether there are descriptors for a client's connection and its upstream connection. */
+    /** Whether there are descriptors for a client connection and its upstream connection. */
     boolean hasCapacityForClient() {
         return openCount + usedByPeer() + DESCRIPTORS_PER_CLIENT <= limits.connectionDescriptors()
                 && openCount + DESCRIPTORS_PER_CLIENT <= observedLimit;
@@ -73,12 +74,12 @@
         return openCount + usedByPeer() < limits.attemptDescriptors();
     }
 
-    private void add(int change) {
-        openCount += change;
+    private void adjustOpenCount(int delta) {
+        openCount += delta;
         hotRestartState.publishOpenConnections(openCount);
     }
 
-    /** Descriptors of the other process: its connections, and what a process needs besides. */
+    /** Descriptors of the other process: its open sockets, those that each process reserves, and its management ones. */
     private int usedByPeer() {
         if (!hotRestartState.hasPeer()) {
             return 0;
--- a/node/src/main/java/tulipshed/transport/DescriptorReserve.java
+++ b/node/src/main/java/tulipshed/transport/DescriptorReserve.java
@@ -9,8 +9,8 @@
 import org.xnio.IoUtils;
 
 /**
- * File descriptors that are held open in case the process or the machine runs out of them. One is released so that a waiting
- * connection can be accepted and answered. Confined to the event-loop thread.
+ * File descriptors held open for a descriptor shortage of the process or the machine. One is released so that a waiting
+ * connection can be accepted and receive a response. Confined to the event-loop thread.
  */
 final class DescriptorReserve implements Closeable {
     private final Opener opener;
@@ -23,25 +23,25 @@
         Closeable open() throws IOException;
     }
 
-    /** An empty reserve of this many descriptors, which {@link #refill} opens on the null device. */
+    /** Creates an empty reserve for {@code size} descriptors, which {@link #refill} opens on the null device. */
     DescriptorReserve(int size) {
         this(size, () -> FileChannel.open(Path.of("/dev/null"), StandardOpenOption.READ));
     }
 
-    /** An empty reserve of this many descriptors, which {@link #refill} opens with {@code opener}. */
+    /** Creates an empty reserve for {@code size} descriptors, which {@link #refill} opens with {@code opener}. */
     DescriptorReserve(int size, Opener opener) {
         this.size = size;
         this.opener = opener;
     }
 
-    /** Closes one descriptor; false where the reserve is empty. */
+    /** Closes one descriptor; returns false if the reserve is empty. */
     boolean release() {
         Closeable released = held.poll();
         IoUtils.safeClose(released);
         return released != null;
     }
 
-    /** Opens the descriptors that are missing; false where one cannot be opened now. */
+    /** Opens the missing descriptors; returns false if one cannot be opened now. */
     boolean refill() {
         while (held.size() < size) {
             try {
--- a/node/src/main/java/tulipshed/transport/FailureLog.java
+++ b/node/src/main/java/tulipshed/transport/FailureLog.java
@@ -4,8 +4,8 @@
 import tulipshed.proxy.EventLoop;
 
 /**
- * Logs failures of one kind at a limited rate: a line at the first failure, then one for all failures of each interval. An
- * interval is a timer of the event loop. Confined to the event-loop thread.
+ * Logs failures of one kind at a limited rate: one line at the first failure, then one line for all failures of each
+ * interval. Intervals are timed by the event loop. Confined to the event-loop thread.
  */
 final class FailureLog {
     private final EventLoop loop;
@@ -14,7 +14,10 @@
     private final EventSummary summary;
     private boolean isIntervalRunning;
 
-    /** Passes lines that begin with {@code eventName} to {@code log}, at least {@code intervalMs} apart. */
+    /**
+     * Creates a log that passes lines beginning with {@code eventName} to {@code log}, at least {@code intervalMs}
+     * apart.
+     */
     FailureLog(EventLoop loop, double intervalMs, Consumer<String> log, String eventName) {
         this.loop = loop;
         this.intervalMs = intervalMs;
--- a/node/src/main/java/tulipshed/transport/HotRestartFailureLog.java
+++ b/node/src/main/java/tulipshed/transport/HotRestartFailureLog.java
@@ -4,33 +4,37 @@
 import org.jboss.logging.Logger;
 
 /**
- * Logs that the storage of a hot restart cannot be used, and that it can be used again: one line at the first failure, none
- * for those that follow soon, one at the end. Time is counted in refreshes. Confined to the event-loop thread.
+ * Logs when the storage of a hot restart becomes unavailable and when it is available again: one line at the first
+ * failure, none for failures that follow it closely, one at the end. Time is counted in refreshes. Confined to the
+ * event-loop thread.
  */
 final class HotRestartFailureLog {
-    /** Refreshes without a failure after which a failure is logged again: a minute at the interval of a node. */
-    private static final int REFRESHES_UNTIL_QUIET = 240;
+    /**
+     * Number of refreshes without a failure after which the next failure is logged again: 1 min at the refresh interval
+     * of a node.
+     */
+    private static final int QUIET_REFRESHES = 240;
 
     private final Logger log;
-    private int refreshesUntilFailureIsLogged;
+    private int quietRefreshesLeft;
 
-    /** Whether a failure was logged and not yet its end. */
+    /** Whether a failure was logged and its end was not logged yet. */
     private boolean isFailureLogged;
 
-    /** Whether anything has failed since {@link #startAttempt}. */
+    /** Whether a failure has occurred since {@link #startAttempt}. */
     private boolean hasFailed;
 
-    /** Logs to {@code log}. */
+    /** Creates a failure log that writes to {@code log}. */
     HotRestartFailureLog(Logger log) {
         this.log = log;
     }
 
     /** Counts one refresh. */
     void countRefresh() {
-        refreshesUntilFailureIsLogged--;
+        quietRefreshesLeft--;
     }
 
-    /** The storage is about to be used; failures before are over if it can be used. */
+    /** Starts an attempt to use the storage; if it succeeds, earlier failures have ended. */
     void startAttempt() {
         hasFailed = false;
     }
@@ -38,14 +42,14 @@
     /** Records one failure. */
     void record(IOException failure) {
         hasFailed = true;
-        if (refreshesUntilFailureIsLogged <= 0) {
+        if (quietRefreshesLeft <= 0) {
             log.warn("hot restart unavailable, cannot use TMPDIR: " + failure);
             isFailureLogged = true;
         }
-        refreshesUntilFailureIsLogged = REFRESHES_UNTIL_QUIET;
+        quietRefreshesLeft = QUIET_REFRESHES;
     }
 
-    /** Logs the end of a logged failure, unless something has failed since {@link #startAttempt}. */
+    /** Logs the end of a logged failure, unless a failure has occurred since {@link #startAttempt}. */
     void recordSuccess() {
         if (isFailureLogged && !hasFailed) {
             isFailureLogged = false;
--- a/node/src/main/java/tulipshed/transport/HotRestartFile.java
+++ b/node/src/main/java/tulipshed/transport/HotRestartFile.java
@@ -9,19 +9,21 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The file that the two processes of a node share, and the locks on its slots. The lock of slot {@code n} covers byte
- * {@code n} of the file. The kernel releases the lock of a process that ends, however it ends, so that the lock alone shows
- * whether the process is alive.
+ * File shared by the two processes of a node, and the locks on its slots. The lock of slot {@code n} covers byte {@code
+ * n} of the file. The kernel releases the lock of a process however the process ends, so the lock alone shows whether
+ * the process is alive.
  *
- * <p>The file is read and written at positions and not mapped. An access to a mapped page that the full directory cannot
- * back, or that was cut off, ends the whole process with SIGBUS; here the same is an {@link IOException}, and the node
- * goes on without the file. Each published change takes a system call ({@code docs/system-calls.md}). Processes of versions that map the file see the same bytes, as both use the page cache.
+ * <p>The file is read and written at positions, and not mapped. With a mapping, access to a page that a full file
+ * system cannot back, or that was truncated, terminates the process with SIGBUS; here it causes an {@link IOException},
+ * and the node continues without the file. The cost is one system call for each published change ({@code
+ * docs/system-calls.md}). Processes of versions that map the file see the same bytes, as both kinds of access use the
+ * page cache.
  */
 final class HotRestartFile implements HotRestartStorage {
     private static final int LOCK_ATTEMPTS = 20;
     private static final long LOCK_RETRY_MS = 25;
     private static final long LOCK_BYTES = 1;
-    private static final int ZEROS_BYTES = 8192;
+    private static final int ZERO_BLOCK_BYTES = 8192;
 
     private final FileChannel channel;
     private final int slotBytes;
@@ -34,9 +36,9 @@
     }
 
     /**
-     * Opens the file, which is created where it is missing, and takes the lock of a free slot.
+     * Opens the file, creating it if it does not exist, and takes the lock of a free slot.
      *
-     * @param mayWait whether the calling thread may be blocked for a moment while both slots seem taken
+     * @param mayWait whether the calling thread may block briefly while both slots seem to be taken
      * @throws IllegalStateException if both slots are taken
      */
     static HotRestartFile open(Path path, int slotBytes, boolean mayWait) throws IOException {
@@ -65,7 +67,7 @@
         if (channel.size() >= end) {
             return;
         }
-        // With the lock no process can take the slot meanwhile and lose what it writes.
+        // While this lock is held, no process can take the slot and have its content overwritten.
         try (FileLock peerLock = tryLock(channel, peerSlot())) {
             if (peerLock != null) {
                 writeZeros(channel.size(), end);
@@ -104,7 +106,7 @@
         return HotRestartLayout.SLOT_COUNT - 1 - ownSlot();
     }
 
-    /** Reads what the file has, and zeros beyond its end. */
+    /** Reads the content of the file, and zeros beyond its end. */
     private void readFully(long start, ByteBuffer into) throws IOException {
         long position = start;
         int count = 0;
@@ -125,14 +127,14 @@
     }
 
     private void writeZeros(long start, long end) throws IOException {
-        for (long position = start; position < end; position += ZEROS_BYTES) {
-            writeFully(position, ByteBuffer.allocate((int) Math.min(ZEROS_BYTES, end - position)));
+        for (long position = start; position < end; position += ZERO_BLOCK_BYTES) {
+            writeFully(position, ByteBuffer.allocate((int) Math.min(ZERO_BLOCK_BYTES, end - position)));
         }
     }
 
-    /** The lock of a free slot, or null where both are taken. */
+    /** Returns the lock of a free slot, or null if both are taken. */
     private static FileLock lockFreeSlot(FileChannel channel, int attempts) throws IOException {
-        // The other process holds the lock of a free slot for a moment while it checks whether its peer is alive.
+        // The other process briefly holds the lock of a free slot while it checks whether its peer is alive.
         for (int attempt = 1; ; attempt++) {
             for (int slot = 0; slot < HotRestartLayout.SLOT_COUNT; slot++) {
                 FileLock lock = tryLock(channel, slot);
@@ -151,11 +153,11 @@
         try {
             Thread.sleep(LOCK_RETRY_MS);
         } catch (InterruptedException e) {
-            throw new IOException("interrupted", e);
+            throw new IOException("interrupted while waiting for the lock of a hot-restart slot", e);
         }
     }
 
-    /** The lock of a slot, or null where a process holds it. */
+    /** Returns the lock of a slot, or null if a process holds it. */
     private static FileLock tryLock(FileChannel channel, int slot) throws IOException {
         try {
             return channel.tryLock(slot, LOCK_BYTES, false);
--- a/node/src/main/java/tulipshed/transport/HotRestartLayout.java
+++ b/node/src/main/java/tulipshed/transport/HotRestartLayout.java
@@ -4,10 +4,10 @@
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
 /**
- * The layout of the bytes that one process publishes in its slot of the file that the two processes of a node share.
+ * Binary layout of the slot in which one process publishes its state, in the file shared by the two processes of a node.
  *
  * <p>Processes of different versions share the file, so the layout must not change. Numbers are big-endian. With a
- * capacity of {@code n} ids and {@code n} connections a slot holds:
+ * capacity of {@code n} IDs and {@code n} connections, a slot contains:
  *
  * <pre>
  *  offset       size  content
@@ -25,11 +25,12 @@
  *  56         1 + 39  group: its length in bytes, 0 for none, then UTF-8
  * </pre>
  *
- * <p>Only the process that holds the slot's lock writes it; the other one reads it at any moment. A record is written before
- * its mark is set, and an entry or a record before the number of those that are used: what is half-written is not read.
+ * <p>Only the process that holds the lock of a slot writes it; the other process may read it at any time. A record is written
+ * before it is marked as established, and an entry or a record before the number of used ones is increased, so that
+ * partially written content is not read.
  */
 final class HotRestartLayout {
-    /** Processes of one node at a time. */
+    /** Number of slots: the maximum number of processes of one node at a time. */
     static final int SLOT_COUNT = 2;
 
     static final int STATE_OFFSET = 0;
@@ -52,28 +53,28 @@
 
     private HotRestartLayout() {}
 
-    /** Bytes of a slot with entries for that many ids and connections. */
+    /** Size in bytes of a slot with {@code capacity} entries for IDs and as many for connections. */
     static int slotBytes(int capacity) {
         return HEADER_BYTES + capacity * (ID_ENTRY_BYTES + CONNECTION_RECORD_BYTES);
     }
 
-    /** The offset of an id entry. */
+    /** Offset of an ID entry in the slot. */
     static int idOffset(int entry) {
         return HEADER_BYTES + entry * ID_ENTRY_BYTES;
     }
 
-    /** The offset of a connection record in a slot with that capacity. */
+    /** Offset of a connection record in a slot with that capacity. */
     static int connectionOffset(int capacity, int record) {
         return idOffset(capacity) + record * CONNECTION_RECORD_BYTES;
     }
 
-    /** Whether the texts of a connection fit into a record. */
+    /** Whether the endpoint ID and the group of a connection fit into a record. */
     static boolean fits(EstablishedConnection connection) {
         return encode(connection.endpointId()).length <= MAX_TEXT_BYTES
                 && encode(connection.group()).length <= MAX_TEXT_BYTES;
     }
 
-    /** The bytes of a text; none for null. */
+    /** Encodes a text as UTF-8; returns an empty array for null. */
     static byte[] encode(String textOrNull) {
         return textOrNull == null ? new byte[0] : textOrNull.getBytes(StandardCharsets.UTF_8);
     }
--- a/node/src/main/java/tulipshed/transport/HotRestartState.java
+++ b/node/src/main/java/tulipshed/transport/HotRestartState.java
@@ -7,17 +7,19 @@
 import tulipshed.proxy.HotRestartPeer;
 
 /**
- * The state that the two processes of one node share while one takes over from the other in a hot restart. Each has a slot of
- * a small file, writes its own slot only, and reads the other's. Confined to the event-loop thread once the node runs.
+ * State shared by the two processes of one node while one takes over from the other in a hot restart. Each process has
+ * a slot in a small file, writes only its own slot and reads the other's. Confined to the event-loop thread once the
+ * node runs.
  *
- * <p>Where the file cannot be used the process serves as if it were alone: it logs that once, keeps in memory what it has to
- * publish, and tries again at later calls of {@link #refresh}. Once the file can be used it joins the other process.
+ * <p>If the file cannot be used, the process serves as if it were alone: it logs this once, keeps the state that it has
+ * to publish in memory, and tries again at later calls of {@link #refresh}. Once the file can be used, it joins the
+ * other process.
  */
 public final class HotRestartState implements HotRestartPeer {
-    /** Refreshes between two attempts to join: 2 s at the interval of a node. */
+    /** Number of refreshes between two attempts to join: 2 s at the refresh interval of a node. */
     private static final int REFRESHES_PER_JOIN = 8;
 
-    /** Null where the process shares no file, and so never has a peer. */
+    /** Null if the process shares no file and so never has a peer. */
     private final HotRestartStorage.Opener opener;
 
     private final HotRestartFailureLog failures;
@@ -26,34 +28,40 @@
     private final PublishedConnections publishedConnections;
     private final PeerProcess peer;
 
-    /** Null while no slot of the file is taken. */
+    /** Null while this process holds no slot of the file. */
     private HotRestartStorage storage;
 
     private int refreshesUntilJoin = REFRESHES_PER_JOIN;
     private boolean isClosed;
 
-    /** The state of a process that has no peer and publishes nothing. */
+    /** Creates the state of a process that has no peer and publishes nothing. */
     public HotRestartState() {
         this((HotRestartStorage.Opener) null, 0, NodeLog.silent());
     }
 
-    /** Joins the process that uses this file, and logs nothing. */
+    /**
+     * Joins the process that uses this file, if there is one, without logging; see {@link #HotRestartState(Path, int,
+     * NodeLog)}.
+     */
     public HotRestartState(Path path, int ids) {
         this(path, ids, NodeLog.silent());
     }
 
     /**
-     * Joins the process that uses this file, if there is one; the file is created where it is missing.
+     * Joins the process that uses this file, if there is one; creates the file if it does not exist.
      *
-     * @param ids how many ids of open requests, and how many established connections, a process can publish; the same for
-     *     both processes
-     * @throws IllegalStateException if two processes use the file already
+     * @param ids the number of IDs of open requests, and of established connections, that a process can publish; the
+     *     same for both processes
+     * @throws IllegalStateException if two processes already use the file
      */
     public HotRestartState(Path path, int ids, NodeLog log) {
         this(mayWait -> HotRestartFile.open(path, HotRestartLayout.slotBytes(ids), mayWait), ids, log);
     }
 
-    /** Joins the process that uses this storage, if there is one; null where there is none to use. */
+    /**
+     * Joins the process that uses the storage, if there is one; {@code opener} is null if the process shares no
+     * storage.
+     */
     HotRestartState(HotRestartStorage.Opener opener, int ids, NodeLog log) {
         this.opener = opener;
         failures = new HotRestartFailureLog(log.logger("node"));
@@ -68,7 +76,7 @@
         }
     }
 
-    /** Checks whether the other process is alive, and writes or joins again where that has failed. */
+    /** Checks whether the other process is alive, and retries a failed write or a failed attempt to join. */
     public void refresh() {
         if (opener == null || isClosed) {
             return;
@@ -89,7 +97,7 @@
         }
     }
 
-    /** Takes a slot of the storage and publishes in it what was published before. */
+    /** Takes a slot of the storage and writes the published state to it. */
     private void join(boolean mayWait) {
         try {
             storage = opener.open(mayWait);
@@ -109,12 +117,12 @@
         try {
             join(false);
         } catch (IllegalStateException bothSlotsTaken) {
-            // This process serves already, as a third one: it goes on without a slot.
+            // This process already serves as a third one, and continues without a slot.
             return;
         }
     }
 
-    /** Writes everything where a write has failed, or where the content of the slot was changed from outside. */
+    /** Writes the entire slot if a write has failed or if its content was changed by another program. */
     private void writeAgain() {
         try {
             if (!own.isWritten() || !own.isIntact()) {
@@ -125,7 +133,7 @@
         }
     }
 
-    /** Whether another process of this node was alive at the last {@link #refresh}. */
+    /** Whether the other process of this node was alive at the last {@link #refresh}. */
     public boolean hasPeer() {
         return peer.isAlive();
     }
@@ -135,7 +143,7 @@
         return peer.state() == ProcessState.SERVING;
     }
 
-    /** Publishes that this process accepts clients from now on. */
+    /** Publishes that this process accepts clients. */
     public void markServing() {
         own.setProcessState(ProcessState.SERVING);
     }
@@ -145,7 +153,7 @@
         own.setProcessState(ProcessState.LEAVING);
     }
 
-    /** The share of the node's quotas that this process may use, from 0 to 1, by the state of both processes. */
+    /** Share of the node's quotas that this process may use, from 0 to 1, by the states of both processes. */
     public double quotaShare() {
         return QuotaShare.of(own.processState(), peer.state());
     }
@@ -156,20 +164,20 @@
     }
 
     /**
-     * Connections open in the other process; 0 where there is none.
+     * Number of connections open in the other process; 0 if there is none.
      *
-     * @param max the most that a process can have open; a number beyond that is ignored
+     * @param max the maximum number of connections that a process can have open; larger numbers are ignored
      */
     int peerOpenConnections(int max) {
         return peer.openConnections(max);
     }
 
-    /** Claims the id of an open request; false where the other process has a request with this id open. */
+    /** Claims the ID of an open request; returns false if the other process has an open request with this ID. */
     public boolean claimId(String id) {
         return claimedIds.claim(id, peer::hasClaimed);
     }
 
-    /** Releases the id of a request that has ended. */
+    /** Releases the ID of a request that has ended. */
     public void releaseId(String id) {
         claimedIds.release(id);
     }
@@ -184,13 +192,13 @@
         publishedConnections.withdraw(record);
     }
 
-    /** A connection that is being written at this moment is left out; the next read has it. */
+    /** Omits a connection whose record is being written; the next read returns it. */
     @Override
     public Map<Integer, EstablishedConnection> peerConnections() {
         return peer.connections();
     }
 
-    /** Releases the slot; nothing is published after this. */
+    /** Releases the slot; nothing is published afterwards. */
     public void close() throws IOException {
         if (storage != null && !isClosed) {
             isClosed = true;
--- a/node/src/main/java/tulipshed/transport/ListeningSocket.java
+++ b/node/src/main/java/tulipshed/transport/ListeningSocket.java
@@ -5,21 +5,21 @@
 import java.net.InetSocketAddress;
 import org.xnio.StreamConnection;
 
-/** A TCP socket that listens. Its owner is called back on the event-loop thread while connections wait. */
+/** A listening TCP socket. Its owner is called back on the event-loop thread while connections wait. */
 interface ListeningSocket extends Closeable {
-    /** Accepts a connection; null where none waits. */
+    /** Accepts a connection; returns null if none waits. */
     StreamConnection accept() throws IOException;
 
-    /** From now on the owner is called back while connections wait. */
+    /** Enables the callback for waiting connections. */
     void resumeAccepts();
 
-    /** From now on connections wait in the kernel. */
+    /** Disables the callback; connections wait in the kernel's backlog. */
     void suspendAccepts();
 
-    /** The local address. */
+    /** Local address. */
     InetSocketAddress address();
 
-    /** Stops listening; does nothing where it was closed. */
+    /** Stops listening; does nothing if the socket is already closed. */
     @Override
     void close();
 }
--- a/node/src/main/java/tulipshed/transport/NoMBeanServerBuilder.java
+++ b/node/src/main/java/tulipshed/transport/NoMBeanServerBuilder.java
@@ -6,17 +6,18 @@
 import javax.management.MBeanServerDelegate;
 
 /**
- * Refuses to build an MBean server. XNIO registers MBeans at the start, which nobody reads here, and goes on without them
- * where that fails; the platform's MBean server with all that it registers takes a quarter of a start's processor time.
+ * MBean server builder that refuses to build a server. XNIO registers MBeans at startup, which are not used here, and
+ * continues without them if that fails. The platform's MBean server, with everything that it registers, would take a
+ * quarter of the CPU time of startup.
  *
- * <p>Public with a public constructor, as the platform creates it by name. A builder that the command line names stays in
- * use.
+ * <p>Public with a public constructor, as the platform instantiates it by name. A builder named on the command line
+ * takes precedence.
  */
 public final class NoMBeanServerBuilder extends MBeanServerBuilder {
-    /** The platform's property that names the builder, see {@link javax.management.MBeanServerFactory}. */
+    /** System property that names the builder, see {@link javax.management.MBeanServerFactory}. */
     private static final String BUILDER_PROPERTY = "javax.management.builder.initial";
 
-    /** Has the platform use this builder in this process, unless another one is named. */
+    /** Makes the platform use this builder in this process, unless another one is configured. */
     static void install() {
         if (System.getProperty(BUILDER_PROPERTY) == null) {
             System.setProperty(BUILDER_PROPERTY, NoMBeanServerBuilder.class.getName());
@@ -24,12 +25,12 @@
     }
 
     /**
-     * Builds nothing.
+     * Always fails.
      *
      * @throws JMRuntimeException always
      */
     @Override
     public MBeanServer newMBeanServer(String defaultDomain, MBeanServer outer, MBeanServerDelegate delegate) {
-        throw new JMRuntimeException("this process has no MBean server");
+        throw new JMRuntimeException("MBean server disabled in this process");
     }
 }
--- a/node/src/main/java/tulipshed/transport/OwnHotRestartSlot.java
+++ b/node/src/main/java/tulipshed/transport/OwnHotRestartSlot.java
@@ -5,8 +5,9 @@
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
 /**
- * The slot of this process: what it publishes, kept in memory and written to the storage change by change. Where a write
- * fails the changes are kept, until {@link #writeAll} has written everything again. Confined to the event-loop thread.
+ * Slot of this process: the published state, kept in memory and written to the storage change by change. After a failed
+ * write, changes are kept in memory until {@link #writeAll} has written the entire slot. Confined to the event-loop
+ * thread.
  */
 final class OwnHotRestartSlot {
     private static final int READ_BACK_BYTES = 8192;
@@ -15,21 +16,21 @@
     private final int capacity;
     private final ByteBuffer readBack = ByteBuffer.allocateDirect(READ_BACK_BYTES);
 
-    /** Null while changes cannot be written. */
+    /** Null while changes are not written. */
     private HotRestartStorage storage;
 
-    /** The reason why writing failed since {@link #writeAll}, or null. */
+    /** Failure of the first write that failed since {@link #writeAll}, or null. */
     private IOException failure;
 
-    /** An empty slot, which is not written anywhere yet. */
+    /** Creates an empty slot that is not written to a storage yet. */
     OwnHotRestartSlot(int capacity) {
         this.capacity = capacity;
         bytes = ByteBuffer.allocateDirect(HotRestartLayout.slotBytes(capacity));
     }
 
     /**
-     * Writes everything to the storage, and from now on each change. A process that reads meanwhile, or after this was cut
-     * short, finds an empty slot.
+     * Writes the entire slot to the storage, and from then on each change. A process that reads during this, or after
+     * this was interrupted, finds an empty slot.
      */
     void writeAll(HotRestartStorage target) throws IOException {
         storage = null;
@@ -43,17 +44,19 @@
         failure = null;
     }
 
-    /** Writes no more changes. */
+    /** Stops writing changes. */
     void detach() {
         storage = null;
     }
 
-    /** Whether everything that was published has been written. */
+    /** Whether the storage contains all published changes. */
     boolean isWritten() {
         return storage != null;
     }
 
-    /** Whether the storage still holds what was written: somebody may have cut the file off, or written to it. */
+    /**
+     * Whether the storage still contains what was written; another program may have truncated or overwritten the file.
+     */
     boolean isIntact() throws IOException {
         return isIntact(0, HotRestartLayout.idOffset(idCount()))
                 && isIntact(
@@ -72,22 +75,22 @@
         return true;
     }
 
-    /** Why a write failed since {@link #writeAll}; null if none has. */
+    /** Failure of a write since {@link #writeAll}; null if none failed. */
     IOException failure() {
         return failure;
     }
 
-    /** Ids, and connections, that the slot has entries for. */
+    /** Number of entries of the slot for IDs, and for connections. */
     int capacity() {
         return capacity;
     }
 
-    /** How far this process has come. */
+    /** Lifecycle state of this process. */
     ProcessState processState() {
         return ProcessState.ofCode(bytes.getInt(HotRestartLayout.STATE_OFFSET));
     }
 
-    /** Publishes how far this process has come. */
+    /** Publishes the lifecycle state of this process. */
     void setProcessState(ProcessState state) {
         putInt(HotRestartLayout.STATE_OFFSET, state.code());
     }
@@ -97,37 +100,37 @@
         putInt(HotRestartLayout.OPEN_CONNECTIONS_OFFSET, count);
     }
 
-    /** Id entries ever used: all claimed ids are among that many first ones. */
+    /** Number of ID entries ever used; all claimed IDs are in these first entries. */
     int idCount() {
         return bytes.getInt(HotRestartLayout.ID_COUNT_OFFSET);
     }
 
-    /** Sets how many of the first id entries the other process reads. */
+    /** Sets the number of ID entries that the other process reads. */
     void setIdCount(int count) {
         putInt(HotRestartLayout.ID_COUNT_OFFSET, count);
     }
 
-    /** Writes the hash of a claimed id to an entry. */
+    /** Writes the hash of a claimed ID to an entry. */
     void putIdHash(int entry, long hash) {
         putLong(HotRestartLayout.idOffset(entry), hash);
     }
 
-    /** Frees an id entry. */
+    /** Frees an ID entry. */
     void clearIdHash(int entry) {
         putLong(HotRestartLayout.idOffset(entry), HotRestartLayout.NO_ID);
     }
 
-    /** Connection records ever used: all established connections are among that many first ones. */
+    /** Number of connection records ever used; all established connections are in these first records. */
     int connectionCount() {
         return bytes.getInt(HotRestartLayout.CONNECTION_COUNT_OFFSET);
     }
 
-    /** Sets how many of the first connection records the other process reads. */
+    /** Sets the number of connection records that the other process reads. */
     void setConnectionCount(int count) {
         putInt(HotRestartLayout.CONNECTION_COUNT_OFFSET, count);
     }
 
-    /** Writes a connection that fits to a free record. */
+    /** Writes a connection that fits into a record to a free record. */
     void putConnection(int record, EstablishedConnection connection) {
         int offset = HotRestartLayout.connectionOffset(capacity, record);
         bytes.putDouble(offset + HotRestartLayout.LOAD_HINT_OFFSET, connection.loadHintUsPerS());
@@ -136,7 +139,7 @@
         write(
                 offset + HotRestartLayout.LOAD_HINT_OFFSET,
                 HotRestartLayout.CONNECTION_RECORD_BYTES - HotRestartLayout.LOAD_HINT_OFFSET);
-        // The other process must not see the mark before the content.
+        // The other process must not see the record as established before its content is written.
         putLong(offset + HotRestartLayout.ESTABLISHED_OFFSET, HotRestartLayout.ESTABLISHED);
     }
 
--- a/node/src/main/java/tulipshed/transport/PeerHotRestartSlot.java
+++ b/node/src/main/java/tulipshed/transport/PeerHotRestartSlot.java
@@ -10,9 +10,9 @@
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
 /**
- * The slot of the other process, which may write it at this moment, may have been stopped in the middle of a write, and
- * whose file anybody may have spoilt: what is read is checked, and what no process could have written is not believed.
- * Confined to the event-loop thread.
+ * Slot of the other process. The other process may be writing it, or may have ended in the middle of a write, and other
+ * programs may have corrupted the file. So the content is validated, and values that no process can have written are
+ * ignored. Confined to the event-loop thread.
  */
 final class PeerHotRestartSlot {
     private static final int RECORDS_PER_READ = 256;
@@ -27,23 +27,26 @@
     private final ByteBuffer secondRead =
             ByteBuffer.allocateDirect(RECORDS_PER_READ * HotRestartLayout.CONNECTION_RECORD_BYTES);
 
-    /** The slot of the other process with entries for that many ids and connections. */
+    /**
+     * Creates a reader of the other process's slot, which has {@code capacity} entries for IDs and as many for
+     * connections.
+     */
     PeerHotRestartSlot(HotRestartStorage storage, int capacity) {
         this.storage = storage;
         this.capacity = capacity;
     }
 
-    /** How far the process of this slot has come. */
+    /** Lifecycle state of the process that holds the slot. */
     ProcessState processState() throws IOException {
         return ProcessState.ofCode(readHeader(HotRestartLayout.STATE_OFFSET));
     }
 
-    /** Connections open in the process of this slot; negative only if the slot was spoilt. */
+    /** Number of connections open in the process that holds the slot; negative only if the slot is corrupted. */
     int openConnections() throws IOException {
         return readHeader(HotRestartLayout.OPEN_CONNECTIONS_OFFSET);
     }
 
-    /** Whether an id with this hash is claimed in this slot. */
+    /** Whether an ID with this hash is claimed in the slot. */
     boolean containsIdHash(long hash) throws IOException {
         int count = usedEntries(HotRestartLayout.ID_COUNT_OFFSET);
         for (int first = 0; first < count; first += IDS_PER_READ) {
@@ -59,8 +62,8 @@
     }
 
     /**
-     * The established connections of this slot, by record. Left out is a record that changes at this moment, as two reads
-     * of it differ, and one that no process can have written.
+     * Returns the established connections of the slot by record number. Omits records that are being changed, which two
+     * consecutive reads of them reveal, and records that no process can have written.
      */
     Map<Integer, EstablishedConnection> connections() throws IOException {
         Map<Integer, EstablishedConnection> connections = new HashMap<>();
@@ -70,13 +73,13 @@
             int offset = HotRestartLayout.connectionOffset(capacity, first);
             read(offset, records.clear().limit(length));
             read(offset, secondRead.clear().limit(length));
-            addUnchanged(first, length / HotRestartLayout.CONNECTION_RECORD_BYTES, connections);
+            addStableRecords(first, length / HotRestartLayout.CONNECTION_RECORD_BYTES, connections);
         }
         return connections;
     }
 
-    /** Adds the connections of records that were read twice with the same content. */
-    private void addUnchanged(int first, int count, Map<Integer, EstablishedConnection> connections) {
+    /** Adds the connections of the records whose two reads are equal. */
+    private void addStableRecords(int first, int count, Map<Integer, EstablishedConnection> connections) {
         for (int i = 0; i < count; i++) {
             int offset = i * HotRestartLayout.CONNECTION_RECORD_BYTES;
             ByteBuffer record = records.slice(offset, HotRestartLayout.CONNECTION_RECORD_BYTES);
--- a/node/src/main/java/tulipshed/transport/PeerProcess.java
+++ b/node/src/main/java/tulipshed/transport/PeerProcess.java
@@ -5,16 +5,19 @@
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
 /**
- * The other process of a hot restart: whether it is alive, and what was last read of its slot. Where the slot cannot be read
- * the failure is recorded and the last known value stands. Confined to the event-loop thread.
+ * The other process of a hot restart: whether it is alive, and the values last read from its slot. If the slot cannot
+ * be read, the failure is recorded and the last known value is used. Confined to the event-loop thread.
  */
 final class PeerProcess {
-    /** Failed checks in a row after which the process counts as gone: 10 s at the interval of a node. */
+    /**
+     * Number of consecutive failed checks after which the process counts as ended: 10 s at the refresh interval of a
+     * node.
+     */
     private static final int MAX_FAILED_CHECKS = 40;
 
     private final HotRestartFailureLog failures;
 
-    /** Both null until {@link #attach}. */
+    /** Null until {@link #attach}, as is {@link #slot}. */
     private HotRestartStorage storage;
 
     private PeerHotRestartSlot slot;
@@ -26,23 +29,25 @@
     private int openConnections;
     private Map<Integer, EstablishedConnection> connections = Map.of();
 
-    /** No process, until a storage is attached; failures to read are recorded in {@code failures}. */
+    /** Creates an absent peer until a storage is attached; read failures are recorded in {@code failures}. */
     PeerProcess(HotRestartFailureLog failures) {
         this.failures = failures;
     }
 
-    /** Reads this storage from now on; its slots have entries for {@code capacity} ids and connections. */
+    /**
+     * Starts reading from this storage, whose slots have {@code capacity} entries for IDs and as many for connections.
+     */
     void attach(HotRestartStorage opened, int capacity) {
         storage = opened;
         slot = new PeerHotRestartSlot(opened, capacity);
     }
 
-    /** The process counts as gone; nothing more is read. */
+    /** Marks the process as ended and stops reading. */
     void detach() {
         isAlive = false;
     }
 
-    /** Checks whether the process is alive; nothing changes while no storage is attached. */
+    /** Checks whether the process is alive; does nothing until a storage is attached. */
     void checkAlive() {
         if (storage == null) {
             return;
@@ -51,7 +56,7 @@
             isAlive = storage.isPeerAlive();
             failedChecks = 0;
         } catch (IOException e) {
-            // A process that was there may still be there; for how long that is assumed is bounded.
+            // A process that was alive may still be; this is assumed for a limited time only.
             failedChecks++;
             isAlive &= failedChecks < MAX_FAILED_CHECKS;
             failures.record(e);
@@ -68,8 +73,8 @@
     }
 
     /**
-     * How far the process has come: {@code NONE} where it is not alive, {@code UNKNOWN} where it cannot write its slot or the
-     * slot cannot be read.
+     * Lifecycle state of the process: {@code NONE} if it is not alive, {@code UNKNOWN} if it cannot write its slot or
+     * the slot cannot be read.
      */
     ProcessState state() {
         if (!isAlive) {
@@ -85,9 +90,9 @@
     }
 
     /**
-     * Connections open in the process; 0 where it is not alive.
+     * Number of connections open in the process; 0 if it is not alive.
      *
-     * @param max the most that a process can have open; a number beyond that is ignored
+     * @param max the maximum number of connections that a process can have open; larger numbers are ignored
      */
     int openConnections(int max) {
         if (!isAlive) {
@@ -104,7 +109,7 @@
         return openConnections;
     }
 
-    /** Whether the process has claimed an id with this hash; false where that cannot be read. */
+    /** Whether the process has claimed an ID with this hash; false if the slot cannot be read. */
     boolean hasClaimed(long idHash) {
         try {
             return isAlive && slot.containsIdHash(idHash);
@@ -114,7 +119,7 @@
         }
     }
 
-    /** The established connections of the process by record; one that is being written at this moment is left out. */
+    /** Established connections of the process by record number; omits a record that is being written. */
     Map<Integer, EstablishedConnection> connections() {
         try {
             if (isAlive) {
--- a/node/src/main/java/tulipshed/transport/QuotaShare.java
+++ b/node/src/main/java/tulipshed/transport/QuotaShare.java
@@ -1,6 +1,6 @@
 package tulipshed.transport;
 
-/** How two processes of one node divide the quotas of the node during a hot restart. */
+/** Division of a node's quotas between its two processes during a hot restart. */
 final class QuotaShare {
     private static final double FULL = 1;
     private static final double HALF = 0.5;
@@ -9,8 +9,8 @@
     private QuotaShare() {}
 
     /**
-     * The share of one process, from 0 to 1: half where both processes accept clients, none where the other one does and
-     * this one is shutting down. A process whose state is unknown may accept clients too.
+     * Returns the share of this process, from 0 to 1: half if both processes accept clients, 0 if the other one does
+     * and this one is shutting down. A process whose state is unknown may accept clients too.
      */
     static double of(ProcessState own, ProcessState peer) {
         return switch (peer) {
--- a/node/src/main/java/tulipshed/transport/ReusePortProvider.java
+++ b/node/src/main/java/tulipshed/transport/ReusePortProvider.java
@@ -12,22 +12,24 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * The platform's provider of channels, except that TCP listeners set {@code SO_REUSEPORT}, by which the two processes of a
- * hot restart listen at one address. XNIO opens and binds a listener in one step and has no option for that.
+ * Selector provider that delegates to the platform's default provider, but sets {@code SO_REUSEPORT} on TCP listeners
+ * so that both processes of a hot restart can listen on the same address. XNIO opens and binds a listener in one step
+ * and has no option for this.
  *
- * <p>The virtual machine finds this class as a service; the program's manifest opens the platform's provider to it.
+ * <p>Loaded by the Java runtime as a service. The manifest of the program opens the package of the platform's provider
+ * to it.
  */
 public final class ReusePortProvider extends SelectorProvider {
     private final SelectorProvider platform;
 
-    /** Called by the virtual machine, once. */
+    /** Called once by the Java runtime. */
     public ReusePortProvider() {
         try {
             platform = (SelectorProvider) Class.forName("sun.nio.ch.DefaultSelectorProvider")
                     .getMethod("get")
                     .invoke(null);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("this virtual machine has another provider of channels", e);
+            throw new IllegalStateException("default SelectorProvider not found in this Java runtime", e);
         }
     }
 
--- a/node/src/main/java/tulipshed/transport/TcpConnection.java
+++ b/node/src/main/java/tulipshed/transport/TcpConnection.java
@@ -13,8 +13,8 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * One TCP connection: reads without blocking, queues what cannot be written yet, and notifies its listener. Confined to the
- * event-loop thread.
+ * A TCP connection that reads without blocking, queues bytes that cannot be written yet, and notifies its listener.
+ * Confined to the event-loop thread.
  */
 public final class TcpConnection {
     private final StreamConnection connection;
@@ -27,19 +27,19 @@
     private boolean isOutputShutDown;
     private boolean isClosed;
 
-    /** Is notified of what happens to a connection, until the connection is closed. */
+    /** Receives the events of a connection until the connection is closed. */
     public interface Listener {
-        /** There are bytes to read, or the end of input. */
+        /** Called when there are bytes to read or the end of input was reached. */
         void onReadable(TcpConnection connection);
 
-        /** All queued bytes have been written. */
+        /** Called when all queued bytes have been written. */
         void onWritten(TcpConnection connection);
 
-        /** The connection failed and is closed. */
+        /** Called when the connection has failed and was closed. */
         void onBroken(TcpConnection connection);
     }
 
-    /** Takes over a connection; {@code onClosed} is run once it is closed, for whatever reason. */
+    /** Takes over a connection; {@code onClosed} runs once when it is closed, for whatever reason. */
     public TcpConnection(StreamConnection connection, Listener listener, Runnable onClosed) {
         this.connection = connection;
         this.listener = listener;
@@ -55,7 +55,10 @@
         connection.setCloseListener(closeListener);
     }
 
-    /** A defect ends its own connection: what it left unread would be notified again and again. */
+    /**
+     * Runs a handler and closes the connection if the handler throws. Otherwise the selector would report its unread
+     * input again and again.
+     */
     private void runGuarded(Runnable handler) {
         try {
             handler.run();
@@ -65,7 +68,7 @@
         }
     }
 
-    /** The remote address; the wildcard address where it is not known any more. */
+    /** Remote address; the wildcard address if it is no longer known. */
     public InetAddress remoteAddress() {
         InetSocketAddress address = connection.getPeerAddress(InetSocketAddress.class);
         return address == null || address.getAddress() == null
@@ -74,10 +77,10 @@
     }
 
     /**
-     * Reads what has been received, without blocking. Where the connection fails, the listener is notified before this
+     * Reads received bytes without blocking. If the connection fails, the listener is notified before this method
      * returns.
      *
-     * @return the number of bytes read; 0 if there are none now, -1 at the end of input
+     * @return the number of bytes read; 0 if none are available, -1 at the end of input
      */
     public int read(ByteBuffer into) {
         try {
@@ -88,29 +91,32 @@
         }
     }
 
-    /** Sets whether the listener is notified of input; initially it is not. */
-    public void setReading(boolean on) {
+    /** Sets whether the listener is notified of input; off by default. */
+    public void setReading(boolean enabled) {
         if (isClosed) {
             return;
         }
-        if (on) {
+        if (enabled) {
             source.resumeReads();
         } else {
             source.suspendReads();
         }
     }
 
-    /** Bytes that wait to be written. */
+    /** Number of bytes queued for writing. */
     public int queuedBytes() {
         return queuedBytes;
     }
 
-    /** Writes bytes, as {@link #write(ByteBuffer)} does. */
+    /** Writes bytes, see {@link #write(ByteBuffer)}. */
     public void write(byte[] bytes) {
         write(ByteBuffer.wrap(bytes));
     }
 
-    /** Takes over the buffer; what cannot be written at once is queued. Ignored after a shutdown of the output. */
+    /**
+     * Writes the buffer, of which this connection takes ownership. Bytes that cannot be written at once are queued.
+     * Ignored after a shutdown of the output.
+     */
     public void write(ByteBuffer bytes) {
         if (isClosed || isShuttingDown || !bytes.hasRemaining()) {
             return;
@@ -153,7 +159,7 @@
         }
     }
 
-    /** Writes as much as the kernel accepts; true once the queue is empty. */
+    /** Writes as many bytes as the kernel accepts; returns true once the queue is empty. */
     private boolean writeQueuedBytes() throws IOException {
         while (!writeQueue.isEmpty()) {
             int written = sink.write(writeQueue.peek());
@@ -166,7 +172,7 @@
         return true;
     }
 
-    /** With the queue empty: shuts down the output if that was requested. */
+    /** Shuts down the output if that was requested; called when the queue is empty. */
     private void finishShutdown() throws IOException {
         if (isShuttingDown) {
             sink.shutdownWrites();
@@ -186,7 +192,7 @@
         }
     }
 
-    /** Closes at once. Where received bytes were not read, the remote end sees a reset. */
+    /** Closes the connection at once. If received bytes were not read, the remote end sees a reset. */
     public void close() {
         if (!isClosed) {
             isClosed = true;
@@ -194,7 +200,7 @@
         }
     }
 
-    /** Closes with a reset. */
+    /** Closes the connection with a reset. */
     public void abort() {
         if (isClosed) {
             return;
@@ -202,12 +208,12 @@
         try {
             connection.setOption(Options.CLOSE_ABORT, true);
         } catch (IOException e) {
-            // Without the option it is closed in the ordinary way.
+            // Without the option the connection is closed normally.
         }
         close();
     }
 
-    /** Whether it is closed on this side, or has failed. */
+    /** Whether the connection was closed on this side or has failed. */
     public boolean isClosed() {
         return isClosed;
     }
--- a/node/src/main/java/tulipshed/transport/UdpSocket.java
+++ b/node/src/main/java/tulipshed/transport/UdpSocket.java
@@ -8,37 +8,37 @@
 import org.xnio.channels.SocketAddressBuffer;
 import tulipshed.proxy.EventLoop;
 
-/** One UDP socket. A datagram that cannot be sent at once is dropped. Confined to the event-loop thread. */
+/** A UDP socket. A datagram that cannot be sent at once is dropped. Confined to the event-loop thread. */
 public final class UdpSocket {
-    /** How long a socket is not read after all reads of a batch have failed. */
-    private static final double FAILURE_PAUSE_MS = 5;
+    /** Pause of reads after all reads of a batch have failed. */
+    private static final double READ_FAILURE_PAUSE_MS = 5;
 
     private final EventLoop loop;
     private final MulticastMessageChannel channel;
-    private final ByteBuffer scratch;
+    private final ByteBuffer readBuffer;
     private final int batchSize;
     private final Receiver receiver;
     private final Runnable onClosed;
     private final SocketAddressBuffer addresses = new SocketAddressBuffer();
     private boolean isClosed;
 
-    /** Takes the datagrams that a socket receives. */
+    /** Receives the datagrams of a socket. */
     public interface Receiver {
-        /** A datagram was received; the array belongs to the receiver. */
+        /** Called for each received datagram; the receiver owns the array. */
         void onDatagram(InetSocketAddress from, byte[] datagram);
     }
 
-    /** A socket that reads at most {@code batchSize} datagrams each time it is readable. */
+    /** Creates a socket that reads at most {@code batchSize} datagrams each time it is readable. */
     UdpSocket(
             EventLoop loop,
             MulticastMessageChannel channel,
-            ByteBuffer scratch,
+            ByteBuffer readBuffer,
             int batchSize,
             Receiver receiver,
             Runnable onClosed) {
         this.loop = loop;
         this.channel = channel;
-        this.scratch = scratch;
+        this.readBuffer = readBuffer;
         this.batchSize = batchSize;
         this.receiver = receiver;
         this.onClosed = onClosed;
@@ -46,23 +46,26 @@
         channel.resumeReads();
     }
 
-    /** Reads a batch; the rest waits for the loop's next iteration, so that a flooded socket does not starve the others. */
+    /**
+     * Reads a batch of datagrams. Further ones are read in the next iteration of the loop, so that a flooded socket
+     * does not starve the others.
+     */
     public void receiveBatch() {
         int failures = 0;
         for (int i = 0; i < batchSize && !isClosed; i++) {
-            scratch.clear();
+            readBuffer.clear();
             try {
-                // XNIO returns 0 both where nothing is there and for an empty datagram, which is of no use here.
-                if (channel.receiveFrom(addresses, scratch) <= 0) {
+                // XNIO returns 0 both if no datagram is available and for an empty datagram, which can be ignored here.
+                if (channel.receiveFrom(addresses, readBuffer) <= 0) {
                     return;
                 }
             } catch (IOException e) {
-                // An error that the network reported for an earlier datagram; the socket still works.
+                // The network reported an error for a datagram sent earlier; the socket remains usable.
                 failures++;
                 continue;
             }
-            byte[] datagram = new byte[scratch.flip().remaining()];
-            scratch.get(datagram);
+            byte[] datagram = new byte[readBuffer.flip().remaining()];
+            readBuffer.get(datagram);
             receiver.onDatagram((InetSocketAddress) addresses.getSourceAddress(), datagram);
         }
         if (failures == batchSize) {
@@ -70,10 +73,10 @@
         }
     }
 
-    /** Else the loop would spin for as long as the failure lasts. */
+    /** Pauses reads, as the loop would spin while the failure lasts. */
     private void pauseReads() {
         channel.suspendReads();
-        loop.schedule(FAILURE_PAUSE_MS, () -> {
+        loop.schedule(READ_FAILURE_PAUSE_MS, () -> {
             if (!isClosed) {
                 channel.resumeReads();
             }
@@ -81,7 +84,7 @@
     }
 
     /**
-     * Sends a datagram, or drops it where the kernel does not accept it now; the protocol above retransmits.
+     * Sends a datagram, or drops it if the kernel does not accept it now; the protocol above retransmits it.
      *
      * @return whether the kernel accepted it
      */
@@ -93,12 +96,12 @@
         }
     }
 
-    /** The local address. */
+    /** Local address. */
     public InetSocketAddress address() {
         return channel.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** Closes the socket; does nothing where it is closed. */
+    /** Closes the socket; does nothing if it is already closed. */
     public void close() {
         if (!isClosed) {
             isClosed = true;
--- a/node/src/main/java/tulipshed/transport/XnioEventLoop.java
+++ b/node/src/main/java/tulipshed/transport/XnioEventLoop.java
@@ -24,14 +24,14 @@
 import tulipshed.logging.NodeLog;
 
 /**
- * The node's event loop: XNIO's one I/O thread, which runs the listeners of sockets that are ready and then the tasks that
- * were given to it. Opens sockets and counts their descriptors.
+ * The node's event loop: the single I/O thread of XNIO, which runs the listeners of ready sockets and then the
+ * submitted tasks. Opens sockets and counts their descriptors.
  *
- * <p>{@link #execute}, {@link #schedule} and {@link #stop} may be called on any thread, all else on the I/O thread once the
- * node runs.
+ * <p>{@link #execute}, {@link #schedule} and {@link #stop} may be called on any thread, all other methods only on the
+ * I/O thread once the node runs.
  */
 public final class XnioEventLoop implements ConnectionLoop {
-    /** Held here, as the platform keeps only weak references to loggers and would forget their level. */
+    /** Strong references, as the platform holds loggers only weakly and would lose their levels. */
     private static final List<java.util.logging.Logger> LIBRARY_LOGGERS =
             List.of(java.util.logging.Logger.getLogger("org.xnio"), java.util.logging.Logger.getLogger("org.jboss"));
 
@@ -43,12 +43,12 @@
     private final FailureLog acceptFailures;
     private volatile boolean stopped;
 
-    /** The loop of a process that has no peer in a hot restart, and that logs nothing. */
+    /** Creates the loop of a process that has no hot-restart peer and logs nothing. */
     public XnioEventLoop(Limits limits) throws IOException {
         this(limits, new HotRestartState(), NodeLog.silent());
     }
 
-    /** The loop of a process that may share its node with another one during a hot restart. */
+    /** Creates the loop of a process that may share its node with another process during a hot restart. */
     public XnioEventLoop(Limits limits, HotRestartState hotRestartState, NodeLog log) throws IOException {
         this.limits = limits;
         this.hotRestartState = hotRestartState;
@@ -56,7 +56,8 @@
                 limits, hotRestartState, new DescriptorReserve(limits.sockets().emergencyDescriptors()));
         acceptFailures = new FailureLog(
                 this, limits.lineProtocol().protocolErrorLogMs(), log.logger("transport")::warn, "accepting failed");
-        // XNIO and its threads log a line each at the start, whose formatting alone takes a tenth of the start.
+        // XNIO and its threading library each log a line at startup, whose formatting alone takes a tenth of the
+        // startup.
         LIBRARY_LOGGERS.forEach(logger -> logger.setLevel(Level.WARNING));
         NoMBeanServerBuilder.install();
         Xnio xnio = Xnio.getInstance("nio", XnioEventLoop.class.getClassLoader());
@@ -100,16 +101,16 @@
         return hotRestartState;
     }
 
-    /** Connections and UDP sockets that are open, and connections being opened; listeners do not count. */
+    /** Number of open connections and UDP sockets and of connections being opened; listeners are not counted. */
     public int openConnections() {
         return descriptors.openCount();
     }
 
     /**
-     * Listens for TCP connections at an address. At most {@code maxConnections} of them hold descriptors: further ones wait
-     * in the kernel's backlog.
+     * Listens for TCP connections on an address. At most {@code maxConnections} of them hold descriptors; further ones
+     * wait in the kernel's backlog.
      *
-     * @param handler takes each connection, on the I/O thread
+     * @param handler receives each connection, on the I/O thread
      */
     public Acceptor listen(InetSocketAddress address, int maxConnections, Consumer<StreamConnection> handler)
             throws IOException {
@@ -120,18 +121,22 @@
     }
 
     /**
-     * Opens a UDP socket at an address; it counts among the descriptors until it is closed.
+     * Opens a UDP socket bound to an address; it is counted as a descriptor until it is closed.
      *
-     * @param scratch what datagrams are read into; may be shared by the sockets of a loop
+     * @param readBuffer the buffer into which datagrams are read; may be shared by the sockets of a loop
      */
-    public UdpSocket bindUdp(InetSocketAddress address, ByteBuffer scratch, UdpSocket.Receiver receiver)
+    public UdpSocket bindUdp(InetSocketAddress address, ByteBuffer readBuffer, UdpSocket.Receiver receiver)
             throws IOException {
         MulticastMessageChannel channel = openUdpChannel(address);
         descriptors.opened();
-        return new UdpSocket(this, channel, scratch, limits.quic().maxReadsPerEvent(), receiver, descriptors::closed);
+        return new UdpSocket(
+                this, channel, readBuffer, limits.quic().maxReadsPerEvent(), receiver, descriptors::closed);
     }
 
-    /** XNIO's own way keeps the descriptor of a socket that cannot be bound until the next garbage collection. */
+    /**
+     * Opens a datagram channel without XNIO, which leaks the descriptor of a socket that cannot be bound until the next
+     * garbage collection.
+     */
     private MulticastMessageChannel openUdpChannel(InetSocketAddress address) throws IOException {
         DatagramChannel channel = DatagramChannel.open(
                 address.getAddress() instanceof Inet6Address
@@ -140,8 +145,8 @@
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.SO_RCVBUF, limits.quic().receiveBufferBytes());
-            // XNIO would set SO_REUSEADDR, with which the kernel may give the same free port to two sockets: the first
-            // then receives nothing any more.
+            // XNIO would set SO_REUSEADDR, with which the kernel may assign the same free port to two sockets; the
+            // first one would then receive nothing.
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, false);
             channel.bind(address);
             return XnioInternals.newUdpChannel(worker, channel);
@@ -151,9 +156,9 @@
         }
     }
 
-    /** Ends the I/O thread; for tests and for programs that embed a node. */
+    /** Stops the I/O thread; for tests and for programs that embed a node. */
     public void stop() {
-        // Listeners that are running while the thread ends may still schedule tasks, which it would reject.
+        // Listeners that run while the thread ends may still schedule tasks, which the thread would reject.
         stopped = true;
         worker.shutdownNow();
     }
--- a/node/src/main/java/tulipshed/transport/XnioInternals.java
+++ b/node/src/main/java/tulipshed/transport/XnioInternals.java
@@ -19,29 +19,29 @@
 
 /**
  * Reflective access to constructors and methods of XNIO that are not public, for {@link XnioListeningSocket} and {@link
- * XnioEventLoop}. They wrap channels that this program has opened or accepted itself, which XNIO's public interface does not
- * offer: XNIO accepts on a thread of its own, pauses for at least 250 ms after a failed accept, and leaks the descriptor of a
- * UDP socket that it cannot bind.
+ * XnioEventLoop}. They wrap channels that this program has opened or accepted itself, which the public API of XNIO does
+ * not support: XNIO accepts on a separate thread, pauses for at least 250 ms after a failed accept, and leaks the
+ * descriptor of a UDP socket that it cannot bind.
  *
- * <p>The names are those of the XNIO version that the build pins. With a version that lacks them this class fails to
- * initialize, and no listener opens.
+ * <p>The names are those of the XNIO version that the build pins. With a version that lacks them, this class fails to
+ * initialize and no listener opens.
  */
 final class XnioInternals {
     private static final String PACKAGE = "org.xnio.nio.";
 
-    /** Creates a listener of a channel whose readiness is notified on the I/O thread. */
+    /** Creates a listener for a channel whose readiness is reported on the I/O thread. */
     private static final Constructor<?> NEW_SERVER;
 
     /** Registers a channel with the selector of an I/O thread. */
     private static final Method REGISTER_CHANNEL;
 
-    /** Creates a connection of a channel that is registered. */
+    /** Creates a connection for a registered channel. */
     private static final Constructor<?> NEW_CONNECTION;
 
     /** Creates a datagram channel. */
     private static final Constructor<?> NEW_UDP_CHANNEL;
 
-    /** Readiness is notified on the I/O threads, not on the accept thread. */
+    /** Reports readiness on the I/O threads rather than on the accept thread. */
     private static final boolean ON_IO_THREADS = false;
 
     static {
@@ -67,7 +67,7 @@
 
     private XnioInternals() {}
 
-    /** A listener for a channel that is bound and non-blocking; its accept listener runs on the worker's I/O thread. */
+    /** Returns a listener for a bound, non-blocking channel; its accept listener runs on the worker's I/O thread. */
     @SuppressWarnings("unchecked") // the type that XNIO's own class implements
     static AcceptingChannel<StreamConnection> newServer(XnioWorker worker, ServerSocketChannel channel)
             throws IOException {
@@ -75,14 +75,14 @@
                 call(() -> NEW_SERVER.newInstance(worker, channel, OptionMap.EMPTY, ON_IO_THREADS));
     }
 
-    /** A connection over a channel that is connected and non-blocking. */
+    /** Returns a connection over a connected, non-blocking channel. */
     static StreamConnection newConnection(XnioIoThread thread, SocketChannel channel) throws IOException {
         Object key = call(() -> REGISTER_CHANNEL.invoke(thread, channel));
         Object noCloseListener = null;
         return (StreamConnection) call(() -> NEW_CONNECTION.newInstance(thread, key, noCloseListener));
     }
 
-    /** A channel over a socket that is bound and non-blocking. */
+    /** Returns a message channel over a bound, non-blocking socket. */
     static MulticastMessageChannel newUdpChannel(XnioWorker worker, DatagramChannel channel) throws IOException {
         return (MulticastMessageChannel) call(() -> NEW_UDP_CHANNEL.newInstance(worker, channel));
     }
--- a/node/src/main/java/tulipshed/transport/XnioListeningSocket.java
+++ b/node/src/main/java/tulipshed/transport/XnioListeningSocket.java
@@ -12,15 +12,16 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * A listening socket whose readiness XNIO's I/O thread selects, and that is accepted from here, so that the node decides what
- * a failure means. Accepting on the I/O thread, rather than on a thread of its own, also never runs ahead of it.
+ * Listening socket whose readiness is selected by XNIO's I/O thread, but whose connections this class accepts itself,
+ * so that the node decides how to handle a failure. Accepting on the I/O thread instead of a separate thread also
+ * prevents accepts from running ahead of the handling of connections.
  */
 final class XnioListeningSocket implements ListeningSocket {
     private final XnioIoThread thread;
     private final ServerSocketChannel channel;
     private final AcceptingChannel<StreamConnection> server;
 
-    /** Binds a socket to an address; accepts are suspended. */
+    /** Binds a socket to an address; accepts are suspended at first. */
     XnioListeningSocket(XnioWorker worker, InetSocketAddress address, int backlog, Runnable onAcceptable)
             throws IOException {
         thread = worker.getIoThread();
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchTimeoutTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchTimeoutTest.java
@@ -169,7 +169,7 @@
                         <= 6_000,
                 "no response");
         assertTrue(
-                DEFAULTS.watchWaitMs() + ImmediateRepeats.MAX_REPEATS * DEFAULTS.watchTimeoutMs() < 6_000,
+                DEFAULTS.watchWaitMs() + ImmediateRetries.MAX_RETRIES * DEFAULTS.watchTimeoutMs() < 6_000,
                 "the last repeated call begins in time after two without a response");
         assertTrue(
                 DEFAULTS.connectTimeoutMs() + 2_000 + DEFAULTS.connectTimeoutMs() + DEFAULTS.watchTimeoutMs() <= 6_000,
