--- a/node/src/main/java/tulipshed/discovery/DiscoveryClient.java
+++ b/node/src/main/java/tulipshed/discovery/DiscoveryClient.java
@@ -166,14 +166,14 @@
             if (!isCallInProgress()) {
                 close();
             } else if (count < 0) {
-                inputEnded();
+                endOfInput();
             } else {
                 responseReceived(readBuffer.flip());
             }
         }
     }
 
-    private void inputEnded() {
+    private void endOfInput() {
         if (parser.endOfInput()) {
             completeCall(false);
         } else {
--- a/node/src/main/java/tulipshed/discovery/EndpointWatch.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointWatch.java
@@ -114,7 +114,7 @@
         DeliveryMode changed = pushed ? DeliveryMode.PUSHED_TO_AGENT : DeliveryMode.POLLED;
         if (changed != mode) {
             mode = changed;
-            watchRequests.reset();
+            watchRequests.clearExpectedRequests();
         }
         if (pushed) {
             callUnlessInProgress(false);
@@ -272,7 +272,7 @@
     }
 
     private boolean isRetriedAtOnce(CallFailure failure) {
-        return retries.allows(failure, client.isLastRequestLongPoll() || replacedLongPoll);
+        return retries.permits(failure, client.isLastRequestLongPoll() || replacedLongPoll);
     }
 
     /**
--- a/node/src/main/java/tulipshed/discovery/ImmediateRetries.java
+++ b/node/src/main/java/tulipshed/discovery/ImmediateRetries.java
@@ -19,7 +19,7 @@
      *
      * @param isWatching whether the call was a long poll or replaced one
      */
-    boolean allows(CallFailure failure, boolean isWatching) {
+    boolean permits(CallFailure failure, boolean isWatching) {
         return failure.isResponseTimeout() && (isWatching || count > 0) && count < MAX_RETRIES;
     }
 
--- a/node/src/main/java/tulipshed/discovery/WatchRequests.java
+++ b/node/src/main/java/tulipshed/discovery/WatchRequests.java
@@ -33,7 +33,7 @@
     }
 
     /** Resets the number of expected requests to 0. */
-    void reset() {
+    void clearExpectedRequests() {
         expectedRequests = 0;
     }
 }
--- a/node/src/test/java/tulipshed/discovery/DiscoveryConnectFailureTest.java
+++ b/node/src/test/java/tulipshed/discovery/DiscoveryConnectFailureTest.java
@@ -9,14 +9,17 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Calls to discovery that this machine cannot even begin: they are repeated as any others, so that the 6 s hold. */
+/**
+ * Calls to discovery that fail locally, before anything is sent, are retried like any others, so that a change is still
+ * known within 6 s.
+ */
 class DiscoveryConnectFailureTest extends EndpointWatchFixture {
-    /** The kernel refuses to connect to it as ENETUNREACH before it sends anything. */
+    /** An address to which the kernel refuses to connect with ENETUNREACH, before it sends anything. */
     private static final InetSocketAddress UNREACHABLE = new InetSocketAddress("127.255.255.255", 9);
 
     private static final int FAILURES = 4;
-    private static final long LONGEST_PAUSE_MS = 2_000;
-    private static final long SHORTEST_PAUSE_MS = 500;
+    private static final long MAX_PAUSE_MS = 2_000;
+    private static final long MIN_PAUSE_MS = 500;
 
     @Test
     void localFailureIsRepeatedWithinTwoSecondsWithoutSpinning() throws Exception {
@@ -30,14 +33,14 @@
         assertEquals("FAILED 0", nextNotification());
         long startedNs = System.nanoTime();
         for (int i = 0; i < FAILURES; i++) {
-            assertEquals("FAILED 0", notifications.poll(LONGEST_PAUSE_MS + 500, TimeUnit.MILLISECONDS));
+            assertEquals("FAILED 0", notifications.poll(MAX_PAUSE_MS + 500, TimeUnit.MILLISECONDS));
         }
-        long takenMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNs);
-        assertTrue(takenMs >= FAILURES * SHORTEST_PAUSE_MS, FAILURES + " calls in " + takenMs + " ms");
-        assertTrue(takenMs <= FAILURES * LONGEST_PAUSE_MS, FAILURES + " calls in " + takenMs + " ms");
-        CompletableFuture<Integer> open = new CompletableFuture<>();
-        loop.execute(() -> open.complete(loop.openConnections()));
-        assertEquals(0, open.get(5, TimeUnit.SECONDS), "descriptors of calls that failed");
+        long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNs);
+        assertTrue(elapsedMs >= FAILURES * MIN_PAUSE_MS, FAILURES + " calls in " + elapsedMs + " ms");
+        assertTrue(elapsedMs <= FAILURES * MAX_PAUSE_MS, FAILURES + " calls in " + elapsedMs + " ms");
+        CompletableFuture<Integer> openCount = new CompletableFuture<>();
+        loop.execute(() -> openCount.complete(loop.openConnections()));
+        assertEquals(0, openCount.get(5, TimeUnit.SECONDS), "open descriptors after failed calls");
         loop.execute(() -> watch.setDiscoveryAddress((InetSocketAddress) discovery.getLocalSocketAddress()));
         try (Socket recovered = acceptConnection()) {
             readRequest(recovered);
--- a/node/src/test/java/tulipshed/discovery/DiscoveryResponseParsingTest.java
+++ b/node/src/test/java/tulipshed/discovery/DiscoveryResponseParsingTest.java
@@ -17,7 +17,7 @@
 import tulipshed.testing.InputFuzzer;
 import tulipshed.time.WallTime;
 
-/** The parsers of discovery's HTTP responses and of the lists in them. */
+/** Tests of the parsers of discovery's HTTP responses and of the endpoint lists in them. */
 class DiscoveryResponseParsingTest {
     private static final String LIST_JSON = "{\"version\":43,\"full\":false,\"servers\":[{\"id\":\"s-5b\",\"addr\":"
             + "\"10.1.0.18:8080\",\"zone\":\"a\",\"kind\":\"m2\",\"cell\":3,\"state\":\"DRAINING\",\"weight\":1.0,"
--- a/node/src/test/java/tulipshed/discovery/EndpointStartTimesTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointStartTimesTest.java
@@ -22,7 +22,7 @@
 import tulipshed.time.ManualWallClock;
 import tulipshed.time.WallTime;
 
-/** The ages that a node gives to endpoints, whatever the wall clocks show that stamped their starts. */
+/** Endpoint ages computed by a node, independent of the wall clocks that the listed starts come from. */
 class EndpointStartTimesTest {
     private static final long MINUTE_MS = 60_000;
     private static final long HOUR_MS = 60 * MINUTE_MS;
@@ -31,7 +31,7 @@
     private final ManualClock clock = new ManualClock(1e9);
     private final EndpointStartTimes times = new EndpointStartTimes(clock);
 
-    /** The clock that stamps starts: that of discovery, or of the endpoints. */
+    /** Wall clock of the machine that sets the listed starts: discovery or the endpoints. */
     private final ManualWallClock listClock = new ManualWallClock(NOON);
 
     private void advance(long ms) {
@@ -43,7 +43,7 @@
         return startedBefore(i, 0);
     }
 
-    /** An endpoint that started so long ago by the clock that stamps starts. */
+    /** Returns an endpoint that started {@code ms} milliseconds ago by {@link #listClock}. */
     private ListedEndpoint startedBefore(int i, long ms) {
         return entry(i, EndpointStatus.SERVING, new WallTime(listClock.now().epochMs() - ms));
     }
@@ -52,7 +52,7 @@
         return new ListedEndpoint("s-" + i, status, "a", 0, "m", 1, started, null);
     }
 
-    /** Ten endpoints, one started every minute, the newest one now. */
+    /** Returns ten endpoints, one started every minute, the last one now. */
     private List<ListedEndpoint> startedEveryMinute() {
         return IntStream.range(0, 10)
                 .mapToObj(i -> startedBefore(i, (9 - i) * MINUTE_MS))
@@ -78,7 +78,7 @@
         advance(10_000);
         listClock.step(stepMs);
         assertEquals(0, ageMs(EndpointListKind.CHANGES, startedNow(3)));
-        assertEquals(0, ageMs(EndpointListKind.CHANGES, startedNow(20)), "one that is new");
+        assertEquals(0, ageMs(EndpointListKind.CHANGES, startedNow(20)), "a new endpoint");
         advance(5_000);
         listClock.step(-stepMs);
         assertEquals(0, ageMs(EndpointListKind.CHANGES, startedNow(3)), "after the step back");
@@ -119,7 +119,10 @@
                 agesMs(times, clock, EndpointListKind.CACHED, startedEveryMinute()));
     }
 
-    /** Two processes of a hot restart: the clocks of their machine differ by a step, those of their cores by their origin. */
+    /**
+     * In a hot restart the two processes of a node may read wall clocks that differ by a step of the machine's clock,
+     * and their cores have monotonic clocks with different origins.
+     */
     @ParameterizedTest
     @ValueSource(longs = {3_000, -3_000, HOUR_MS, -HOUR_MS})
     void bothProcessesOfANodeSeeTheSameAges(long stepMs) {
@@ -147,7 +150,7 @@
         assertEquals(List.of(0L, 0L), agesMs.subList(4, 6));
     }
 
-    /** What was listed already tells the clock of the first list that discovery gives, which may name only changes. */
+    /** The first list from discovery may contain only changes; the cached list then provides the reference. */
     @Test
     void firstChangesAreComparedWithTheCachedList() {
         List<ListedEndpoint> cached = startedEveryMinute();
@@ -161,11 +164,14 @@
                                 20,
                                 EndpointStatus.SERVING,
                                 new WallTime(cached.get(7).started().epochMs() - 5 * MINUTE_MS))));
-        assertEquals(0, ageMs(EndpointListKind.CHANGES, startedBefore(21, 5 * MINUTE_MS)), "the node watches now");
+        assertEquals(
+                0,
+                ageMs(EndpointListKind.CHANGES, startedBefore(21, 5 * MINUTE_MS)),
+                "after the first list of the watch");
     }
 
     @Test
-    void longAgoStaysSoAndDoesNotTellTheClock() {
+    void longAgoIsKeptAndIsNoReference() {
         assertEquals(
                 0,
                 times.translate(
@@ -174,16 +180,17 @@
                         .get(0)
                         .info()
                         .startedUs());
-        assertEquals(0, ageMs(EndpointListKind.COMPLETE, startedBefore(2, HOUR_MS)), "nothing shows that it is older");
+        assertEquals(
+                0, ageMs(EndpointListKind.COMPLETE, startedBefore(2, HOUR_MS)), "no reference shows that it is older");
     }
 
-    /** The decision module tells the processes of an endpoint apart by their starts. */
+    /** The decision module distinguishes the processes of an endpoint by their starts. */
     @Test
     void sameListedStartHasSameTranslationAndAnotherHasAnother() {
         long first = startedUs(startedNow(1));
         assertEquals(first, startedUs(startedNow(1)));
         listClock.step(1);
-        assertNotEquals(first, startedUs(startedNow(1)), "at the same moment");
+        assertNotEquals(first, startedUs(startedNow(1)), "at the same monotonic time");
     }
 
     private long startedUs(ListedEndpoint entry) {
@@ -215,7 +222,7 @@
         }
     }
 
-    /** With one clock that does not step, whatever it shows, and with what was listed before the start lost or not. */
+    /** All starts come from one clock without steps but with any offset. */
     @Property(tries = 300, seed = "31")
     void noEndpointLooksOlderThanItIsNorYoungerThanItsNotification(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -243,8 +250,10 @@
                     : random.nextBoolean() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES;
             nodeTimes.translate(kind, entries).forEach(translated -> {
                 double seenMs = Clock.toMillis(translated.info().startedUs());
-                assertTrue(seenMs >= startedMs.get(translated.info().id()) - 0.01, "older than it is");
-                assertTrue(seenMs <= notifiedMs.get(translated.info().id()) + 0.01, "younger than its notification");
+                assertTrue(seenMs >= startedMs.get(translated.info().id()) - 0.01, "older than its real age");
+                assertTrue(
+                        seenMs <= notifiedMs.get(translated.info().id()) + 0.01,
+                        "younger than the list that reported it");
             });
             nodeClock.advance(random.nextInt(1_000));
         }
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchAddressChangeTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchAddressChangeTest.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The watch when the address of discovery changes by a reload. */
+/** Change of the address of discovery by a reload. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
 class EndpointWatchAddressChangeTest extends EndpointWatchFixture {
-    /** Without this a reload would go on with lists of the old address, or request only changes from the new one. */
+    /** Guards against a reload that keeps using lists of the old address, or requests only changes from the new one. */
     @Test
     void requestsFullListFromNewAddressAndIgnoresOldOne() throws Exception {
         try (ServerSocket newAddress = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                 Socket old = discovery.accept()) {
             newAddress.setSoTimeout(5000);
             readRequest(old);
-            InetSocketAddress to = (InetSocketAddress) newAddress.getLocalSocketAddress();
-            loop.execute(() -> watch.setDiscoveryAddress(to));
-            loop.execute(() -> watch.setDiscoveryAddress(to));
+            InetSocketAddress target = (InetSocketAddress) newAddress.getLocalSocketAddress();
+            loop.execute(() -> watch.setDiscoveryAddress(target));
+            loop.execute(() -> watch.setDiscoveryAddress(target));
             try (Socket current = newAddress.accept()) {
                 assertEquals("GET /discovery/hosts HTTP/1.1", readRequest(current));
                 respond(old, "200 OK", listJson(99, true));
@@ -32,7 +32,7 @@
                 assertEquals("COMPLETE 1", nextNotification());
                 assertTrue(readRequest(current).contains("index=7&"), "one call, with the version of the new address");
                 assertTrue(
-                        notifications.isEmpty(), "neither the response of the old address nor a failure is notified");
+                        notifications.isEmpty(), "neither the response of the old address nor a failure is reported");
             }
         }
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    /** As when SIGHUP with another address follows SIGTERM. */
+    /** As if SIGHUP with a new address follows SIGTERM. */
     @Test
     void makesNoCallWhenAddressChangesAfterStop() throws Exception {
         try (Socket socket = acceptConnection();
@@ -71,27 +71,27 @@
         }
     }
 
-    /** The response to the old call arrives in the same iteration of the loop as the change. */
+    /** The response to the old call arrives in the same iteration of the event loop as the address change. */
     @Test
     void ignoresOldResponseReceivedDuringAddressChange() throws Exception {
         try (Socket old = acceptConnection();
                 ServerSocket newAddress = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             newAddress.setSoTimeout(5000);
             readRequest(old);
-            CountDownLatch held = new CountDownLatch(1);
-            CountDownLatch written = new CountDownLatch(1);
+            CountDownLatch loopBlocked = new CountDownLatch(1);
+            CountDownLatch responseWritten = new CountDownLatch(1);
             loop.execute(() -> {
-                held.countDown();
+                loopBlocked.countDown();
                 try {
-                    assertTrue(written.await(5, TimeUnit.SECONDS));
+                    assertTrue(responseWritten.await(5, TimeUnit.SECONDS));
                 } catch (InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
                 watch.setDiscoveryAddress((InetSocketAddress) newAddress.getLocalSocketAddress());
             });
-            assertTrue(held.await(5, TimeUnit.SECONDS));
+            assertTrue(loopBlocked.await(5, TimeUnit.SECONDS));
             respond(old, "200 OK", listJson(99, true));
-            written.countDown();
+            responseWritten.countDown();
             try (Socket current = newAddress.accept()) {
                 assertEquals("GET /discovery/hosts HTTP/1.1", readRequest(current));
                 assertTrue(notifications.isEmpty());
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchAgentTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchAgentTest.java
@@ -6,16 +6,19 @@
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
 
-/** The watch of an agent on the node's machine, which lists are pushed to. */
+/** Watch of an agent on the node's machine to which lists are pushed. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
 class EndpointWatchAgentTest extends EndpointWatchFixture {
-    /** Regression at the second site: the agent was never polled, so the node kept the list of its start. */
+    /**
+     * Regression: with an agent, as at the second site, the watch never polled, so the node kept the list it had at
+     * startup.
+     */
     @Test
     void pollsAgentUnpromptedAndAgainAfterEachFailure() throws Exception {
         acceptConnection().close();
         assertEquals("FAILED 0", nextNotification());
         loop.execute(() -> watch.setPushed(true));
-        // In turn: a reset, an end without a response, an error status, and no response at all.
+        // The failures are a reset, an end without a response, an error status, and no response at all.
         try (Socket socket = acceptConnection()) {
             assertTrue(readRequest(socket).startsWith("GET /discovery/hosts?index=41&wait=1000 "));
             socket.setSoLinger(true, 0);
@@ -32,7 +35,7 @@
         }
         try (Socket silent = acceptConnection()) {
             readRequest(silent);
-            assertEquals("FAILED 0", nextNotification(), "within the time in which draining has to be known");
+            assertEquals("FAILED 0", nextNotification(), "reported within the time in which a drain has to be known");
         }
         try (Socket socket = acceptConnection()) {
             readRequest(socket);
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
@@ -30,22 +30,22 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * A watch at version 41, its first call, and a server in place of discovery that responds as each test says. What the
- * decision module is notified of is collected in {@link #notifications}.
+ * Fixture with a watch at version 41 that has made its first call, and a server in place of discovery whose responses
+ * each test controls. Notifications of the decision module are collected in {@link #notifications}.
  */
 abstract class EndpointWatchFixture {
-    /** The limits of a node with that many descriptors; tests change single timeouts of them. */
+    /** Limits of a node with 1024 descriptors; tests override single timeouts. */
     static final DiscoveryLimits DEFAULTS = Limits.forDescriptors(1024).discovery();
 
     private static final String ENTRY = "{\"id\":\"s-5\",\"addr\":\"127.0.0.1:9\",\"state\":\"SERVING\"}";
 
-    /** For each list that discovery gave, and each failure to: its kind and the number of its entries. */
+    /** Kind and number of entries of each list from discovery; kind FAILED for each failure. */
     final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
 
-    /** For each entry of these lists: the age of the endpoint as the decision module knows it, in microseconds. */
+    /** Age of the endpoint of each list entry as passed to the decision module, in microseconds. */
     final BlockingQueue<Long> agesUs = new LinkedBlockingQueue<>();
 
-    /** Whether the decision module says when to call again, rather than the test. */
+    /** Whether the decision module, rather than the test, decides when to call again. */
     volatile boolean schedulesCalls;
 
     XnioEventLoop loop;
@@ -105,14 +105,14 @@
         return created;
     }
 
-    /** The next connection that the watch opens to discovery; reads from it time out. */
+    /** Accepts the next connection of the watch; reads from it time out after 5 s. */
     Socket acceptConnection() throws IOException {
         Socket socket = discovery.accept();
         socket.setSoTimeout(5000);
         return socket;
     }
 
-    /** The next notification, or null where none comes. */
+    /** Returns the next notification, or null if none arrives within 5 s. */
     String nextNotification() throws InterruptedException {
         return notifications.poll(5, TimeUnit.SECONDS);
     }
@@ -126,19 +126,19 @@
         return requestLine;
     }
 
-    /** Sends a response with this status and body. */
+    /** Sends a response with the given status and body. */
     static void respond(Socket socket, String status, String body) throws IOException {
         socket.getOutputStream()
                 .write(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** The JSON form of a list with one entry. */
+    /** Returns the JSON of a list with one entry. */
     static String listJson(int version, boolean full) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + ENTRY + "]}";
     }
 
-    /** Replaces the watch by one with these timeouts, and the usual ones else. */
+    /** Replaces the watch by one with these timeouts and the default values otherwise. */
     EndpointWatch useTimeouts(
             double connectTimeoutMs, double watchWaitMs, double watchTimeoutMs, double responseTimeoutMs)
             throws Exception {
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchSweepTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchSweepTest.java
@@ -13,27 +13,30 @@
 import tulipshed.limits.Limits;
 import tulipshed.logging.NodeLog;
 
-/** A change is known in time whatever fails between discovery and the node, in every order and at every phase. */
+/**
+ * Sweep over random faults between discovery and the node, in every order and at every phase: each change must be known
+ * within 6 s.
+ */
 class EndpointWatchSweepTest {
     private static final int RUNS = 10_000;
     private static final double RUN_MS = 90_000;
     private static final double MEAN_CHANGE_INTERVAL_MS = 1500;
     private static final double ALLOWED_MS = 6000;
 
-    /** As the decision module pauses after a failure, which DiscoveryPollingTest holds it to. */
+    /** Pauses of the decision module after a failure, which DiscoveryPollingTest checks. */
     private static final double MIN_PAUSE_MS = 650;
 
     private static final double MAX_PAUSE_MS = 1950;
     private static final double MAX_FIRST_POLL_MS = 4000;
     private static final Limits LIMITS = Limits.forDescriptors(1024);
 
-    /** A process with its watch, and when it knew of each version. */
+    /** A node process with its watch, which records when it knew of each version. */
     private static final class WatchingNode {
         private final SteppedLoop loop = new SteppedLoop();
         private final SplittableRandom random;
         private final FaultyDiscovery discovery;
         private final EndpointWatch watch;
-        private final List<Double> lists = new ArrayList<>();
+        private final List<Double> knownAtMs = new ArrayList<>();
         private double lastListMs;
 
         WatchingNode(long seed, List<FaultyDiscovery.Fault> faults) {
@@ -43,32 +46,32 @@
                     discovery::notifying, LIMITS, loop, (kind, entries) -> received(kind), loop, NodeLog.silent());
         }
 
-        /** An update brings all changes up to now: what a response says is read when it is written. */
+        /** An update contains all changes up to now, as the content of a response is read when it is sent. */
         private void received(EndpointListKind kind) {
             if (kind == EndpointListKind.FAILED) {
                 double pauseMs = MIN_PAUSE_MS + random.nextDouble() * (MAX_PAUSE_MS - MIN_PAUSE_MS);
                 loop.schedule(pauseMs, watch::watch);
                 return;
             }
-            while (lists.size() < discovery.changesMs().size()) {
-                lists.add(loop.nowMs());
+            while (knownAtMs.size() < discovery.changesMs().size()) {
+                knownAtMs.add(loop.nowMs());
             }
             lastListMs = loop.nowMs();
         }
 
-        private void play() {
+        private void run() {
             for (double atMs = 0; atMs < RUN_MS; atMs += 2 * MEAN_CHANGE_INTERVAL_MS * random.nextDouble()) {
                 discovery.changeAt(atMs);
             }
-            drawOutages();
-            drawRestartsAndReloads();
+            scheduleOutages();
+            scheduleRestartsAndReloads();
             watch.requestInitialList();
             watch.setPushed(false);
             loop.schedule(MAX_FIRST_POLL_MS * random.nextDouble(), watch::watch);
             loop.runUntil(RUN_MS);
         }
 
-        private void drawOutages() {
+        private void scheduleOutages() {
             double atMs = 0;
             while (atMs < RUN_MS) {
                 double fromMs = atMs + RUN_MS / 3 * random.nextDouble();
@@ -77,8 +80,11 @@
             }
         }
 
-        /** The other process of a hot restart has a newer list; a reload names another address of discovery. */
-        private void drawRestartsAndReloads() {
+        /**
+         * Schedules calls to catch up with a newer list of the other process of a hot restart, and reloads that change
+         * the address of discovery.
+         */
+        private void scheduleRestartsAndReloads() {
             for (int i = 0; i < random.nextInt(4); i++) {
                 loop.schedule(RUN_MS * random.nextDouble(), watch::catchUp);
             }
@@ -88,12 +94,12 @@
             }
         }
 
-        /** The first change that was not known in time, or none. */
+        /** Returns a description of the first change that was not known in time, or nothing. */
         private List<String> lateChange(long seed) {
             for (int i = 0; i < discovery.changesMs().size(); i++) {
                 double changedMs = discovery.changesMs().get(i);
                 double dueMs = discovery.dueMs(changedMs, ALLOWED_MS);
-                double knownMs = i < lists.size() ? lists.get(i) : Double.POSITIVE_INFINITY;
+                double knownMs = i < knownAtMs.size() ? knownAtMs.get(i) : Double.POSITIVE_INFINITY;
                 if (dueMs < RUN_MS && knownMs > dueMs) {
                     return List.of(String.format(
                             "seed %d: changed at %.0f ms, known at %.0f, due at %.0f; calls: %s",
@@ -105,23 +111,26 @@
     }
 
     private static void assertKnownInTime(List<FaultyDiscovery.Fault> faults) {
-        List<String> late = new ArrayList<>();
+        List<String> lateChanges = new ArrayList<>();
         for (long seed = 1; seed <= RUNS; seed++) {
             WatchingNode node = new WatchingNode(seed, faults);
-            node.play();
-            assertTrue(node.lastListMs > 0, "a run without a list shows nothing");
-            late.addAll(node.lateChange(seed));
+            node.run();
+            assertTrue(node.lastListMs > 0, "a run without a list checks nothing");
+            lateChanges.addAll(node.lateChange(seed));
         }
-        assertEquals(List.of(), late.subList(0, Math.min(1, late.size())), () -> late.size() + " runs");
+        assertEquals(
+                List.of(), lateChanges.subList(0, Math.min(1, lateChanges.size())), () -> lateChanges.size() + " runs");
     }
 
-    /** A discovery under load that responds late, or refuses two calls in a row at once, leaves changes known in time. */
+    /**
+     * Changes are known in time although an overloaded discovery responds late, or refuses two calls in a row at once.
+     */
     @Test
     void changesAreKnownInTimeThroughRefusedAndSlowCalls() {
         assertKnownInTime(List.of(FaultyDiscovery.Fault.REFUSED, FaultyDiscovery.Fault.SLOW));
     }
 
-    /** Two failed calls in a row, of any kind, with a pause after each, take over 6 s. */
+    /** Two failed calls in a row, of any kind and with a pause after each, take more than 6 s. */
     @Test
     @Tag("known-red")
     void changesAreKnownInTimeWhateverFails() {
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.time.SystemWallClock;
 
-/** How the watch makes calls, and what it passes on of their results. */
+/** Tests of the calls of the watch and of the results it passes on. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
 class EndpointWatchTest extends EndpointWatchFixture {
     @Test
@@ -40,7 +40,7 @@
         }
     }
 
-    /** After a failure, the decision module says when to call again. */
+    /** After a failure, the decision module decides when to call again. */
     @Test
     void reportsEachFailureOnceAndWaitsForNextWatchRequest() throws Exception {
         for (String response : List.of("503 Service Unavailable|", "200 OK|{", "200 OK|{\"version\":1}")) {
@@ -63,7 +63,7 @@
         assertTrue(notifications.isEmpty());
     }
 
-    /** Without this a node whose clients have all migrated would not end, for the connection of its watch. */
+    /** Otherwise a node whose clients have all migrated would not shut down, because of the connection of its watch. */
     @Test
     void closesConnectionAndMakesNoCallAfterStop() throws Exception {
         try (Socket socket = discovery.accept()) {
@@ -72,11 +72,14 @@
             loop.execute(watch::watch);
             assertEquals(-1, socket.getInputStream().read());
             loop.execute(() -> notifications.add("open " + watch.isConnected()));
-            assertEquals("open false", nextNotification(), "and no failure is notified");
+            assertEquals("open false", nextNotification(), "and no failure is reported");
         }
     }
 
-    /** Regression: the start was read as a time of the node's own clock, so an endpoint could look an hour old at once. */
+    /**
+     * Regression: the start was interpreted as a time of the node's own clock, so a new endpoint could appear to be an
+     * hour old.
+     */
     @Test
     void startCountsFromItsNotificationWhateverItsClockShows() throws Exception {
         long hourMs = 3_600_000;
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchTimeoutTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchTimeoutTest.java
@@ -13,10 +13,13 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.testing.ListenerBacklog;
 
-/** The deadlines of the steps of a call. */
+/** Tests of the deadlines of the steps of a call. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
 class EndpointWatchTimeoutTest extends EndpointWatchFixture {
-    /** Regression: silence was noticed after 12 s and the call repeated a second later, so draining endpoints were used. */
+    /**
+     * Regression: a missing response was detected after 12 s and the call retried a second later, so the node used
+     * endpoints that were draining.
+     */
     @Test
     void reopensSilentWatchAtOnceWithoutWaiting() throws Exception {
         useTimeouts(60_000, 100, 100, 60_000);
@@ -24,8 +27,8 @@
             assertTrue(readRequest(silent).startsWith("GET /discovery/hosts?index=41&wait=100 "));
             try (Socket reopened = acceptConnection()) {
                 assertTrue(readRequest(reopened).startsWith("GET /discovery/hosts?index=41&wait=0 "));
-                assertEquals(-1, silent.getInputStream().read(), "the silent one is abandoned");
-                assertTrue(notifications.isEmpty(), "without a prompt by the decision module");
+                assertEquals(-1, silent.getInputStream().read(), "the call without a response is abandoned");
+                assertTrue(notifications.isEmpty(), "without a request by the decision module");
                 respond(reopened, "200 OK", listJson(42, false));
                 assertEquals("CHANGES 1", nextNotification());
                 assertTrue(readRequest(reopened).startsWith("GET /discovery/hosts?index=42&wait=100 "));
@@ -34,8 +37,9 @@
     }
 
     /**
-     * Regression: after two silent calls in a row a pause followed, and a drain was known up to 7.5 s after discovery had it.
-     * Where the third gets no response either, discovery is faulty, and the decision module spreads the calls.
+     * Regression: after two calls in a row without a response a pause followed, and a drain was known up to 7.5 s after
+     * discovery had it. If the third call gets no response either, discovery is faulty, and the decision module spreads
+     * the calls.
      */
     @Test
     void repeatsSecondSilentCallAtOnceAndReportsThirdAsFailure() throws Exception {
@@ -46,8 +50,8 @@
             assertTrue(readRequest(reopened).contains("&wait=0 "));
             try (Socket again = acceptConnection()) {
                 assertTrue(readRequest(again).contains("&wait=0 "));
-                assertEquals(-1, reopened.getInputStream().read(), "the silent one is abandoned");
-                assertTrue(notifications.isEmpty(), "without a prompt by the decision module");
+                assertEquals(-1, reopened.getInputStream().read(), "the call without a response is abandoned");
+                assertTrue(notifications.isEmpty(), "without a request by the decision module");
                 assertEquals("FAILED 0", nextNotification());
                 assertEquals(-1, again.getInputStream().read(), "closed");
                 loop.execute(() -> notifications.add("open " + watch.isConnected()));
@@ -56,7 +60,7 @@
         }
     }
 
-    /** After a response, silence is met as the first time. */
+    /** A response resets the number of immediate retries. */
     @Test
     void repeatsSilentCallsAtOnceAgainAfterAResponse() throws Exception {
         useTimeouts(60_000, 100, 100, 60_000);
@@ -78,36 +82,36 @@
     }
 
     /**
-     * Regression: a call that replaced a long poll to catch up with the other process of a hot restart was followed by a pause
-     * where it was silent, although the long poll had waited for seconds before it.
+     * Regression: if a call that replaced a long poll, to catch up with the other process of a hot restart, got no
+     * response, a pause followed, although the long poll had already waited for seconds.
      */
     @Test
     void repeatsSilentCatchUpOfAWatchAtOnce() throws Exception {
-        EndpointWatch impatientWatch = useTimeouts(60_000, 60_000, 300, 60_000);
+        EndpointWatch shortTimeoutWatch = useTimeouts(60_000, 60_000, 300, 60_000);
         try (Socket first = acceptConnection()) {
             readRequest(first);
             respond(first, "200 OK", listJson(42, false));
             assertEquals("CHANGES 1", nextNotification());
             assertTrue(readRequest(first).contains("index=42&wait=60000 "));
-            loop.execute(impatientWatch::catchUp);
+            loop.execute(shortTimeoutWatch::catchUp);
             try (Socket silent = acceptConnection()) {
                 assertTrue(readRequest(silent).contains("index=42&wait=0 "));
                 try (Socket repeated = acceptConnection()) {
                     assertTrue(readRequest(repeated).contains("index=42&wait=0 "));
-                    assertTrue(notifications.isEmpty(), "without a prompt by the decision module");
+                    assertTrue(notifications.isEmpty(), "without a request by the decision module");
                 }
             }
         }
     }
 
-    /** Regression: with one timeout for the entire call, a connect that hangs was noticed after 12 s. */
+    /** Regression: with one timeout for the entire call, a hanging connect was detected after 12 s. */
     @Test
     void abandonsConnectionAttemptAfterConnectTimeout() throws Exception {
-        EndpointWatch impatientWatch = useTimeouts(200, 60_000, 60_000, 60_000);
+        EndpointWatch shortTimeoutWatch = useTimeouts(200, 60_000, 60_000, 60_000);
         try (Socket replaced = acceptConnection();
                 ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> queued = ListenerBacklog.fill(full);
-            loop.execute(() -> impatientWatch.setDiscoveryAddress((InetSocketAddress) full.getLocalSocketAddress()));
+            loop.execute(() -> shortTimeoutWatch.setDiscoveryAddress((InetSocketAddress) full.getLocalSocketAddress()));
             assertEquals("FAILED 0", nextNotification());
             for (Socket socket : queued) {
                 socket.close();
@@ -116,22 +120,23 @@
     }
 
     /**
-     * Regression: with a part of the response, or one that arrives byte by byte, the call was kept for 12 s; after two of
-     * these in a row a pause followed.
+     * Regression: a call whose response was incomplete, or arrived byte by byte, was kept for 12 s; after two of these
+     * in a row a pause followed.
      */
     @Test
     void reopensWatchAfterIncompleteResponse() throws Exception {
         useTimeouts(60_000, 60_000, 60_000, 200);
-        try (Socket half = acceptConnection()) {
-            readRequest(half);
-            half.getOutputStream()
+        try (Socket incomplete = acceptConnection()) {
+            readRequest(incomplete);
+            incomplete
+                    .getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{".getBytes(StandardCharsets.US_ASCII));
             try (Socket slow = acceptConnection()) {
                 assertTrue(readRequest(slow).contains("&wait=0 "));
                 sendSlowly(slow);
                 try (Socket again = acceptConnection()) {
                     assertTrue(readRequest(again).contains("&wait=0 "));
-                    assertTrue(notifications.isEmpty(), "without a prompt by the decision module");
+                    assertTrue(notifications.isEmpty(), "without a request by the decision module");
                     sendSlowly(again);
                     assertEquals("FAILED 0", nextNotification(), "after two repeats, the decision module is notified");
                 }
@@ -140,12 +145,12 @@
     }
 
     /** Sends a byte every few milliseconds until the remote end closes the connection. */
-    private static void sendSlowly(Socket to) throws IOException {
+    private static void sendSlowly(Socket socket) throws IOException {
         new Thread(() -> {
                     try {
                         for (byte b :
                                 ("HTTP/1.1 200 OK\r\nX: " + "x".repeat(2000)).getBytes(StandardCharsets.US_ASCII)) {
-                            to.getOutputStream().write(b);
+                            socket.getOutputStream().write(b);
                             Thread.sleep(5);
                         }
                     } catch (IOException | InterruptedException ended) {
@@ -155,7 +160,9 @@
                 .start();
     }
 
-    /** The decision module waits less than 2 s (BalancerTest), so a change is known within 6 s of any failed call. */
+    /**
+     * The decision module pauses for less than 2 s (BalancerTest), so a change is known within 6 s of any failed call.
+     */
     @Test
     void timeoutsOfAllStepsFitIntoSixSeconds() {
         assertTrue(
@@ -173,7 +180,7 @@
                 "the last repeated call begins in time after two without a response");
         assertTrue(
                 DEFAULTS.connectTimeoutMs() + 2_000 + DEFAULTS.connectTimeoutMs() + DEFAULTS.watchTimeoutMs() <= 6_000,
-                "a connect that hangs");
+                "a hanging connect");
         assertTrue(
                 DEFAULTS.watchTimeoutMs() + DEFAULTS.responseTimeoutMs() + 2_000 + DEFAULTS.watchTimeoutMs() <= 6_000,
                 "a slow response that starts late");
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchVersionTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchVersionTest.java
@@ -6,10 +6,10 @@
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
 
-/** Which list the watch requests: changes since a version, changes at once, or the full list. */
+/** Tests of which list the watch requests: changes since a version, immediate changes, or the full list. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
 class EndpointWatchVersionTest extends EndpointWatchFixture {
-    /** Without this a process that takes over would wait for the next change before it knows the last one. */
+    /** Otherwise a process that takes over would learn of the last change only when the next one occurs. */
     @Test
     void catchUpRequestsImmediateResponse() throws Exception {
         try (Socket socket = discovery.accept()) {
@@ -34,7 +34,7 @@
             loop.execute(watch::catchUp);
             try (Socket current = acceptConnection()) {
                 assertTrue(readRequest(current).startsWith("GET /discovery/hosts?index=41&wait=0 "));
-                assertEquals(-1, replaced.getInputStream().read(), "abandoned for it");
+                assertEquals(-1, replaced.getInputStream().read(), "abandoned in favour of the new call");
                 assertTrue(notifications.isEmpty());
             }
         }
--- a/node/src/test/java/tulipshed/discovery/FaultyDiscovery.java
+++ b/node/src/test/java/tulipshed/discovery/FaultyDiscovery.java
@@ -11,11 +11,11 @@
 import tulipshed.limits.DiscoveryLimits;
 
 /**
- * A discovery whose list changes now and then and whose calls fail by chance, on a stepped clock. At most two calls in a row
- * fail by themselves; in an outage each one does. For one thread.
+ * Simulated discovery on a stepped clock, whose list changes over time and whose calls fail at random. At most two
+ * consecutive calls fail outside an outage; in an outage every call fails. For use by one thread.
  */
 final class FaultyDiscovery implements DiscoveryCalls {
-    /** How often in a row a call may fail outside an outage. */
+    /** Maximum number of consecutive failed calls outside an outage. */
     private static final int MAX_CONSECUTIVE_FAULTS = 2;
 
     private static final double FAULT_PROBABILITY = 0.3;
@@ -27,7 +27,7 @@
     private final SteppedLoop loop;
     private final DiscoveryLimits limits;
     private final SplittableRandom random;
-    private final List<Fault> allowed;
+    private final List<Fault> allowedFaults;
     private final List<Double> changesMs = new ArrayList<>();
     private final List<Outage> outages = new ArrayList<>();
     private final List<String> history = new ArrayList<>();
@@ -36,45 +36,45 @@
     private ListRequest request;
     private boolean inProgress;
 
-    /** What the call in progress does at the next change; null where it does not wait for one. */
-    private Runnable atChange;
+    /** Action of the call in progress at the next change; null if it does not wait for one. */
+    private Runnable onChange;
 
     private long callCount;
     private int consecutiveFaults;
 
-    /** How a call fails. */
+    /** Kinds of failure of a call. */
     enum Fault {
         /** No byte of the response arrives. */
         SILENT,
-        /** The response begins in time and is never complete. */
+        /** The response begins in time but is never complete. */
         INCOMPLETE,
         /** The connection is reset while the call waits. */
         RESET,
         /** The call is refused as soon as it arrives. */
         REFUSED,
-        /** The call is refused after it has waited for its turn. */
+        /** The call is refused after waiting to be handled. */
         REFUSED_LATE,
-        /** The call is answered after it has waited for its turn. */
+        /** The response is sent after the call has waited to be handled. */
         SLOW
     }
 
-    /** A time in which no call gets through: connections are refused, or hang. */
+    /** Period in which no call succeeds: connections are refused, or hang. */
     record Outage(double fromMs, double untilMs, boolean isHanging) {}
 
-    FaultyDiscovery(SteppedLoop loop, DiscoveryLimits limits, SplittableRandom random, List<Fault> allowed) {
+    FaultyDiscovery(SteppedLoop loop, DiscoveryLimits limits, SplittableRandom random, List<Fault> allowedFaults) {
         this.loop = loop;
         this.limits = limits;
         this.random = random;
-        this.allowed = allowed;
+        this.allowedFaults = allowedFaults;
     }
 
-    /** Sets who is notified of the end of each call. */
+    /** Sets the listener that is notified of the end of each call. */
     DiscoveryCalls notifying(Listener callListener) {
         listener = callListener;
         return this;
     }
 
-    /** The list changes at a moment. */
+    /** Schedules a change of the list. */
     void changeAt(double atMs) {
         loop.schedule(atMs - loop.nowMs(), () -> {
             changesMs.add(atMs);
@@ -82,7 +82,10 @@
         });
     }
 
-    /** No call gets through for some time; one that is in progress ends with a reset, or stays silent and counts as a fault. */
+    /**
+     * Schedules an outage. A call in progress at its start fails with a reset, or gets no response and counts as a
+     * fault.
+     */
     void addOutage(Outage outage) {
         outages.add(outage);
         loop.schedule(outage.fromMs() - loop.nowMs(), () -> {
@@ -90,14 +93,18 @@
                 fail(CallFailure.CONNECTION_LOST);
             } else if (inProgress) {
                 long call = ++callCount;
-                atChange = null;
+                onChange = null;
                 consecutiveFaults++;
-                later(call, request.waitMs() + listener.responseTimeoutMs(), () -> fail(CallFailure.NO_RESPONSE));
+                scheduleForCall(
+                        call, request.waitMs() + listener.responseTimeoutMs(), () -> fail(CallFailure.NO_RESPONSE));
             }
         });
     }
 
-    /** When a node counts as notified of a change, in milliseconds: 6 s after discovery had it and could be reached. */
+    /**
+     * Returns the time by which a node must know of a change, in milliseconds: {@code allowedMs} after discovery had
+     * the change and was reachable.
+     */
     double dueMs(double changedMs, double allowedMs) {
         double dueMs = changedMs + allowedMs;
         for (Outage outage : outages) {
@@ -112,14 +119,14 @@
         return changesMs;
     }
 
-    /** The calls and how they ended, for messages. */
+    /** Calls and their results, for failure messages. */
     List<String> history() {
         return history;
     }
 
-    private Outage outage() {
+    private Outage currentOutage() {
         return outages.stream()
-                .filter(o -> o.fromMs() <= loop.nowMs() && loop.nowMs() < o.untilMs())
+                .filter(each -> each.fromMs() <= loop.nowMs() && loop.nowMs() < each.untilMs())
                 .findFirst()
                 .orElse(null);
     }
@@ -128,64 +135,66 @@
     public void call(ListRequest newRequest) {
         request = newRequest;
         inProgress = true;
-        atChange = null;
+        onChange = null;
         long call = ++callCount;
-        Outage outage = outage();
+        Outage outage = currentOutage();
         boolean faulty = consecutiveFaults < MAX_CONSECUTIVE_FAULTS && random.nextDouble() < FAULT_PROBABILITY;
         if (outage != null && outage.isHanging()) {
-            later(call, limits.connectTimeoutMs(), () -> fail(CallFailure.CONNECT_TIMEOUT));
+            scheduleForCall(call, limits.connectTimeoutMs(), () -> fail(CallFailure.CONNECT_TIMEOUT));
         } else if (outage != null) {
-            later(call, latencyMs(), () -> fail(CallFailure.connectFailed(new IOException("refused"))));
+            scheduleForCall(call, latencyMs(), () -> fail(CallFailure.connectFailed(new IOException("refused"))));
         } else if (faulty) {
             consecutiveFaults++;
-            begin(call, allowed.get(random.nextInt(allowed.size())));
+            startFaultyCall(call, allowedFaults.get(random.nextInt(allowedFaults.size())));
         } else {
             consecutiveFaults = 0;
-            later(call, latencyMs(), () -> awaitChange(call, this::respond));
+            scheduleForCall(call, latencyMs(), () -> awaitChange(call, this::respond));
         }
     }
 
-    private void begin(long call, Fault fault) {
+    private void startFaultyCall(long call, Fault fault) {
         history.add(String.format("%.0f %s", loop.nowMs(), fault));
         switch (fault) {
             case SILENT ->
-                later(call, request.waitMs() + listener.responseTimeoutMs(), () -> fail(CallFailure.NO_RESPONSE));
-            case INCOMPLETE -> later(call, latencyMs(), () -> awaitChange(call, () -> stall(call)));
+                scheduleForCall(
+                        call, request.waitMs() + listener.responseTimeoutMs(), () -> fail(CallFailure.NO_RESPONSE));
+            case INCOMPLETE -> scheduleForCall(call, latencyMs(), () -> awaitChange(call, () -> stall(call)));
             case RESET ->
-                later(
+                scheduleForCall(
                         call,
                         latencyMs() + random.nextDouble() * request.waitMs(),
                         () -> fail(CallFailure.CONNECTION_LOST));
-            case REFUSED -> later(call, latencyMs(), () -> complete(UNAVAILABLE, ""));
+            case REFUSED -> scheduleForCall(call, latencyMs(), () -> complete(UNAVAILABLE, ""));
             case REFUSED_LATE ->
-                later(call, random.nextDouble() * limits.watchTimeoutMs(), () -> complete(UNAVAILABLE, ""));
+                scheduleForCall(call, random.nextDouble() * limits.watchTimeoutMs(), () -> complete(UNAVAILABLE, ""));
             case SLOW ->
-                later(call, random.nextDouble() * limits.watchTimeoutMs(), () -> awaitChange(call, this::respond));
+                scheduleForCall(
+                        call, random.nextDouble() * limits.watchTimeoutMs(), () -> awaitChange(call, this::respond));
             default -> throw new IllegalStateException();
         }
     }
 
-    /** Acts once the list is newer than that of the request, or the wait is over. */
+    /** Runs the action once the list is newer than the requested version, or the wait is over. */
     private void awaitChange(long call, Runnable action) {
         if (isNewer() || request.waitMs() == 0) {
             action.run();
             return;
         }
-        atChange = action;
-        later(call, request.waitMs(), this::endWait);
+        onChange = action;
+        scheduleForCall(call, request.waitMs(), this::endWait);
     }
 
     private void endWait() {
-        Runnable action = atChange;
-        atChange = null;
+        Runnable action = onChange;
+        onChange = null;
         if (inProgress && action != null) {
             action.run();
         }
     }
 
-    /** The response has begun and does not go on. */
+    /** Simulates a response that has begun and does not continue. */
     private void stall(long call) {
-        later(call, limits.responseTimeoutMs(), () -> fail(CallFailure.INCOMPLETE_RESPONSE));
+        scheduleForCall(call, limits.responseTimeoutMs(), () -> fail(CallFailure.INCOMPLETE_RESPONSE));
     }
 
     private boolean isNewer() {
@@ -204,7 +213,7 @@
         return random.nextDouble() * MAX_LATENCY_MS;
     }
 
-    private void later(long call, double delayMs, Runnable action) {
+    private void scheduleForCall(long call, double delayMs, Runnable action) {
         loop.schedule(delayMs, () -> {
             if (inProgress && call == callCount) {
                 action.run();
--- a/node/src/test/java/tulipshed/discovery/SteppedLoop.java
+++ b/node/src/test/java/tulipshed/discovery/SteppedLoop.java
@@ -4,7 +4,7 @@
 import tulipshed.proxy.EventLoop;
 import tulipshed.time.Clock;
 
-/** An event loop and its clock, which moves only from one task to the next. For one thread. */
+/** Event loop with a virtual clock that advances only from one task to the next. For use by one thread. */
 final class SteppedLoop implements EventLoop, Clock {
     private final PriorityQueue<Task> tasks = new PriorityQueue<>();
     private double nowMs;
@@ -33,7 +33,7 @@
         return nowMs;
     }
 
-    /** Runs all tasks that are due up to a moment, in milliseconds. */
+    /** Runs all tasks due by {@code endMs} milliseconds and sets the clock to that time. */
     void runUntil(double endMs) {
         while (!tasks.isEmpty() && tasks.peek().atMs() <= endMs) {
             Task task = tasks.remove();
--- a/node/src/test/java/tulipshed/peer/PeerSocketTest.java
+++ b/node/src/test/java/tulipshed/peer/PeerSocketTest.java
@@ -41,7 +41,7 @@
     private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private DatagramSocket peer;
     private DatagramSocket broadcast;
@@ -67,14 +67,14 @@
         loop.stop();
     }
 
-    /** Starts node 0, whose peer is node 1; {@code handler} is what its decision module does with each message. */
+    /** Starts node 0, whose peer is node 1; {@code handler} handles each message in place of the decision module. */
     private void start(boolean allowed, MessageHandler handler) throws Exception {
         start(allowed, (InetSocketAddress) broadcast.getLocalSocketAddress(), handler);
     }
 
     private void start(boolean allowed, InetSocketAddress allPeers, MessageHandler handler) throws Exception {
         Path file = Files.writeString(
-                folder.resolve("node.json"),
+                directory.resolve("node.json"),
                 Files.readString(Path.of("src/test/resources/node.json"))
                         .replace("\"Peers\": false", "\"Peers\": " + allowed));
         NodeConfig config = NodeConfig.load(Map.of("PROXY_CONFIG", file.toString()));
@@ -101,7 +101,7 @@
         });
     }
 
-    /** Reacts to a message in place of the decision module. */
+    /** Handles a message in place of the decision module. */
     private interface MessageHandler {
         void handle(BalancerActions actions, int from);
     }
@@ -188,7 +188,9 @@
         return new File("/proc/self/fd").list().length;
     }
 
-    /** The other process of a hot restart may hold the address for a while; the node serves without messages until then. */
+    /**
+     * The other process of a hot restart may hold the address for a while; until then the node runs without messages.
+     */
     @Test
     void bindsOnceItsAddressIsFreeAndKeepsNoDescriptorsUntilThen() throws Exception {
         try (DatagramSocket holder = new DatagramSocket(nodeAddress)) {
@@ -209,7 +211,7 @@
         assertEquals("1:a", received.poll(5, TimeUnit.SECONDS));
     }
 
-    /** The kernel refuses to send to an address of the group, as EACCES; the socket goes on. */
+    /** The kernel refuses to send to the broadcast address with EACCES; the socket remains usable. */
     @Test
     void datagramThatTheKernelRefusesIsDroppedAndOthersAreSent() throws Exception {
         start(true, new InetSocketAddress("255.255.255.255", 9), (actions, from) -> {
--- a/node/src/test/java/tulipshed/transport/AcceptorTest.java
+++ b/node/src/test/java/tulipshed/transport/AcceptorTest.java
@@ -19,7 +19,7 @@
 import tulipshed.limits.Limits;
 import tulipshed.proxy.EventLoop;
 
-/** A listener whose accepts fail as a test has it, on a loop whose timers the test runs. */
+/** Tests of a listener whose accepts fail under control of the test, on a loop whose timers the test runs. */
 class AcceptorTest {
     private static final Limits LIMITS = Limits.forDescriptors(1024);
     private static final int BATCH_SIZE = LIMITS.sockets().maxAcceptsPerEvent();
@@ -52,9 +52,9 @@
         acceptor.start(socket);
     }
 
-    /** A connection of which only the end matters. */
-    private static final class Connection extends StreamConnection {
-        Connection() {
+    /** Connection without a socket; only its end is of interest. */
+    private static final class FakeConnection extends StreamConnection {
+        FakeConnection() {
             super(null);
         }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Accepts fail as often as is said, then one connection after the other comes. */
+    /** Socket whose next accepts fail a given number of times and then return the waiting connections. */
     private static final class ScriptedSocket implements ListeningSocket {
         private int failures;
         private int waiting;
@@ -103,7 +103,7 @@
                 return null;
             }
             waiting--;
-            return new Connection();
+            return new FakeConnection();
         }
 
         @Override
@@ -127,7 +127,7 @@
         }
     }
 
-    /** Keeps what is scheduled until the test runs it. */
+    /** Loop that collects scheduled tasks until the test runs them. */
     private static final class ManualLoop implements EventLoop {
         private final ArrayDeque<Double> delaysMs = new ArrayDeque<>();
         private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
@@ -157,12 +157,12 @@
         socket.waiting = 3;
         acceptor.onAcceptable();
         assertEquals(3, handled.size());
-        assertTrue(loop.tasks.isEmpty(), "nothing waits");
+        assertTrue(loop.tasks.isEmpty(), "no retry is scheduled");
         assertFalse(socket.suspended);
         assertEquals(List.of("accepting failed: 1, last: Too many open files in system"), lines);
     }
 
-    /** Neither a loop that spins nor clients that wait for long. */
+    /** While accepts fail, the loop must not spin and clients must not wait long. */
     @Test
     void pausesForMillisecondsWhileAcceptsFail() {
         hasDescriptors = false;
@@ -187,7 +187,7 @@
     }
 
     @Test
-    void acceptsWithReserveAndRejectsUntilItIsWholeAgain() {
+    void acceptsWithReserveAndRejectsUntilItIsFullAgain() {
         hasDescriptors = false;
         List<Boolean> capacity = new ArrayList<>();
         handler = connection -> {
@@ -197,7 +197,7 @@
         socket.failures = 5;
         socket.waiting = 4;
         acceptor.onAcceptable();
-        assertEquals(List.of(false, false), capacity, "one for each descriptor given up");
+        assertEquals(List.of(false, false), capacity, "one for each reserved descriptor released");
         assertTrue(socket.suspended);
         assertEquals(1, loop.tasks.size());
         assertTrue(loop.delaysMs.peek() <= 5, () -> loop.delaysMs + " ms");
@@ -207,14 +207,14 @@
         hasDescriptors = true;
         socket.failures = 5;
         acceptor.onAcceptable();
-        assertEquals(List.of(false, false, false, false), capacity, "whole for a moment, and given up again");
+        assertEquals(List.of(false, false, false, false), capacity, "refilled briefly, and released again");
         loop.runNext();
         assertTrue(descriptors.hasCapacityForClient());
-        assertTrue(loop.tasks.isEmpty(), "the reserve is whole");
+        assertTrue(loop.tasks.isEmpty(), "the reserve is full");
     }
 
     @Test
-    void acceptsNoMoreThanBatchBetweenTwoSelectsAndNoMoreThanAllowedInAll() {
+    void acceptsNoMoreThanBatchBetweenTwoSelectsAndNoMoreThanMaxConnections() {
         socket.waiting = 100;
         acceptor.onAcceptable();
         assertEquals(BATCH_SIZE, handled.size());
@@ -245,7 +245,7 @@
     }
 
     @Test
-    void drainHandsOverAllThatWaitAndCloses() {
+    void drainHandlesAllWaitingConnectionsAndCloses() {
         socket.waiting = 3 * BATCH_SIZE;
         acceptor.drainAndClose();
         assertEquals(3 * BATCH_SIZE, handled.size());
--- a/node/src/test/java/tulipshed/transport/ConnectFailuresTest.java
+++ b/node/src/test/java/tulipshed/transport/ConnectFailuresTest.java
@@ -19,7 +19,7 @@
 import tulipshed.limits.Limits;
 import tulipshed.testing.LoopbackSockets;
 
-/** The types and texts that the platform gives to each error number. */
+/** Tests of the classification by the exception types and texts that Java uses for each error number. */
 class ConnectFailuresTest {
     @ParameterizedTest
     @ValueSource(
@@ -60,9 +60,9 @@
         }
     }
 
-    /** The kernel refuses a multicast address as ENETUNREACH before it sends anything. */
+    /** The kernel refuses to connect to a multicast address with ENETUNREACH before it sends anything. */
     @Test
-    void tellsRealFailuresApart() throws Exception {
+    void classifiesRealFailures() throws Exception {
         IOException unreachable = failureOf(new InetSocketAddress("224.0.0.1", 80));
         assertTrue(ConnectFailures.isLocal(unreachable), unreachable::toString);
         try (Socket closed = LoopbackSockets.reserveClosedPort()) {
--- a/node/src/test/java/tulipshed/transport/FailureLogTest.java
+++ b/node/src/test/java/tulipshed/transport/FailureLogTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.proxy.EventLoop;
 
-/** One line at the first failure, then one for all of an interval. */
+/** Tests that a failure log writes one line at the first failure, then one for all failures of an interval. */
 class FailureLogTest {
     @Test
-    void logsOneLineAnInterval() {
+    void logsOneLinePerInterval() {
         ArrayDeque<Runnable> timers = new ArrayDeque<>();
         EventLoop loop = new EventLoop() {
             @Override
--- a/node/src/test/java/tulipshed/transport/HotRestartSpoiltFileTest.java
+++ b/node/src/test/java/tulipshed/transport/HotRestartCorruptedFileTest.java
@@ -19,8 +19,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
-/** A shared file that somebody has filled with garbage, or cut off, before the start or under a process that runs. */
-class HotRestartSpoiltFileTest {
+/**
+ * Tests with a shared file that another program has filled with random bytes, or truncated, before the start or while a
+ * process runs.
+ */
+class HotRestartCorruptedFileTest {
     private static final int IDS = 8;
     private static final int SLOT_BYTES = 848;
     private static final int FIRST_RECORD = 80;
@@ -32,11 +35,14 @@
     private Path file;
 
     @BeforeEach
-    void nameFile() {
+    void setFilePath() {
         file = directory.resolve("share");
     }
 
-    /** Random bytes; many records have a mark and a length that make the rest of them count. */
+    /**
+     * Returns random bytes in which many records have a plausible established mark and text lengths, so that the other
+     * fields are evaluated.
+     */
     private static byte[] garbage(Random random) {
         byte[] bytes = new byte[random.nextInt(2 * SLOT_BYTES + 100)];
         random.nextBytes(bytes);
@@ -50,7 +56,7 @@
     }
 
     @Test
-    void believesNothingThatNoProcessCanHaveWritten() throws IOException {
+    void ignoresContentThatNoProcessCanHaveWritten() throws IOException {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
             Files.write(file, garbage(random));
@@ -63,7 +69,7 @@
                 assertTrue(state.quotaShare() > 0);
                 int connections = state.peerOpenConnections(1000);
                 assertTrue(connections >= 0 && connections <= 1000, connections + " connections, seed " + seed);
-                state.peerConnections().values().forEach(HotRestartSpoiltFileTest::assertCredible);
+                state.peerConnections().values().forEach(HotRestartCorruptedFileTest::assertValid);
                 assertTrue(state.claimId("a"), "seed " + seed);
             } finally {
                 state.close();
@@ -71,14 +77,14 @@
         }
     }
 
-    private static void assertCredible(EstablishedConnection connection) {
+    private static void assertValid(EstablishedConnection connection) {
         assertTrue(HotRestartLayout.fits(connection) && !connection.endpointId().isEmpty(), connection::toString);
         assertTrue(Double.isFinite(connection.loadHintUsPerS()) && connection.loadHintUsPerS() >= 0);
         assertFalse(connection.endpointId().contains("\uFFFD") || "\uFFFD".equals(connection.group()));
     }
 
     @Test
-    void processThatDoesNotSayWhatItDoesHasHalfOfQuota() throws IOException {
+    void halvesQuotaWhileStateOfPeerIsUnknown() throws IOException {
         HotRestartState first = new HotRestartState(file, IDS);
         HotRestartState second = new HotRestartState(file, IDS);
         first.refresh();
@@ -90,12 +96,12 @@
             assertEquals(0.5, first.quotaShare(), "state " + code);
         }
         second.refresh();
-        assertEquals(1, first.quotaShare(), "the other process has written its state again: it starts");
+        assertEquals(1, first.quotaShare(), "the other process has rewritten its state, STARTING");
     }
 
-    /** A file cut off is whole again at the next refresh; meanwhile nothing fails. */
+    /** A truncated file is complete again after the next refresh; until then no operation fails. */
     @Test
-    void fileCutOffUnderRunningProcessesIsWrittenAgain() throws IOException {
+    void rewritesFileTruncatedWhileProcessesRun() throws IOException {
         HotRestartState first = new HotRestartState(file, IDS);
         HotRestartState second = new HotRestartState(file, IDS);
         EstablishedConnection connection = new EstablishedConnection("s-1", "desk", 0.5);
@@ -113,14 +119,17 @@
             first.releaseId("b" + length);
             second.refresh();
             first.refresh();
-            assertEquals(1, Files.readAllBytes(file)[3], "this process starts, cut off at " + length);
-            assertTrue(first.isPeerServing(), "cut off at " + length);
+            assertEquals(1, Files.readAllBytes(file)[3], "state STARTING of this process, truncated at " + length);
+            assertTrue(first.isPeerServing(), "truncated at " + length);
             assertFalse(first.claimId("a"));
             assertTrue(first.peerConnections().containsValue(connection));
         }
     }
 
-    /** All bytes are there, so a process of a version that maps the file meets none that the directory has no room for. */
+    /**
+     * All blocks are allocated, so a process of a version that maps the file cannot access a page that a full file
+     * system cannot back.
+     */
     @Test
     void fileHasNoHoles() throws IOException {
         int ids = 4096;
--- a/node/src/test/java/tulipshed/transport/HotRestartFailureTest.java
+++ b/node/src/test/java/tulipshed/transport/HotRestartFailureTest.java
@@ -12,19 +12,22 @@
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
-/** A shared file whose calls fail, in the order in which a process meets them, and which works again later. */
+/**
+ * Tests with a shared file whose operations fail, in the order in which a process performs them, and succeed again
+ * later.
+ */
 class HotRestartFailureTest {
     private static final int IDS = 8;
     private static final EstablishedConnection CONNECTION = new EstablishedConnection("s-1", "desk", 0.5);
 
     private final InMemorySlots slots = new InMemorySlots(IDS);
     private final List<String> lines = new ArrayList<>();
-    private boolean opens = true;
+    private boolean canOpen = true;
 
     private HotRestartState start(int process) {
         return new HotRestartState(
                 mayWait -> {
-                    if (!opens) {
+                    if (!canOpen) {
                         throw new IOException("No locks available");
                     }
                     return slots.storage(process);
@@ -33,8 +36,8 @@
                 NodeLog.to(lines::add));
     }
 
-    private static void refresh(HotRestartState state, int times) {
-        for (int i = 0; i < times; i++) {
+    private static void refresh(HotRestartState state, int count) {
+        for (int i = 0; i < count; i++) {
             state.refresh();
         }
     }
@@ -57,7 +60,7 @@
     @Test
     void servesWithoutFileAndJoinsOnceItCanBeOpened() {
         HotRestartState second = start(1);
-        opens = false;
+        canOpen = false;
         HotRestartState first = start(0);
         publish(first);
         refresh(first, 100);
@@ -67,7 +70,7 @@
                 List.of(
                         "WARN node: hot restart unavailable, cannot use TMPDIR: java.io.IOException: No locks available"),
                 lines);
-        opens = true;
+        canOpen = true;
         refresh(first, 8);
         assertTrue(first.hasPeer());
         assertSeesPublished(second);
@@ -76,7 +79,7 @@
     }
 
     @Test
-    void joinsWhenFullDirectoryHasRoomAgain() {
+    void joinsWhenFullDirectoryHasSpaceAgain() {
         HotRestartState second = start(1);
         slots.failure = new IOException("No space left on device");
         HotRestartState first = start(0);
@@ -123,7 +126,7 @@
         assertEquals(1, lines.size(), lines::toString);
     }
 
-    /** An old failure is not repeated in the log, a new one after a quiet minute is. */
+    /** A continuing failure is logged once; a new one after a minute without failures is logged again. */
     @Test
     void logsFailureAgainAfterQuietMinute() {
         HotRestartState first = start(0);
--- a/node/src/test/java/tulipshed/transport/HotRestartInterruptedWriteTest.java
+++ b/node/src/test/java/tulipshed/transport/HotRestartInterruptedWriteTest.java
@@ -14,8 +14,9 @@
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
 /**
- * A process that is stopped after any byte of its writes, while the other one reads on. A stopped process holds its lock, so
- * this is harder than a kill, with which the lock goes and nothing is read any more.
+ * Tests in which one process is stopped after any byte of its writes while the other one continues to read. A stopped
+ * process still holds its lock, so this is a stricter case than a killed process, whose lock is released and whose slot
+ * is no longer read.
  */
 class HotRestartInterruptedWriteTest {
     private static final int IDS = 4;
@@ -33,7 +34,7 @@
         return connection;
     }
 
-    /** Writes to the first slot what was recorded, and runs the check after each byte. */
+    /** Writes the recorded bytes to the first slot, and runs the check after each byte. */
     private void replay(List<InMemorySlots.Write> writes, Runnable check) {
         for (InMemorySlots.Write write : writes) {
             for (int i = 0; i < write.content().length; i++) {
@@ -43,19 +44,19 @@
         }
     }
 
-    /** What a process that ended has left: all entries in use, by the ids and connections of the test. */
+    /** Returns a slot left by a process that ended, with all entries in use by stale IDs and connections. */
     private static byte[] staleSlot() {
-        InMemorySlots old = new InMemorySlots(IDS);
-        HotRestartState state = start(old, 0);
+        InMemorySlots previousSlots = new InMemorySlots(IDS);
+        HotRestartState state = start(previousSlots, 0);
         for (int i = 0; i < IDS; i++) {
             publish(state, STALE);
             state.claimId("stale");
         }
-        return old.firstSlot();
+        return previousSlots.firstSlot();
     }
 
     @Test
-    void halfWrittenRecordOrEntryIsNotBelieved() {
+    void ignoresPartiallyWrittenRecordOrEntry() {
         HotRestartState first = start(slots, 0);
         Set<EstablishedConnection> published = new HashSet<>();
         for (int i = 0; i < IDS; i++) {
@@ -71,21 +72,21 @@
         HotRestartState second = start(slots, 1);
 
         System.arraycopy(staleSlot(), 0, slots.firstSlot(), 0, written.length);
-        // From the lock on until the first write the slot is that of the process before.
+        // Between taking the lock and its first write, a process's slot still has the content of its predecessor.
         System.arraycopy(new byte[16], 0, slots.firstSlot(), 0, 16);
         replay(writes, () -> {
             Map<Integer, EstablishedConnection> read = second.peerConnections();
             assertTrue(published.containsAll(read.values()), read::toString);
-            assertTrue(second.claimId("stale"), "an entry is counted before its content");
+            assertTrue(second.claimId("stale"), "an entry was counted before its content was written");
             second.releaseId("stale");
         });
         assertEquals(IDS, second.peerConnections().size());
         assertFalse(second.claimId("id-4"));
     }
 
-    /** One read finds the content before a change and the mark after it, or the other way round. */
+    /** One read returns the content before a change and the established mark after it, or vice versa. */
     @Test
-    void recordThatChangesWhileItIsReadIsNotBelieved() {
+    void ignoresRecordThatChangesWhileItIsRead() {
         HotRestartState first = start(slots, 0);
         publish(first, new EstablishedConnection("s-1", "desk", 1));
         EstablishedConnection unchanged = publish(first, new EstablishedConnection("s-2", "desk", 1));
--- a/node/src/test/java/tulipshed/transport/HotRestartLayoutTest.java
+++ b/node/src/test/java/tulipshed/transport/HotRestartLayoutTest.java
@@ -25,21 +25,21 @@
 import tulipshed.proxy.HotRestartPeer.EstablishedConnection;
 
 /**
- * The bytes of the file that two processes of a node share, which may be of different versions. Offsets and values are
- * literal on purpose: a failure here means that an upgrade without interruption would break.
+ * Tests of the bytes of the file shared by two processes of a node, which may be of different versions. Offsets and
+ * values are literals on purpose: a failure here means that a hot restart between versions would break.
  *
- * <p>With entries for 8 ids and 8 connections a slot has 16 + 8 * (8 + 96) = 848 bytes.
+ * <p>With entries for 8 IDs and 8 connections, a slot has 16 + 8 * (8 + 96) = 848 bytes.
  */
 class HotRestartLayoutTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private Path file;
     private HotRestartState state;
 
     @BeforeEach
     void startProcess() throws IOException {
-        file = folder.resolve("share");
+        file = directory.resolve("share");
         state = new HotRestartState(file, 8);
     }
 
@@ -56,7 +56,7 @@
         return Arrays.copyOfRange(Files.readAllBytes(file), offset, offset + count);
     }
 
-    /** Writes bytes as a process of another version would. */
+    /** Writes bytes as a process of a different version would. */
     private void write(int offset, ByteBuffer content) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
             channel.write(content, offset);
@@ -150,7 +150,7 @@
         second.publishOpenConnections(5);
         second.claimId("a");
         second.connectionEstablished(new EstablishedConnection("s-1", null, 0));
-        assertEquals(1, bytes().getInt(0), "the first slot is the first process's");
+        assertEquals(1, bytes().getInt(0), "the first slot belongs to the first process");
         assertEquals(2, bytes().getInt(848));
         assertEquals(5, bytes().getInt(852));
         assertEquals(1, bytes().getInt(856));
--- a/node/src/test/java/tulipshed/transport/HotRestartStateTest.java
+++ b/node/src/test/java/tulipshed/transport/HotRestartStateTest.java
@@ -15,17 +15,17 @@
 import tulipshed.logging.NodeLog;
 import tulipshed.proxy.HotRestartPeer;
 
-/** The state that two processes of one node share in a file, both ends in one process. */
+/** Tests of the state shared by two processes of one node, with both ends in one process. */
 class HotRestartStateTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private Path file;
     private HotRestartState first;
 
     @BeforeEach
     void startFirstProcess() throws IOException {
-        file = folder.resolve("share");
+        file = directory.resolve("share");
         first = new HotRestartState(file, 8);
         first.markServing();
     }
@@ -54,7 +54,9 @@
         assertFalse(second.hasPeer());
     }
 
-    /** The second process still runs, and a third one takes the slot of the first, which ended. */
+    /**
+     * A third process is rejected while both slots are taken, and takes the slot of the first one once that has ended.
+     */
     @Test
     void rejectsThirdProcess() throws IOException {
         HotRestartState second = new HotRestartState(file, 8);
@@ -77,12 +79,12 @@
         first.releaseId("a");
         assertTrue(second.claimId("a"));
         for (int i = 0; i < 100; i++) {
-            assertTrue(first.claimId("x" + i), "an id without a free entry is not shared");
+            assertTrue(first.claimId("x" + i), "an ID without a free entry is not published");
             first.releaseId("x" + i);
         }
     }
 
-    /** What a process that ended left in the file must not be binding for the next one. */
+    /** State left in the file by a process that has ended must not affect the next one. */
     @Test
     void ignoresStateOfEndedProcess() throws IOException {
         first.claimId("a");
@@ -102,7 +104,7 @@
         int ungroupedRecord = first.connectionEstablished(ungrouped);
         HotRestartState second = new HotRestartState(file, 8);
         assertEquals(Map.of(groupedRecord, grouped, ungroupedRecord, ungrouped), second.peerConnections());
-        assertEquals(Map.of(), first.peerConnections(), "not its own");
+        assertEquals(Map.of(), first.peerConnections(), "not its own connections");
         first.connectionEnded(groupedRecord);
         assertEquals(Map.of(ungroupedRecord, ungrouped), second.peerConnections());
         assertEquals(groupedRecord, first.connectionEstablished(ungrouped), "its record is free again");
@@ -116,7 +118,7 @@
         assertEquals(-1, first.connectionEstablished(grouped));
         first.close();
         second.refresh();
-        assertEquals(Map.of(), second.peerConnections(), "all end with their process");
+        assertEquals(Map.of(), second.peerConnections(), "all connections end with their process");
     }
 
     @Test
--- a/node/src/test/java/tulipshed/transport/InMemorySlots.java
+++ b/node/src/test/java/tulipshed/transport/InMemorySlots.java
@@ -5,37 +5,39 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The slots of two processes in memory, whose calls can be made to fail, with a record of the first one's writes. */
+/**
+ * In-memory slots of two processes, whose operations can be made to fail, with a record of the first process's writes.
+ */
 final class InMemorySlots {
-    /** Thrown by the calls that are made to fail; null where none are. */
+    /** Thrown by all operations if not null. */
     IOException failure;
 
-    /** Run after each read. */
+    /** Runs after each read of the peer's slot. */
     Runnable afterRead = () -> {};
 
-    /** All writes of the first process in their order. */
+    /** All writes of the first process in order. */
     final List<Write> writes = new ArrayList<>();
 
     private final byte[][] slots;
 
-    /** One write to a slot. */
+    /** A write to a slot. */
     record Write(int offset, byte[] content) {}
 
     InMemorySlots(int ids) {
         slots = new byte[HotRestartLayout.SLOT_COUNT][HotRestartLayout.slotBytes(ids)];
     }
 
-    /** What the first process has written, to be changed by the test. */
+    /** Returns the slot of the first process, which the test may modify. */
     byte[] firstSlot() {
         return slots[0];
     }
 
-    /** The storage of the first or the second process, which takes the other one for alive. */
+    /** Returns the storage of the first or second process, to which the other process always appears alive. */
     HotRestartStorage storage(int process) {
         return new HotRestartStorage() {
             @Override
             public void writeOwn(int offset, ByteBuffer bytes) throws IOException {
-                failWhereWanted();
+                throwConfiguredFailure();
                 byte[] content = new byte[bytes.remaining()];
                 bytes.get(content);
                 System.arraycopy(content, 0, slots[process], offset, content.length);
@@ -46,36 +48,36 @@
 
             @Override
             public void allocatePeer() throws IOException {
-                failWhereWanted();
+                throwConfiguredFailure();
             }
 
             @Override
             public void readPeer(int offset, ByteBuffer into) throws IOException {
-                failWhereWanted();
+                throwConfiguredFailure();
                 into.put(slots[1 - process], offset, into.remaining());
                 afterRead.run();
             }
 
             @Override
             public void readOwn(int offset, ByteBuffer into) throws IOException {
-                failWhereWanted();
+                throwConfiguredFailure();
                 into.put(slots[process], offset, into.remaining());
             }
 
             @Override
             public boolean isPeerAlive() throws IOException {
-                failWhereWanted();
+                throwConfiguredFailure();
                 return true;
             }
 
             @Override
             public void close() {
-                // Nothing is held.
+                // There is nothing to release.
             }
         };
     }
 
-    private void failWhereWanted() throws IOException {
+    private void throwConfiguredFailure() throws IOException {
         if (failure != null) {
             throw failure;
         }
--- a/node/src/test/java/tulipshed/transport/NoMBeanServerBuilderTest.java
+++ b/node/src/test/java/tulipshed/transport/NoMBeanServerBuilderTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.limits.Limits;
 
-/** Guards against a start that spends its time on the platform's MBean server. */
+/** Guards against startup time spent on the platform's MBean server. */
 class NoMBeanServerBuilderTest {
     private static final int DESCRIPTORS = 256;
 
     @Test
-    void anEventLoopStartsWithoutAnMBeanServer() throws IOException {
+    void eventLoopStartsWithoutMBeanServer() throws IOException {
         XnioEventLoop loop = new XnioEventLoop(Limits.forDescriptors(DESCRIPTORS));
         try {
             assertEquals(List.of(), MBeanServerFactory.findMBeanServer(null));
--- a/node/src/test/java/tulipshed/transport/TcpConnectionFaultTest.java
+++ b/node/src/test/java/tulipshed/transport/TcpConnectionFaultTest.java
@@ -30,14 +30,14 @@
 import tulipshed.limits.Limits;
 import tulipshed.testing.LoopbackSockets;
 
-/** A connection over loopback whose system calls fail or are cut short, and whose listener fails. */
+/** Tests of a loopback connection whose system calls fail or are incomplete, or whose listener fails. */
 @Timeout(30)
 class TcpConnectionFaultTest {
     private final XnioEventLoop loop = new XnioEventLoop(Limits.forDescriptors(1024));
     private final ServerSocket server = LoopbackSockets.listen(5);
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final ByteBuffer received = ByteBuffer.allocate(5000);
-    private Runnable whenReadable = () -> {};
+    private Runnable onReadableAction = () -> {};
     private TcpConnection connection;
     private Socket remote;
 
@@ -50,9 +50,9 @@
         remote.close();
     }
 
-    /** Changes the system calls of a connection before it is used. */
+    /** Modifies the system calls of a connection before it is used. */
     private interface Fault {
-        void plant(StreamConnection connection);
+        void inject(StreamConnection connection);
     }
 
     private void open(Fault fault) throws Exception {
@@ -60,8 +60,8 @@
         loop.execute(() -> loop.connect(
                 (InetSocketAddress) server.getLocalSocketAddress(),
                 established -> {
-                    fault.plant(established);
-                    opened.complete(loop.register(established, new Recorder()));
+                    fault.inject(established);
+                    opened.complete(loop.register(established, new EventRecorder()));
                 },
                 opened::completeExceptionally));
         remote = server.accept();
@@ -69,12 +69,12 @@
         loop.execute(() -> connection.setReading(true));
     }
 
-    /** Reads what comes and notes the rest. */
-    private final class Recorder implements TcpConnection.Listener {
+    /** Records events, and reads the received bytes. */
+    private final class EventRecorder implements TcpConnection.Listener {
         @Override
         public void onReadable(TcpConnection from) {
             events.add("readable");
-            whenReadable.run();
+            onReadableAction.run();
             from.read(received);
         }
 
@@ -93,8 +93,11 @@
         return events.poll(10, TimeUnit.SECONDS);
     }
 
-    /** Waits until the loop has been through its sockets and tasks. */
-    private int openConnectionsAfterTurn() throws Exception {
+    /**
+     * Waits until the loop has processed its ready sockets and pending tasks, and returns the number of open
+     * connections.
+     */
+    private int openConnectionsAfterPendingTasks() throws Exception {
         for (int turn = 0; turn < 10; turn++) {
             CompletableFuture<Integer> done = new CompletableFuture<>();
             loop.execute(() -> done.complete(loop.openConnections()));
@@ -130,7 +133,7 @@
         remote.getOutputStream().write(1);
         assertEquals("readable", nextEvent());
         assertEquals("broken", nextEvent());
-        assertEquals(0, openConnectionsAfterTurn());
+        assertEquals(0, openConnectionsAfterPendingTasks());
         assertTrue(events.isEmpty(), events::toString);
     }
 
@@ -149,7 +152,7 @@
                         }));
         loop.execute(() -> connection.write(new byte[] {1}));
         assertEquals("broken", nextEvent());
-        assertEquals(0, openConnectionsAfterTurn());
+        assertEquals(0, openConnectionsAfterPendingTasks());
         assertTrue(events.isEmpty(), events::toString);
     }
 
@@ -176,8 +179,8 @@
                                     established.getSinkChannel().getConduit()) {
                                 @Override
                                 public int write(ByteBuffer from) throws IOException {
-                                    ByteBuffer part = from.slice(from.position(), Math.min(7, from.remaining()));
-                                    int count = super.write(part);
+                                    ByteBuffer prefix = from.slice(from.position(), Math.min(7, from.remaining()));
+                                    int count = super.write(prefix);
                                     from.position(from.position() + count);
                                     return count;
                                 }
@@ -191,22 +194,22 @@
         while (events.stream().filter("readable"::equals).count() < bytes.length) {
             Thread.onSpinWait();
         }
-        assertEquals(1, openConnectionsAfterTurn());
+        assertEquals(1, openConnectionsAfterPendingTasks());
         assertArrayEquals(bytes, received.array());
         assertTrue(events.contains("written"));
     }
 
-    /** What it left unread would be notified for ever. */
+    /** The selector would report its unread input forever. */
     @Test
-    void listenerThatFailsLosesItsConnectionAlone() throws Exception {
-        whenReadable = () -> {
+    void failingListenerClosesOnlyItsConnection() throws Exception {
+        onReadableAction = () -> {
             throw new AssertionError("a defect");
         };
         open(established -> {});
         remote.getOutputStream().write(1);
         assertEquals("readable", nextEvent());
         assertEquals("broken", nextEvent());
-        assertEquals(0, openConnectionsAfterTurn());
+        assertEquals(0, openConnectionsAfterPendingTasks());
         assertTrue(events.isEmpty(), events::toString);
     }
 
@@ -219,14 +222,14 @@
         loop.schedule(1, () -> {
             throw new IllegalStateException("a defect");
         });
-        CompletableFuture<Void> later = new CompletableFuture<>();
-        loop.schedule(5, () -> later.complete(null));
-        later.get(10, TimeUnit.SECONDS);
-        assertEquals(1, openConnectionsAfterTurn());
+        CompletableFuture<Void> timerRun = new CompletableFuture<>();
+        loop.schedule(5, () -> timerRun.complete(null));
+        timerRun.get(10, TimeUnit.SECONDS);
+        assertEquals(1, openConnectionsAfterPendingTasks());
     }
 
     @Test
-    void connectionWhoseReceiverFailsIsClosed() throws Exception {
+    void closesConnectionWhoseConsumerFails() throws Exception {
         loop.execute(() -> loop.connect(
                 (InetSocketAddress) server.getLocalSocketAddress(),
                 established -> {
@@ -236,6 +239,6 @@
         remote = server.accept();
         remote.setSoTimeout(10_000);
         assertEquals(-1, remote.getInputStream().read());
-        assertEquals(0, openConnectionsAfterTurn());
+        assertEquals(0, openConnectionsAfterPendingTasks());
     }
 }
--- a/node/src/test/java/tulipshed/transport/UdpSocketTest.java
+++ b/node/src/test/java/tulipshed/transport/UdpSocketTest.java
@@ -23,12 +23,15 @@
 import tulipshed.limits.Limits;
 import tulipshed.proxy.EventLoop;
 
-/** UDP sockets of the event loop, on the loopback interface. */
+/** Tests of UDP sockets of the event loop, on the loopback interface. */
 class UdpSocketTest {
     private static final InetSocketAddress ANY_LOOPBACK_PORT =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
-    /** With SO_REUSEADDR, XNIO's default, the kernel may give one free port to two sockets: the first then receives nothing. */
+    /**
+     * With SO_REUSEADDR, which XNIO sets by default, the kernel may assign one free port to two sockets; the first one
+     * then receives nothing.
+     */
     @Test
     void bindsEachSocketToPortOfItsOwn() throws IOException {
         XnioEventLoop loop = new XnioEventLoop(Limits.forDescriptors(4096));
@@ -46,7 +49,7 @@
         }
     }
 
-    /** A socket that is flooded is read in batches, and the other sockets are read between two of them. */
+    /** A flooded socket is read in batches, and the other sockets are read between two batches. */
     @Test
     void servesOtherSocketsWhileOneIsFlooded() throws Exception {
         Limits limits = Limits.forDescriptors(1024);
@@ -92,9 +95,9 @@
         }
     }
 
-    /** Reads that fail all the time do not keep the loop busy: after a batch of them the socket rests for a moment. */
+    /** Persistent read failures must not keep the loop busy: after a batch of failures, reads pause briefly. */
     @Test
-    void restsAfterWholeBatchOfReadsFailed() {
+    void pausesReadsAfterAllReadsOfBatchFailed() {
         List<String> calls = new ArrayList<>();
         List<Runnable> timers = new ArrayList<>();
         AtomicReference<ChannelListener<? super MulticastMessageChannel>> readListener = new AtomicReference<>();
