--- a/node/src/test/java/tulipshed/discovery/EndpointStartTimesTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointStartTimesTest.java
@@ -222,7 +222,7 @@
         }
     }
 
-    /** All starts come from one clock without steps but with any offset. */
+    /** All starts come from one clock with a random offset and without steps; lists after the cached one are full or changes. */
     @Property(tries = 300, seed = "31")
     void noEndpointLooksOlderThanItIsNorYoungerThanItsNotification(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchSweepTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchSweepTest.java
@@ -59,7 +59,7 @@
             lastListMs = loop.nowMs();
         }
 
-        private void run() {
+        private void simulate() {
             for (double atMs = 0; atMs < RUN_MS; atMs += 2 * MEAN_CHANGE_INTERVAL_MS * random.nextDouble()) {
                 discovery.changeAt(atMs);
             }
@@ -114,7 +114,7 @@
         List<String> lateChanges = new ArrayList<>();
         for (long seed = 1; seed <= RUNS; seed++) {
             WatchingNode node = new WatchingNode(seed, faults);
-            node.run();
+            node.simulate();
             assertTrue(node.lastListMs > 0, "a run without a list checks nothing");
             lateChanges.addAll(node.lateChange(seed));
         }
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchTimeoutTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchTimeoutTest.java
@@ -145,12 +145,12 @@
     }
 
     /** Sends a byte every few milliseconds until the remote end closes the connection. */
-    private static void sendSlowly(Socket socket) throws IOException {
+    private static void sendSlowly(Socket receiver) throws IOException {
         new Thread(() -> {
                     try {
                         for (byte b :
                                 ("HTTP/1.1 200 OK\r\nX: " + "x".repeat(2000)).getBytes(StandardCharsets.US_ASCII)) {
-                            socket.getOutputStream().write(b);
+                            receiver.getOutputStream().write(b);
                             Thread.sleep(5);
                         }
                     } catch (IOException | InterruptedException ended) {
--- a/node/src/test/java/tulipshed/transport/AcceptorTest.java
+++ b/node/src/test/java/tulipshed/transport/AcceptorTest.java
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void acceptsNoMoreThanBatchBetweenTwoSelectsAndNoMoreThanMaxConnections() {
+    void acceptsNoMoreThanBatchBetweenTwoSelectsAndNoMoreThanAllowedInAll() {
         socket.waiting = 100;
         acceptor.onAcceptable();
         assertEquals(BATCH_SIZE, handled.size());
@@ -245,7 +245,7 @@
     }
 
     @Test
-    void drainHandlesAllWaitingConnectionsAndCloses() {
+    void drainHandsOverAllThatWaitAndCloses() {
         socket.waiting = 3 * BATCH_SIZE;
         acceptor.drainAndClose();
         assertEquals(3 * BATCH_SIZE, handled.size());
--- a/node/src/test/java/tulipshed/transport/FailureLogTest.java
+++ b/node/src/test/java/tulipshed/transport/FailureLogTest.java
@@ -12,7 +12,7 @@
 /** Tests that a failure log writes one line at the first failure, then one for all failures of an interval. */
 class FailureLogTest {
     @Test
-    void logsOneLinePerInterval() {
+    void logsOneLineAnInterval() {
         ArrayDeque<Runnable> timers = new ArrayDeque<>();
         EventLoop loop = new EventLoop() {
             @Override
--- a/node/src/test/java/tulipshed/transport/HotRestartFailureTest.java
+++ b/node/src/test/java/tulipshed/transport/HotRestartFailureTest.java
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void joinsWhenFullDirectoryHasSpaceAgain() {
+    void joinsWhenFullDirectoryHasRoomAgain() {
         HotRestartState second = start(1);
         slots.failure = new IOException("No space left on device");
         HotRestartState first = start(0);
--- a/node/src/test/java/tulipshed/transport/NoMBeanServerBuilderTest.java
+++ b/node/src/test/java/tulipshed/transport/NoMBeanServerBuilderTest.java
@@ -13,7 +13,7 @@
     private static final int DESCRIPTORS = 256;
 
     @Test
-    void eventLoopStartsWithoutMBeanServer() throws IOException {
+    void anEventLoopStartsWithoutAnMBeanServer() throws IOException {
         XnioEventLoop loop = new XnioEventLoop(Limits.forDescriptors(DESCRIPTORS));
         try {
             assertEquals(List.of(), MBeanServerFactory.findMBeanServer(null));
--- a/node/src/test/java/tulipshed/transport/TcpConnectionFaultTest.java
+++ b/node/src/test/java/tulipshed/transport/TcpConnectionFaultTest.java
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void closesConnectionWhoseConsumerFails() throws Exception {
+    void connectionWhoseReceiverFailsIsClosed() throws Exception {
         loop.execute(() -> loop.connect(
                 (InetSocketAddress) server.getLocalSocketAddress(),
                 established -> {
