--- a/node/src/main/java/tulipshed/cli/CheckCommand.java
+++ b/node/src/main/java/tulipshed/cli/CheckCommand.java
@@ -8,12 +8,12 @@
 
 /** {@code check}: validates the configuration and the operators' file that {@code serve} would read. */
 public final class CheckCommand implements Command {
-    @Option(name = "--operators", metaVar = "FILE", usage = "the operators' file, as serve would read it")
+    @Option(name = "--operators", metaVar = "FILE", usage = "the operators' file to check with the configuration")
     private File operators;
 
     @Override
     public String description() {
-        return "reads the configuration that serve would read, says what is wrong with it or what it understood";
+        return "checks the configuration and the operators' file that serve would read; prints errors or a summary";
     }
 
     @Override
@@ -29,15 +29,15 @@
     }
 
     private static void printConfiguration(NodeConfig config) {
-        System.out.println("configuration of " + config.name() + " is sound: "
+        System.out.println("configuration of " + config.name() + " is valid: "
                 + config.settings().classes().size()
                 + " classes, " + config.settings().tenants().size() + " tenants, "
-                + config.knownServers().size() + " pool members known");
+                + config.cachedEndpointEntries().size() + " cached endpoints");
     }
 
     private void printOperatorsFile(OperatorsFile operatorsFile) {
         List<String> explanation = operatorsFile.explanation().lines();
-        System.out.println(operators + " is sound" + (explanation.isEmpty() ? "; it changes nothing" : ""));
+        System.out.println(operators + " is valid" + (explanation.isEmpty() ? "; it has no effect" : ""));
         explanation.forEach(System.out::println);
     }
 }
--- a/node/src/main/java/tulipshed/config/ConfigSchema.java
+++ b/node/src/main/java/tulipshed/config/ConfigSchema.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The fields of the configuration file that must be present, by their external names, and their types. */
+/** The required fields of the configuration file, by their external names, with their types. */
 final class ConfigSchema {
-    /** The file itself. */
+    /** The top-level object of the file. */
     static final ObjectSchema FILE = ObjectSchema.EMPTY
             .with("name", STRING)
             .with("listen", STRING)
@@ -134,13 +134,13 @@
             .with("WorstTenant", NUMBER)
             .with("WorstWindow", NUMBER);
 
-    /** The nested objects of {@code settings}, by key and in the order in which they are checked. */
+    /** The schemas of the nested objects of {@code settings} by key, in the order in which they are checked. */
     static final Map<String, ObjectSchema> SETTINGS_OBJECTS = settingsObjects();
 
-    /** The values that an entry of {@code settings.Classes} may have for {@code Effect}. */
+    /** The valid values of {@code Effect} in an entry of {@code settings.Classes}. */
     static final Set<String> EFFECTS = Set.of("repeatable", "by_key", "once");
 
-    /** The values that an entry of {@code settings.Classes} may have for {@code Group}. */
+    /** The valid values of {@code Group} in an entry of {@code settings.Classes}. */
     static final Set<String> GROUPS = Set.of("all", "zone", "cell");
 
     private ConfigSchema() {}
--- a/node/src/main/java/tulipshed/config/ConfigValidator.java
+++ b/node/src/main/java/tulipshed/config/ConfigValidator.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Checks that a configuration has every required field, each of its type. A file that was truncated or only partly
- * written must not be accepted with defaults in place of the rest.
+ * Checks that a configuration has every required field, each with the required type. A truncated or partly written file
+ * must be rejected instead of being completed with defaults.
  */
 final class ConfigValidator {
     private ConfigValidator() {}
@@ -30,7 +30,7 @@
     private static void checkClasses(Map<?, ?> settings) {
         List<?> classes = checkNamedEntries("Classes", settings, ConfigSchema.CLASS);
         if (classes.isEmpty()) {
-            throw new MalformedInputException("Classes is empty");
+            throw new MalformedInputException("Classes is empty, expected at least one entry");
         }
         for (Object entry : classes) {
             Map<?, ?> requestClass = (Map<?, ?>) entry;
@@ -43,18 +43,18 @@
         Object value = object.get(key);
         if (!choices.contains(value)) {
             throw new MalformedInputException(
-                    key + " is none of " + choices.stream().sorted().toList() + ": " + value);
+                    key + " is not one of " + choices.stream().sorted().toList() + ": " + value);
         }
     }
 
-    /** Checks the entries of a list of {@code settings}, whose field {@code Name} must be unique; returns the list. */
+    /** Checks the entries of a list in {@code settings}, whose {@code Name} must be unique, and returns the list. */
     private static List<?> checkNamedEntries(String key, Map<?, ?> settings, ObjectSchema schema) {
         List<?> entries = (List<?>) settings.get(key);
         Set<Object> names = new HashSet<>();
         for (Object entry : entries) {
             Object name = schema.check("an entry of " + key, entry).get("Name");
             if (!names.add(name)) {
-                throw new MalformedInputException(key + " has a name twice");
+                throw new MalformedInputException(key + " has a duplicate Name");
             }
         }
         return entries;
--- a/node/src/main/java/tulipshed/config/JsonObject.java
+++ b/node/src/main/java/tulipshed/config/JsonObject.java
@@ -5,8 +5,8 @@
 import tulipshed.time.Clock;
 
 /**
- * Typed access to the fields of one JSON object, as {@link JsonValues} reads it. A field that is absent or of another
- * type yields the default that the caller names; what must be present is checked by {@link ConfigValidator} before.
+ * Typed access to the fields of one JSON object that was read by {@link JsonValues}. A field that is absent or of
+ * another type yields the caller's default; {@link ConfigValidator} checks the required fields beforehand.
  */
 final class JsonObject {
 
@@ -16,49 +16,49 @@
         this.fields = fields;
     }
 
-    /** The object that is this JSON value; empty if the value is null or no object. */
+    /** Wraps a JSON value; the result is empty if the value is null or not an object. */
     @SuppressWarnings("unchecked")
     static JsonObject of(Object value) {
         return new JsonObject(value instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of());
     }
 
-    /** The fields by their keys. */
+    /** Returns the fields by key. */
     Map<String, Object> fields() {
         return fields;
     }
 
-    /** A nested object, empty if there is none. */
+    /** Returns a nested object, empty if there is none. */
     JsonObject object(String key) {
         return of(fields.get(key));
     }
 
-    /** A list, empty if there is none. */
+    /** Returns a list, empty if there is none. */
     @SuppressWarnings("unchecked")
     List<Object> list(String key) {
         return fields.get(key) instanceof List<?> list ? (List<Object>) list : List.of();
     }
 
-    /** A string. */
+    /** Returns a string field. */
     String string(String key, String defaultValue) {
         return fields.get(key) instanceof String text ? text : defaultValue;
     }
 
-    /** A flag. */
+    /** Returns a Boolean field. */
     boolean flag(String key, boolean defaultValue) {
         return fields.get(key) instanceof Boolean flag ? flag : defaultValue;
     }
 
-    /** A number. */
+    /** Returns a numeric field. */
     double number(String key, double defaultValue) {
         return fields.get(key) instanceof Double number ? number : defaultValue;
     }
 
-    /** A number without its fraction. */
+    /** Returns a numeric field truncated to an integer. */
     int integer(String key, int defaultValue) {
         return (int) number(key, defaultValue);
     }
 
-    /** A time, which JSON gives in seconds, in microseconds. */
+    /** Returns a duration that JSON gives in seconds, converted to microseconds. */
     long micros(String key, double defaultSeconds) {
         return Clock.secondsToMicros(number(key, defaultSeconds));
     }
--- a/node/src/main/java/tulipshed/config/JsonValues.java
+++ b/node/src/main/java/tulipshed/config/JsonValues.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * Reads JSON into plain values: objects as {@code Map<String, Object>} in the order of their keys in the text, arrays as
- * {@code List<Object>}, numbers as {@code Double}, besides {@code String}, {@code Boolean} and null.
+ * Reads JSON into plain Java values: objects become {@code Map<String, Object>} in the order of the text, arrays become
+ * {@code List<Object>}, numbers become {@code Double}; the other values are {@code String}, {@code Boolean} and null.
  */
 public final class JsonValues {
     private static final JsonFactory FACTORY = new JsonFactory();
@@ -20,9 +20,9 @@
     private JsonValues() {}
 
     /**
-     * Reads a text that holds exactly one object.
+     * Reads a document that holds exactly one object.
      *
-     * @throws MalformedInputException if it is not JSON, holds another value, or holds anything after the object
+     * @throws MalformedInputException if the input is not JSON, is not an object, or continues after the object
      */
     public static Map<String, Object> object(byte[] utf8) {
         try (JsonParser parser = FACTORY.createParser(utf8)) {
@@ -31,7 +31,7 @@
             }
             Map<String, Object> object = object(parser);
             if (parser.nextToken() != null) {
-                throw new MalformedInputException("something follows the JSON object");
+                throw new MalformedInputException("unexpected input after the JSON object");
             }
             return object;
         } catch (JsonProcessingException e) {
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Reads the rest of an object whose start is the parser's current token.
+     * Reads the remainder of an object; the parser's current token is the start of the object.
      *
      * @throws IOException if the input cannot be read or is not JSON
      */
--- a/node/src/main/java/tulipshed/config/MalformedInputException.java
+++ b/node/src/main/java/tulipshed/config/MalformedInputException.java
@@ -1,37 +1,37 @@
 package tulipshed.config;
 
 /**
- * Input from outside the program that cannot be used: a configuration file, an operators' file, a command-line value, or
- * a line of the simulator.
+ * Thrown for invalid input from outside the program: a configuration file, an operators' file, a command-line value, or
+ * a line from the simulator.
  *
- * <p>The message is one line and is shown to the user as it is. The boundary that reads the input catches this exception
- * and reports the message; no code decides by the message's text.
+ * <p>The message is one line and is shown to the user unchanged. The code that reads the input catches this exception
+ * and reports the message; no code depends on the message text.
  */
 public class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an exception with a message of one line that says what is wrong and where. */
+    /** Creates an exception with a one-line message that names the problem and its location. */
     public MalformedInputException(String message) {
         super(message);
     }
 
     /**
-     * A value that is present, but not of the kind that was expected.
+     * Returns the exception for a value that is present but invalid.
      *
-     * @param what the value, by its external name and, if nested, its place
+     * @param subject the external name of the value and, if nested, its location
      * @param expected a noun phrase, such as {@code a number above 0}
      */
-    static MalformedInputException unexpectedValue(String what, String expected) {
-        return new MalformedInputException(what + " is not " + expected);
+    static MalformedInputException unexpectedValue(String subject, String expected) {
+        return new MalformedInputException(subject + " is not " + expected);
     }
 
     /**
-     * A required value that is absent.
+     * Returns the exception for a required value that is absent.
      *
      * @param key the external name of the value
-     * @param where the object that lacks it
+     * @param container the object in which it is required
      */
-    static MalformedInputException missing(String key, String where) {
-        return new MalformedInputException(key + " is missing from " + where);
+    static MalformedInputException missing(String key, String container) {
+        return new MalformedInputException(key + " is missing from " + container);
     }
 }
--- a/node/src/main/java/tulipshed/config/NameIndex.java
+++ b/node/src/main/java/tulipshed/config/NameIndex.java
@@ -7,28 +7,28 @@
 import tulipshed.decision.api.BalancerSettings;
 
 /**
- * The external names of request classes and tenants, and their indexes in {@link BalancerSettings#classes()} and {@link
+ * Maps the external names of request classes and tenants to their indexes in {@link BalancerSettings#classes()} and {@link
  * BalancerSettings#tenants()}. Immutable.
  */
 public final class NameIndex {
     private final Map<String, Integer> classes;
     private final Map<String, Integer> tenants;
 
-    /** An index of these names; the maps are copied. */
+    /** Creates an index from copies of these maps. */
     public NameIndex(Map<String, Integer> classes, Map<String, Integer> tenants) {
         this.classes = copy(classes);
         this.tenants = copy(tenants);
     }
 
     private static Map<String, Integer> copy(Map<String, Integer> indexes) {
-        // Entry by entry, as the copy constructor would choose another capacity and so another order of iteration, in
-        // which the names are tried as suggestions for a misspelled one.
+        // Copied entry by entry: the copy constructor would choose another capacity and so another iteration order, and
+        // suggestions for a misspelled name are tried in iteration order.
         Map<String, Integer> copy = new HashMap<>();
         indexes.forEach(copy::put);
         return Collections.unmodifiableMap(copy);
     }
 
-    /** The index of the names in these settings; of equal names the last one counts. */
+    /** Creates the index of the names in these settings; of duplicate names the last one is kept. */
     public static NameIndex of(BalancerSettings settings) {
         Map<String, Integer> classes = new HashMap<>();
         for (int i = 0; i < settings.classes().size(); i++) {
@@ -41,22 +41,22 @@
         return new NameIndex(classes, tenants);
     }
 
-    /** The index of a request class, or null if there is no class of this name. */
+    /** Returns the index of a request class, or null if there is no class of this name. */
     public Integer classIndex(String name) {
         return classes.get(name);
     }
 
-    /** The index of a tenant, or null if there is no tenant of this name. */
+    /** Returns the index of a tenant, or null if there is no tenant of this name. */
     public Integer tenantIndex(String name) {
         return tenants.get(name);
     }
 
-    /** The names of all request classes; unmodifiable. */
+    /** Returns the names of all request classes; unmodifiable. */
     public Set<String> classNames() {
         return classes.keySet();
     }
 
-    /** The names of all tenants, empty if the site has none; unmodifiable. */
+    /** Returns the names of all tenants, empty if the site has none; unmodifiable. */
     public Set<String> tenantNames() {
         return tenants.keySet();
     }
--- a/node/src/main/java/tulipshed/config/NodeConfig.java
+++ b/node/src/main/java/tulipshed/config/NodeConfig.java
@@ -12,24 +12,24 @@
 import tulipshed.decision.api.BalancerSettings;
 
 /**
- * The configuration of one node: the JSON file that the environment variable PROXY_CONFIG names, and the variables beside
- * it. Immutable, but {@code cachedEndpoints} is the map that was read.
+ * The configuration of one node, from the JSON file that the environment variable PROXY_CONFIG names and from further
+ * environment variables. Immutable, except that {@code cachedEndpoints} is the map that was read and is not copied.
  *
  * @param name the node's name; external name {@code name}
  * @param listen the address for clients; external name {@code listen}
- * @param management the address of the management server, null if it is off; external name {@code management}, or the
- *     variable PROXY_MANAGEMENT
+ * @param management the address of the management server, null if it is disabled; external name {@code management}, or the
+ *     environment variable PROXY_MANAGEMENT
  * @param discovery the address of the discovery service; external name {@code discovery}
- * @param seed the seed of the random source; external name {@code seed}, hexadecimal
+ * @param seed the seed of the random number generator; external name {@code seed}, hexadecimal
  * @param memoryMb the memory that the node may use, in mebibytes; external name {@code limits.memory_mb}
- * @param sockets the descriptors that the node may hold; external name {@code limits.sockets}
- * @param cachedEndpoints the endpoint list to start with, in discovery's form, empty for none; external name {@code
- *     known}
+ * @param sockets the number of file descriptors that the node may use; external name {@code limits.sockets}
+ * @param cachedEndpoints the cached endpoint list to start with, in discovery's format, empty for none; external name
+ *     {@code known}
  * @param settings the settings of the decision module; external name {@code settings}
  * @param nameIndex the names of request classes and tenants in {@code settings}
- * @param loadReportsLatency whether endpoints report latencies in place of loads; external names {@code
+ * @param loadReportsLatency whether endpoints report latencies instead of loads; external names {@code
  *     settings.FamilyInfo.TellsDelay} and {@code TellsLoad}
- * @param peers the addresses for messages between nodes, null if there are none
+ * @param peers the addresses for peer messages, null if they are disabled
  */
 public record NodeConfig(
         String name,
@@ -48,10 +48,10 @@
     /** The environment variable that names the configuration file. */
     private static final String FILE_VARIABLE = "PROXY_CONFIG";
 
-    /** The environment variable with the management address, for files that name none. */
+    /** The environment variable with the management address, used if the file does not set one. */
     private static final String MANAGEMENT_VARIABLE = "PROXY_MANAGEMENT";
 
-    /** Hosts are numeric, as the node resolves no names. */
+    /** Matches a numeric host; the node does not resolve host names. */
     private static final String NUMERIC_HOST = "[0-9.]+|\\[[0-9a-fA-F:]+\\]";
 
     private static final int HEXADECIMAL = 16;
@@ -59,7 +59,7 @@
     /**
      * Reads and checks the configuration.
      *
-     * @throws MalformedInputException with a message of one line if there is no file or it cannot be used
+     * @throws MalformedInputException with a one-line message if there is no file or it is invalid
      */
     public static NodeConfig load(Map<String, String> environment) {
         String file = environment.get(FILE_VARIABLE);
@@ -76,7 +76,7 @@
         return parse(JsonValues.object(bytes), environment);
     }
 
-    /** Translates a configuration file that was read; this is the one place that knows its external names. */
+    /** Translates the parsed configuration file; the external names of its fields are used only here. */
     static NodeConfig parse(Map<String, Object> json, Map<String, String> environment) {
         ConfigValidator.check(json);
         JsonObject file = JsonObject.of(json);
@@ -101,7 +101,7 @@
                 PeerConfig.read(json, settings.limits().peerMessages(), settings.nodeIndex()));
     }
 
-    /** The management address as text, or null; the file takes precedence over the environment. */
+    /** Returns the management address as text, or null; the file takes precedence over the environment. */
     private static String management(Map<String, Object> json, Map<String, String> environment) {
         Object value = json.get("management");
         if (value != null && !(value instanceof String)) {
@@ -119,35 +119,35 @@
     }
 
     /**
-     * Parses an address of the form {@code host:port} with a numeric host, as the node resolves no names.
+     * Parses an address of the form {@code host:port} with a numeric host; the node does not resolve host names.
      *
-     * @param what names the address in the error message
-     * @param text the address; null counts as malformed
-     * @throws MalformedInputException if it has another form
+     * @param fieldName the name of the field in the error message
+     * @param text the address; null is treated as malformed
+     * @throws MalformedInputException if the text has another form
      */
-    public static InetSocketAddress address(String what, String text) {
+    public static InetSocketAddress address(String fieldName, String text) {
         int colon = text == null ? -1 : text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(0, colon).matches(NUMERIC_HOST)) {
-            throw notAnAddress(what, text);
+            throw notAnAddress(fieldName, text);
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
         } catch (UnknownHostException | IllegalArgumentException e) {
-            throw notAnAddress(what, text);
+            throw notAnAddress(fieldName, text);
         }
     }
 
-    private static MalformedInputException notAnAddress(String what, String text) {
-        return MalformedInputException.unexpectedValue(what, "a numeric host:port: " + text);
+    private static MalformedInputException notAnAddress(String fieldName, String text) {
+        return MalformedInputException.unexpectedValue(fieldName, "a numeric host:port: " + text);
     }
 
-    /** The entries of {@link #cachedEndpoints()} in discovery's form; empty if there are none. */
-    public List<?> knownServers() {
+    /** Returns the entries of {@link #cachedEndpoints()} in discovery's format; empty if there are none. */
+    public List<?> cachedEndpointEntries() {
         return cachedEndpoints.get("servers") instanceof List<?> servers ? servers : List.of();
     }
 
-    /** This configuration without a management address, cached endpoints and peers, for a node that runs without others. */
+    /** Returns a copy without management address, cached endpoints and peers, for a node that runs on its own. */
     public NodeConfig standalone() {
         return new NodeConfig(
                 name,
--- a/node/src/main/java/tulipshed/config/ObjectSchema.java
+++ b/node/src/main/java/tulipshed/config/ObjectSchema.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * The required fields of one JSON object and their types. Further fields are allowed. Immutable.
+ * The required fields of one JSON object and their types. Additional fields are allowed. Immutable.
  *
- * <p>Fields are checked in the order in which they were added, so that the first error is always the same one.
+ * <p>Fields are checked in the order in which they were added, so that the reported error is deterministic.
  */
 final class ObjectSchema {
     /** A schema without required fields. */
@@ -18,7 +18,7 @@
         this.fields = fields;
     }
 
-    /** This schema with one more required field. */
+    /** Returns this schema with one more required field. */
     ObjectSchema with(String key, ValueType type) {
         Map<String, ValueType> extended = new LinkedHashMap<>(fields);
         extended.put(key, type);
@@ -28,20 +28,20 @@
     /**
      * Checks a JSON value against this schema.
      *
-     * @param where names the value in error messages
+     * @param location the name of the value in error messages
      * @return the value as a map
-     * @throws MalformedInputException if the value is no object, or a field is missing or of another type
+     * @throws MalformedInputException if the value is not an object, or a field is missing or of another type
      */
-    Map<?, ?> check(String where, Object value) {
+    Map<?, ?> check(String location, Object value) {
         if (!(value instanceof Map<?, ?> object)) {
-            throw MalformedInputException.unexpectedValue(where, ValueType.OBJECT.description());
+            throw MalformedInputException.unexpectedValue(location, ValueType.OBJECT.description());
         }
         fields.forEach((key, type) -> {
             if (!object.containsKey(key)) {
-                throw MalformedInputException.missing(key, where);
+                throw MalformedInputException.missing(key, location);
             }
             if (!type.accepts(object.get(key))) {
-                throw MalformedInputException.unexpectedValue(key + " of " + where, type.description());
+                throw MalformedInputException.unexpectedValue(key + " of " + location, type.description());
             }
         });
         return object;
--- a/node/src/main/java/tulipshed/config/PeerConfig.java
+++ b/node/src/main/java/tulipshed/config/PeerConfig.java
@@ -7,11 +7,12 @@
 import java.util.Map;
 
 /**
- * The addresses for messages between nodes.
+ * The addresses for peer messages.
  *
- * @param listen where this node receives; external name {@code peer_listen}
- * @param peers where each node receives and sends from, by node index, this node included; external name {@code peers}
- * @param broadcast an address that reaches all other nodes; external name {@code peers_all}
+ * @param listen the address on which this node receives; external name {@code peer_listen}
+ * @param peers the address from which each node sends and on which it receives, by node index, including this node;
+ *     external name {@code peers}
+ * @param broadcast the address that reaches all other nodes; external name {@code peers_all}
  * @param nodeIndex the index of this node in {@code peers}
  */
 public record PeerConfig(
@@ -20,8 +21,8 @@
     /**
      * Reads the addresses from the configuration file.
      *
-     * @param allowed whether the settings permit messages between nodes
-     * @return null if they do not, or if the file names no address to listen on
+     * @param allowed whether the settings permit peer messages
+     * @return null if the settings do not permit them, or if the file has no {@code peer_listen}
      * @throws MalformedInputException if an address is malformed or listed twice
      */
     static PeerConfig read(Map<String, Object> json, boolean allowed, int nodeIndex) {
@@ -50,7 +51,7 @@
         return List.copyOf(peers);
     }
 
-    private static InetSocketAddress address(String what, Object value) {
-        return NodeConfig.address(what, value instanceof String text ? text : null);
+    private static InetSocketAddress address(String fieldName, Object value) {
+        return NodeConfig.address(fieldName, value instanceof String text ? text : null);
     }
 }
--- a/node/src/main/java/tulipshed/config/SettingsReader.java
+++ b/node/src/main/java/tulipshed/config/SettingsReader.java
@@ -16,9 +16,9 @@
 import tulipshed.time.Clock;
 
 /**
- * Translates the external settings object, which the configuration file and the simulator share, to the settings of the
- * decision module. This is the one place that knows the external names: each quoted key and value below is one. A field
- * that is absent takes the default that assumes least.
+ * Translates the external settings object, which the configuration file and the simulator share, into the settings of
+ * the decision module. The external names are used only here: each quoted key and value below is one. An absent field
+ * gets the most conservative default.
  */
 public final class SettingsReader {
     private final JsonObject settings;
@@ -26,14 +26,14 @@
 
     private SettingsReader(JsonObject settings) {
         this.settings = settings;
-        // External name FamilyInfo: what the site's protocol family has.
+        // External name FamilyInfo: the properties of the site's protocol family.
         this.family = settings.object("FamilyInfo");
     }
 
     /**
-     * Reads settings.
+     * Reads the settings.
      *
-     * @param json the settings object, as {@link JsonValues} reads it
+     * @param json the settings object, as read by {@link JsonValues}
      * @throws MalformedInputException if the settings have no request class
      */
     public static BalancerSettings read(Map<String, Object> json) {
@@ -45,11 +45,11 @@
         int nodeIndex = settings.integer("Me", 0);
         int nodeCount = Math.max(1, settings.integer("PeersTotal", 1));
         String zone = settings.string("Zone", "");
-        // External name FamilyInfo.Mode: "pass" where the node passes packets on and does not end connections.
+        // External name FamilyInfo.Mode: "pass" if the node forwards packets and does not terminate connections.
         boolean passthrough = "pass".equals(family.string("Mode", "proxy"));
-        // External name Discovery: "ask" where the endpoint list is polled, "push" where it is sent.
+        // External name Discovery: "ask" if the endpoint list is polled, "push" if it is pushed.
         boolean polledDiscovery = "ask".equals(settings.string("Discovery", "push"));
-        // External name FamilyInfo.Groups: whether connections of one group belong on one endpoint.
+        // External name FamilyInfo.Groups: whether connections of one group are assigned to the same endpoint.
         boolean groupAffinity = family.flag("Groups", false);
         return new BalancerSettings(
                 nodeIndex,
@@ -67,7 +67,7 @@
                 tenants());
     }
 
-    /** External name Weights: what the weights in the endpoint list mean. */
+    /** External name Weights: the meaning of the weights in the endpoint list. */
     private WeightSemantics weightSemantics() {
         return switch (settings.string("Weights", "off")) {
             case "live" -> WeightSemantics.LIVE;
@@ -76,7 +76,7 @@
         };
     }
 
-    /** External name LoadReport.How: where load reports come from. */
+    /** External name LoadReport.How: the source of load reports. */
     private LoadReportSource loadReportSource() {
         return switch (settings.object("LoadReport").string("How", "off")) {
             case "inline" -> LoadReportSource.RESPONSES;
@@ -85,7 +85,7 @@
         };
     }
 
-    /** External name Bounds: what the site permits. Keys that end in S are seconds. */
+    /** External name Bounds: the limits of the site. Values of keys that end in S are in seconds. */
     private static SiteLimits siteLimits(JsonObject bounds) {
         int maxAttempts = bounds.integer("MaxAttempts", 1);
         long maxRetryAfterUs = bounds.micros("MaxRetryAfterS", 0);
@@ -108,7 +108,7 @@
                 streamsPerConnection);
     }
 
-    /** External name Rules: the parameters of the site's rules. Keys that end in S are seconds. */
+    /** External name Rules: the parameters of the site's rules. Values of keys that end in S are in seconds. */
     private static ProtocolRules protocolRules(JsonObject rules) {
         long drainGraceUs = rules.micros("DrainGraceS", 0);
         long pollWithinUs = rules.micros("AskWithinS", 10);
@@ -119,7 +119,7 @@
         return new ProtocolRules(drainGraceUs, pollWithinUs, slowStartShare, slowStartUs, overloadFactor, overloadUs);
     }
 
-    /** External name Charges: what each unit costs. */
+    /** External name Charges: the price of each billed unit. */
     private static Prices prices(JsonObject charges) {
         double crossZone = charges.number("CrossZone", 0);
         double handshake = charges.number("Handshake", 0);
@@ -129,7 +129,7 @@
         return new Prices(crossZone, handshake, healthCheck, migration, waste);
     }
 
-    /** External names Classes and, by the same index, FamilyInfo.MessageAimS. */
+    /** External names Classes and FamilyInfo.MessageAimS, which have the same indexes. */
     private List<RequestClass> requestClasses() {
         List<Object> messageObjectivesS = family.list("MessageAimS");
         List<RequestClass> classes = new ArrayList<>();
@@ -138,14 +138,15 @@
             classes.add(requestClass(JsonObject.of(entry), messageObjectiveS));
         }
         if (classes.isEmpty()) {
-            throw new MalformedInputException("BalancerSettings without Classes");
+            throw new MalformedInputException("Classes is empty or missing, expected at least one entry");
         }
         return List.copyOf(classes);
     }
 
     private static RequestClass requestClass(JsonObject entry, double messageObjectiveS) {
         String name = entry.string("Name", "");
-        // External name AimS: the latency objective; HardLimitS: the deadline, which the objective defaults to.
+        // External names AimS, the latency objective, and HardLimitS, the deadline; the objective defaults to the
+        // deadline.
         long latencyObjectiveUs = entry.micros("AimS", entry.number("HardLimitS", 1));
         long deadlineUs = entry.micros("HardLimitS", 1);
         double priorityWeight = entry.number("Worth", 1);
@@ -163,7 +164,7 @@
                 Clock.secondsToMicros(messageObjectiveS));
     }
 
-    /** External name Effect of a class. */
+    /** External name Classes.Effect. */
     private static Idempotency idempotency(String effect) {
         return switch (effect) {
             case "repeatable" -> Idempotency.IDEMPOTENT;
@@ -172,7 +173,7 @@
         };
     }
 
-    /** External name Group of a class. */
+    /** External name Classes.Group. */
     private static DeduplicationScope deduplicationScope(String group) {
         return switch (group) {
             case "all" -> DeduplicationScope.ALL;
@@ -181,7 +182,7 @@
         };
     }
 
-    /** External names Tenants and, by the same index, FamilyInfo.TenantQuotaConnections. */
+    /** External names Tenants and FamilyInfo.TenantQuotaConnections, which have the same indexes. */
     private List<Tenant> tenants() {
         List<Object> connectionQuotas = family.list("TenantQuotaConnections");
         List<Tenant> tenants = new ArrayList<>();
@@ -196,7 +197,7 @@
         return List.copyOf(tenants);
     }
 
-    /** The number at an index, or 0 if there is none. */
+    /** Returns the number at an index, or 0 if there is none. */
     private static double numberAt(List<Object> list, int index) {
         return index < list.size() && list.get(index) instanceof Double number ? number : 0;
     }
--- a/node/src/main/java/tulipshed/config/ValueType.java
+++ b/node/src/main/java/tulipshed/config/ValueType.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The type that a configuration value must have. Numbers are read as doubles, see {@link JsonValues}. */
+/** The required type of a configuration value. Numbers are read as doubles, see {@link JsonValues}. */
 enum ValueType {
-    STRING("a string that is not blank") {
+    STRING("a non-blank string") {
         @Override
         boolean accepts(Object value) {
             return value instanceof String text && !text.isBlank();
@@ -57,10 +57,10 @@
         this.description = description;
     }
 
-    /** Whether a JSON value, null included, has this type. */
+    /** Returns whether a JSON value, which may be null, has this type. */
     abstract boolean accepts(Object value);
 
-    /** A noun phrase for error messages. */
+    /** Returns a noun phrase for error messages. */
     String description() {
         return description;
     }
--- a/node/src/test/java/tulipshed/config/NodeConfigTest.java
+++ b/node/src/test/java/tulipshed/config/NodeConfigTest.java
@@ -30,7 +30,7 @@
         assertEquals(3, config.settings().classes().size());
         assertEquals(250_000, config.settings().limits().connectTimeoutUs());
         assertEquals(60_000, config.settings().classes().get(0).messageLatencyObjectiveUs());
-        assertEquals(1, config.knownServers().size());
+        assertEquals(1, config.cachedEndpointEntries().size());
     }
 
     @Test
