--- a/node/src/main/java/tulipshed/cli/AdapterCommand.java
+++ b/node/src/main/java/tulipshed/cli/AdapterCommand.java
@@ -3,11 +3,11 @@
 import tulipshed.decision.Balancer;
 import tulipshed.simadapter.Adapter;
 
-/** {@code adapter}: runs the decision module on the simulator's wire, over standard input and output. */
+/** {@code adapter}: runs the decision module for the simulator, over standard input and output. */
 public final class AdapterCommand implements Command {
     @Override
     public String description() {
-        return "the decision module on the simulator's wire, over standard input and output";
+        return "runs the decision module for the simulator, over standard input and output";
     }
 
     @Override
--- a/node/src/main/java/tulipshed/cli/AttributeValues.java
+++ b/node/src/main/java/tulipshed/cli/AttributeValues.java
@@ -19,10 +19,10 @@
 
 /**
  * Attribute values given on the command line as {@code NAME=VALUE}, for the evaluation of one expression. A name that
- * is no attribute of a request or an endpoint becomes one, of the type that its value looks like.
+ * is not an attribute of a request or an endpoint declares a new attribute, whose type is inferred from the value.
  */
 final class AttributeValues {
-    /** The length at most, in characters, of a string attribute. */
+    /** The maximum length of a string attribute, in characters. */
     private static final int MAX_STRING_LENGTH = 256;
 
     private static final Pattern INTEGER = Pattern.compile("-?[0-9]+");
@@ -36,28 +36,28 @@
         schema = schemaWith(textByName);
     }
 
-    /** Parses assignments; of two to the same name the later holds. */
+    /** Parses assignments; of several to the same name the last one applies. */
     static AttributeValues parse(List<String> assignments) {
         Map<String, String> textByName = new LinkedHashMap<>();
         for (String assignment : assignments) {
             int equals = assignment.indexOf('=');
             if (equals <= 0) {
-                throw new MalformedInputException("--with takes NAME=VALUE, not " + assignment);
+                throw new MalformedInputException("--with requires NAME=VALUE, got " + assignment);
             }
             textByName.put(assignment.substring(0, equals), assignment.substring(equals + 1));
         }
         return new AttributeValues(textByName);
     }
 
-    /** Returns the attributes of requests and endpoints, and those that only the command line names. */
+    /** Returns the attributes of requests and endpoints, and those declared on the command line. */
     Schema schema() {
         return schema;
     }
 
     /**
-     * Sets the values in a frame that has begun.
+     * Sets the values in a frame after {@link EvaluationFrame#begin}.
      *
-     * @throws MalformedInputException when a value is not of its attribute's type, or when the expression reads a
+     * @throws MalformedInputException if a value does not have its attribute's type, or if the expression reads a
      *     required attribute that has no value
      */
     void setIn(EvaluationFrame frame, Expression expression) {
@@ -67,7 +67,7 @@
                 set(frame, attribute, textByName.get(name));
             } else if (!attribute.optional() && expression.references(name)) {
                 throw new MalformedInputException(
-                        "the expression asks for " + name + ": give it, --with " + name + "=...");
+                        "the expression reads " + name + ", which has no value; set it with --with " + name + "=...");
             }
         }
     }
@@ -128,14 +128,15 @@
         frame.set(attribute, address.high(), address.low());
     }
 
-    /** Returns the attribute as a declared one, whose values are read as those on the wire. */
+    /** Returns a declaration of the attribute, which parses values as in the line protocol. */
     private static AttributeDeclarations declarationOf(Attribute attribute) {
         return new AttributeDeclarations(
                 Map.of(attribute.name(), new AttributeDeclaration(attribute.type(), attribute.maxLength())), 1, 1);
     }
 
     private static MalformedInputException wrongType(Attribute attribute, String text) {
-        return new MalformedInputException(text + " is not what " + attribute.name() + " can be: " + attribute.type()
+        return new MalformedInputException(text + " is not a valid value of " + attribute.name() + ", expected "
+                + attribute.type()
                 + (attribute.type() == Type.STRING ? " of at most " + attribute.maxLength() + " characters" : ""));
     }
 }
--- a/node/src/main/java/tulipshed/cli/ClientListener.java
+++ b/node/src/main/java/tulipshed/cli/ClientListener.java
@@ -9,8 +9,8 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * The listener for line-protocol clients, and whether the node takes new clients. Confined to the event-loop thread,
- * but for {@link #isDraining} and, once the node has started, {@link #address}.
+ * The listener for line-protocol clients and its drain state. Confined to the event-loop thread, except for {@link
+ * #isDraining} and, once the node has started, {@link #address}.
  */
 final class ClientListener {
     /** Null before {@link #open} and after {@link #drainAndClose}. */
@@ -18,12 +18,12 @@
 
     private volatile boolean draining;
 
-    /** Starts to accept clients at the configured address. */
+    /** Starts to accept clients on the configured address. */
     void open(XnioEventLoop loop, NodeConfig config, Limits limits, LineProtocolFrontend frontend) throws IOException {
         acceptor = loop.listen(config.listen(), limits.clientConnections(), frontend::accept);
     }
 
-    /** Returns the address that clients connect to; the listener has to be open. */
+    /** Returns the address that clients connect to; the listener must be open. */
     InetSocketAddress address() {
         return acceptor.address();
     }
@@ -33,22 +33,22 @@
         return acceptor != null;
     }
 
-    /** Returns whether the node is ready for new clients: it listens and does not shut down. */
+    /** Returns whether the node is ready for new clients: it listens and is not shutting down. */
     boolean isReady() {
         return acceptor != null && !draining;
     }
 
-    /** Marks the node as shutting down; the listener still accepts what arrives. */
+    /** Marks the node as shutting down; the listener still accepts new connections. */
     void startDraining() {
         draining = true;
     }
 
-    /** Returns whether the node shuts down. Safe for use by any thread. */
+    /** Returns whether the node is shutting down. Safe for use by any thread. */
     boolean isDraining() {
         return draining;
     }
 
-    /** Hands over what was accepted and stops to listen; the listener has to be open. */
+    /** Accepts the connections that the kernel has queued, then stops listening; the listener must be open. */
     void drainAndClose() {
         acceptor.drainAndClose();
         acceptor = null;
--- a/node/src/main/java/tulipshed/cli/CommandDispatcher.java
+++ b/node/src/main/java/tulipshed/cli/CommandDispatcher.java
@@ -8,16 +8,16 @@
 import tulipshed.config.MalformedInputException;
 import tulipshed.operators.InvalidOperatorsFileException;
 
-/** Finds a sub-command by name, parses its arguments, and turns what it throws into messages and exit codes. */
+/** Finds a sub-command by name, parses its arguments, and maps its exceptions to messages and exit codes. */
 final class CommandDispatcher {
     private static final String HELP = "--help";
 
     private CommandDispatcher() {}
 
     /**
-     * Runs one of some sub-commands, or prints their usage.
+     * Runs one of the sub-commands, or prints their usage.
      *
-     * @param program the words of the command line before {@code args}
+     * @param program the command line before {@code args}
      * @param commands the sub-commands by name
      * @param args a sub-command's name and its arguments
      * @return an exit code, or {@link Command#KEEPS_RUNNING}
@@ -28,8 +28,9 @@
             return ExitCode.SUCCESS;
         }
         if (args.length == 0 || !commands.containsKey(args[0])) {
-            System.err.println(program + ": " + (args.length == 0 ? "no command" : "no command " + oneLine(args[0]))
-                    + " (commands: " + String.join(", ", commands.keySet()) + "; --help tells more)");
+            System.err.println(
+                    program + ": " + (args.length == 0 ? "missing command" : "unknown command " + oneLine(args[0]))
+                            + " (commands: " + String.join(", ", commands.keySet()) + "; see --help)");
             return ExitCode.MALFORMED_INPUT;
         }
         Command command = commands.get(args[0]).get();
@@ -41,7 +42,7 @@
     }
 
     private static void printCommands(String program, Map<String, Supplier<Command>> commands) {
-        System.out.println("usage: " + program + " COMMAND ...; COMMAND --help tells more");
+        System.out.println("usage: " + program + " COMMAND ...; see COMMAND --help");
         commands.forEach((name, command) -> System.out.println(
                 String.format("  %-11s%s", name, command.get().description())));
     }
@@ -56,7 +57,7 @@
             parser.parseArgument(args);
             return command.run();
         } catch (CmdLineException e) {
-            System.err.println(program + " " + name + ": " + oneLine(e.getMessage()) + " (--help tells more)");
+            System.err.println(program + " " + name + ": " + oneLine(e.getMessage()) + " (see --help)");
         } catch (InvalidOperatorsFileException e) {
             printProblems(program, command, e);
         } catch (MalformedInputException e) {
@@ -73,7 +74,7 @@
         parser.printUsage(System.out);
     }
 
-    /** A node that starts reports all problems on one line of its log; the other commands print a line for each. */
+    /** {@code serve} reports all problems on one line, for the node's log; other commands print one line per problem. */
     private static void printProblems(String program, Command command, InvalidOperatorsFileException e) {
         System.err.println(command instanceof ServeCommand ? badConfiguration(program, e) : e.lines());
     }
--- a/node/src/main/java/tulipshed/cli/ConfigurationReload.java
+++ b/node/src/main/java/tulipshed/cli/ConfigurationReload.java
@@ -10,8 +10,8 @@
 import tulipshed.time.Clock;
 
 /**
- * Applies a new configuration to a running node. Endpoints and connections stay. Confined to the event-loop thread, but
- * for {@link #needsRestart}.
+ * Applies a new configuration to a running node. Endpoints and connections are kept. Confined to the event-loop thread,
+ * except for {@link #needsRestart}.
  */
 final class ConfigurationReload {
     private final NodeComponents components;
@@ -20,12 +20,15 @@
     private final Limits limits;
     private final Logger log;
 
-    private double reloadedMs = Double.NEGATIVE_INFINITY;
+    private double lastReloadMs = Double.NEGATIVE_INFINITY;
 
-    /** The shortest of the longest deadlines that reloads replaced shortly before the last one, and then. */
+    /**
+     * The longest deadline of the settings that the last reload replaced; the minimum of those values if several reloads
+     * followed each other within {@link tulipshed.limits.ShutdownLimits#signalOrderMs}.
+     */
     private double replacedDeadlineMs;
 
-    /** The rules in force; null while the operators' file has none. */
+    /** The current routing rules; null if the operators' file has none. */
     private Router router;
 
     ConfigurationReload(NodeOptions options, NodeComponents components) {
@@ -37,7 +40,7 @@
         log = options.log().logger("node");
     }
 
-    /** Returns whether a configuration changes what only a restart can. Safe for use by any thread. */
+    /** Returns whether a configuration changes values that only take effect at a restart. Safe for use by any thread. */
     boolean needsRestart(NodeConfig changed) {
         return !changed.name().equals(configAtStart.name())
                 || !changed.listen().equals(configAtStart.listen())
@@ -45,7 +48,7 @@
                 || changed.sockets() != configAtStart.sockets();
     }
 
-    /** Applies all of a configuration that a running node can change. */
+    /** Applies the parts of a configuration that a running node can change. */
     void apply(NodeConfig changed, OperatorsFile operators, boolean needsRestart) {
         ProxyCore core = components.core();
         recordReplacedDeadline(core.longestDeadlineMs());
@@ -57,23 +60,24 @@
         components.watch().setDiscoveryAddress(changed.discovery());
         components.watch().setPushed(!changed.settings().polledDiscovery());
         core.metrics().recordReloadApplied();
-        // Logged last: whoever waits for the line may rely on the new settings at once.
+        // Logged last, so that the new settings are in effect once the line appears.
         log.info("configuration reloaded, discovery at " + changed.discovery()
                 + (needsRestart ? "; the other changes need a restart" : ""));
     }
 
     private void recordReplacedDeadline(double deadlineMs) {
         replacedDeadlineMs = isReloadRecent() ? Math.min(replacedDeadlineMs, deadlineMs) : deadlineMs;
-        reloadedMs = clock.nowMs();
+        lastReloadMs = clock.nowMs();
     }
 
     private boolean isReloadRecent() {
-        return clock.nowMs() - reloadedMs < limits.shutdown().signalOrderMs();
+        return clock.nowMs() - lastReloadMs < limits.shutdown().signalOrderMs();
     }
 
     /**
-     * The longest deadline by which a shutdown that begins now is timed. Signals that arrive together are handled in any
-     * order, so a reload that has just been applied may have come after the signal to end: the shorter deadline counts then.
+     * Returns the longest request deadline, from which the schedule of a shutdown that begins now is computed. Signals that
+     * arrive together are handled in any order, so a reload that was just applied may have been requested after SIGTERM; in
+     * that case the shorter of the old and the new deadline is used.
      */
     double longestDeadlineAtShutdownMs() {
         double deadlineMs = components.core().longestDeadlineMs();
@@ -89,7 +93,7 @@
         components.frontend().setDeclarations(router == null ? null : router.declarations());
     }
 
-    /** Counts and logs a configuration that could not be read; it changes nothing. */
+    /** Counts and logs a configuration that could not be read; the current configuration is kept. */
     void reject(String reason) {
         components.core().metrics().recordReloadRejected();
         log.warn("configuration rejected, the current one stays: " + reason.replaceAll("\\s+", " "));
--- a/node/src/main/java/tulipshed/cli/ConfigurationReloader.java
+++ b/node/src/main/java/tulipshed/cli/ConfigurationReloader.java
@@ -7,8 +7,8 @@
 import tulipshed.operators.OperatorsFile;
 
 /**
- * Reads the configuration again for a running node, once for each request to reload. All of it is read and validated
- * before the node changes anything. Safe for use by any thread.
+ * Reads the configuration again for a running node, once per reload request. The whole configuration is read and
+ * validated before the node changes any state. Safe for use by any thread.
  */
 final class ConfigurationReloader {
     private final Supplier<NodeConfig> configReader;
@@ -20,18 +20,18 @@
     private boolean reloadPending;
 
     /**
-     * Creates a reloader for a node that has yet to start.
+     * Creates a reloader for a node that has not started yet.
      *
      * @param configReader reads the node's configuration; throws {@link MalformedInputException}
-     * @param operatorsReader reads the operators' file against the configuration that was just read, so that both
-     *     change or neither; throws {@link MalformedInputException}
+     * @param operatorsReader reads the operators' file, validated against the configuration that was just read, so that
+     *     both or neither are applied; throws {@link MalformedInputException}
      */
     ConfigurationReloader(Supplier<NodeConfig> configReader, Function<NodeConfig, OperatorsFile> operatorsReader) {
         this.configReader = configReader;
         this.operatorsReader = operatorsReader;
     }
 
-    /** Passes the node once it serves; a reload that was requested earlier is made now. */
+    /** Sets the node once it serves, and performs a reload that was requested earlier. */
     synchronized void nodeStarted(Node started) {
         node = started;
         if (reloadPending) {
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Reads and applies the configuration. Before the node has started the request is kept. Synchronized, so that of
-     * concurrent requests the file that was read last takes effect last.
+     * Reads and applies the configuration; before the node has started, the request is deferred. Synchronized so that
+     * concurrent requests apply their files in the order in which they read them.
      */
     synchronized void reload() {
         if (node == null) {
@@ -52,8 +52,8 @@
             NodeConfig config = configReader.get();
             node.reload(config, operatorsReader.apply(config));
         } catch (OutOfMemoryError e) {
-            // Input bounds prevent this; the node's own state has not been touched.
-            node.rejectConfiguration("no memory left to read it");
+            // Not expected, as the size of the input is bounded; the node's state is unchanged at this point.
+            node.rejectConfiguration("out of memory while reading the configuration");
         } catch (MalformedInputException e) {
             node.rejectConfiguration(e.getMessage());
         }
--- a/node/src/main/java/tulipshed/cli/DemoCommand.java
+++ b/node/src/main/java/tulipshed/cli/DemoCommand.java
@@ -4,14 +4,14 @@
 import java.util.concurrent.CountDownLatch;
 import org.kohsuke.args4j.Option;
 
-/** {@code demo}: runs a node with stubs for all that it needs, on loopback, and a short session through it. */
+/** {@code demo}: runs a node with stub discovery and endpoints on loopback, and a short client session. */
 public final class DemoCommand implements Command {
-    @Option(name = "--keep", usage = "go on serving after the session, until the process is stopped")
+    @Option(name = "--keep", usage = "keep serving after the session, until the process is stopped")
     private boolean keep;
 
     @Override
     public String description() {
-        return "starts a node with stand-ins on loopback, plays a short session through it and says what happened";
+        return "starts a node with stub discovery and endpoints on loopback, runs a short session and prints the replies";
     }
 
     @Override
@@ -25,7 +25,7 @@
             System.out.println(asExpected ? "All of it as it should be." : "Something was not as it should be.");
             return asExpected ? ExitCode.SUCCESS : ExitCode.FAILURE;
         } catch (IOException e) {
-            System.err.println("tulipshed: the demo could not go on: " + e);
+            System.err.println("tulipshed: demo failed: " + e);
             return ExitCode.FAILURE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/node/src/main/java/tulipshed/cli/DemoEnvironment.java
+++ b/node/src/main/java/tulipshed/cli/DemoEnvironment.java
@@ -18,11 +18,11 @@
 import tulipshed.time.SystemClock;
 
 /**
- * What the demo runs on: a node, and stubs of discovery and of three endpoints, all on free ports of the loopback
- * address. For one thread.
+ * The environment of the demo: a node and stubs of discovery and of three endpoints, all on free ports of the loopback
+ * address. Not thread-safe.
  */
 final class DemoEnvironment implements AutoCloseable {
-    /** The endpoint that is of another machine type, and that alone is in the pool of the new halls. */
+    /** The index of the endpoint with another machine type, the only one in the pool of the new halls. */
     static final int NEW_HALLS_ENDPOINT = 2;
 
     private static final int ENDPOINTS = 3;
@@ -36,7 +36,7 @@
 
     private DemoEnvironment() throws IOException {}
 
-    /** Starts the stubs, then the node, and prints what runs where. */
+    /** Starts the stubs and then the node, and prints their addresses. */
     static DemoEnvironment start() throws IOException {
         DemoEnvironment environment = new DemoEnvironment();
         try {
@@ -75,7 +75,7 @@
         System.out.println("A node serves on " + node.address() + ", with the rules of example/tulipshed.sexp.");
     }
 
-    /** Loads the example configuration, with a free port to listen on and the stub for discovery. */
+    /** Loads the example configuration with a free listen port and the address of the stub discovery. */
     private NodeConfig loadConfig() throws IOException {
         Path directory = Files.createTempDirectory("tulipshed-demo");
         Path file = directory.resolve("node.json");
@@ -98,19 +98,19 @@
     private static String resource(String name) throws IOException {
         try (InputStream in = DemoEnvironment.class.getResourceAsStream("/tulipshed/demo/" + name)) {
             if (in == null) {
-                throw new IOException(name + " is not in this program");
+                throw new IOException("resource " + name + " is missing from the program");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    /** Has discovery publish another state of an endpoint: SERVING, DRAINING or DELETED. */
+    /** Publishes a new state of an endpoint in discovery: SERVING, DRAINING or DELETED. */
     void publish(int endpoint, String state) {
         StubEndpoint stub = endpoints.get(endpoint);
         discovery.publish(stub.id(), stub.address(), ZONES.get(endpoint), MACHINE_TYPES.get(endpoint), state);
     }
 
-    /** Returns the node, which its user shuts down. */
+    /** Returns the node, which the caller shuts down. */
     Node node() {
         return node;
     }
@@ -120,7 +120,7 @@
         return node.address();
     }
 
-    /** Ends discovery; the endpoints, on daemon threads, end with the program. */
+    /** Stops discovery; the endpoints run on daemon threads and end with the program. */
     @Override
     public void close() {
         discovery.close();
--- a/node/src/main/java/tulipshed/cli/DemoSession.java
+++ b/node/src/main/java/tulipshed/cli/DemoSession.java
@@ -8,17 +8,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** A short session of a line-protocol client, printed with its replies. For one thread. */
+/** A short session of a line-protocol client, printed with its replies. Not thread-safe. */
 final class DemoSession {
     private static final int TIMEOUT_MS = 10_000;
     private static final int POLL_INTERVAL_MS = 10;
 
-    /** Requests of the class that the example splits 70 to 30 between old and new halls by the request's key. */
+    /** The number of requests of the class that the example splits 70 to 30 between old and new halls by key. */
     private static final int SPLIT_REQUESTS = 40;
 
-    /** The number of them that go to the new halls lies between these bounds, both exclusive. */
+    /** The lower bound, exclusive, of the number of those requests that go to the new halls. */
     private static final int SPLIT_LOWER_BOUND = 3;
 
+    /** The upper bound, exclusive, of the number of those requests that go to the new halls. */
     private static final int SPLIT_UPPER_BOUND = 25;
 
     private final DemoEnvironment environment;
@@ -28,7 +29,7 @@
         this.environment = environment;
     }
 
-    /** Plays the session and returns whether all replies were as expected. */
+    /** Runs the session and returns whether all replies were as expected. */
     boolean run() throws IOException, InterruptedException {
         awaitServingEndpoints(3);
         boolean asExpected = expectReply(
@@ -65,7 +66,7 @@
         return newHalls > SPLIT_LOWER_BOUND && newHalls < SPLIT_UPPER_BOUND;
     }
 
-    /** Waits until the node has received from discovery how many endpoints serve. */
+    /** Waits until the node's endpoint list has this number of serving endpoints. */
     private void awaitServingEndpoints(int count) throws IOException, InterruptedException {
         for (int i = 0; i < TIMEOUT_MS / POLL_INTERVAL_MS; i++) {
             if (environment.node().servingEndpointCount() == count) {
@@ -73,7 +74,7 @@
             }
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
-        throw new IOException("the list did not arrive");
+        throw new IOException("timed out waiting for the endpoint list");
     }
 
     private boolean expectReply(String explanation, String request, String expectedPattern) throws IOException {
@@ -84,7 +85,7 @@
         return asExpected;
     }
 
-    /** Sends an OPEN line on a connection of its own and returns the first line of the reply. */
+    /** Sends an OPEN line on a new connection and returns the first line of the reply. */
     private String request(String request) throws IOException {
         requests++;
         InetSocketAddress address = environment.address();
--- a/node/src/main/java/tulipshed/cli/ExitCode.java
+++ b/node/src/main/java/tulipshed/cli/ExitCode.java
@@ -1,11 +1,11 @@
 package tulipshed.cli;
 
-/** The exit codes of the program; part of its interface to scripts. */
+/** The exit codes of the program; scripts depend on them. */
 final class ExitCode {
-    /** The command did its work. */
+    /** The command succeeded. */
     static final int SUCCESS = 0;
 
-    /** The command did its work and found a failure: a failed case, a demo session with an unexpected reply. */
+    /** The command ran and found a failure, such as a failed case, or it could not run for a system error. */
     static final int FAILURE = 1;
 
     /** The command line or a file that it names is malformed. */
--- a/node/src/main/java/tulipshed/cli/ExpressionCommand.java
+++ b/node/src/main/java/tulipshed/cli/ExpressionCommand.java
@@ -14,7 +14,7 @@
 public final class ExpressionCommand implements CommandGroup {
     @Override
     public String description() {
-        return "checks, explains and tests the operators' file; tries an expression";
+        return "checks, explains and tests the operators' file; evaluates an expression";
     }
 
     @Override
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Loads the classes and tenants that an operators' file may name.
+     * Loads the names of the classes and tenants to which an operators' file may refer.
      *
-     * @param config the node's configuration, or null for the one that PROXY_CONFIG names
+     * @param config the node's configuration file, or null for the file that PROXY_CONFIG names
      */
     static NameIndex loadNames(File config) {
         return NodeConfig.load(config == null ? System.getenv() : Map.of("PROXY_CONFIG", config.toString()))
@@ -46,23 +46,23 @@
                 name = "--config",
                 metaVar = "CONFIG",
                 usage = "the node's configuration, for the names of classes and "
-                        + "tenants; otherwise the one that PROXY_CONFIG names")
+                        + "tenants; default: the file that PROXY_CONFIG names")
         private File config;
 
         @Override
         public String description() {
-            return "says all that is wrong with an operators' file, with its places; exit code 2 where anything is";
+            return "reports every error in an operators' file with its position; exit code 2 if there is any";
         }
 
         @Override
         public int run() {
             OperatorsFile.load(file.toPath(), loadNames(config));
-            System.out.println(file + " is sound");
+            System.out.println(file + " is valid");
             return ExitCode.SUCCESS;
         }
     }
 
-    /** {@code expression explain}: prints how an operators' file was understood. */
+    /** {@code expression explain}: prints the interpretation of an operators' file. */
     public static final class Explain implements Command {
         @Argument(required = true, metaVar = "FILE", usage = "the operators' file")
         private File file;
@@ -70,13 +70,13 @@
         @Option(
                 name = "--config",
                 metaVar = "CONFIG",
-                usage = "the node's configuration; otherwise PROXY_CONFIG names it")
+                usage = "the node's configuration; default: the file that PROXY_CONFIG names")
         private File config;
 
         @Override
         public String description() {
-            return "prints what was understood of an operators' file: types, the most that each rule costs, and how rules "
-                    + "are found";
+            return "prints the interpretation of an operators' file: types, the maximum cost of each rule, and how rules are "
+                    + "looked up";
         }
 
         @Override
--- a/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
+++ b/node/src/main/java/tulipshed/cli/ExpressionEvalCommand.java
@@ -22,20 +22,20 @@
 
 /** {@code expression eval}: evaluates one expression. */
 public final class ExpressionEvalCommand implements Command {
-    @Argument(required = true, metaVar = "EXPRESSION", usage = "what to work out")
+    @Argument(required = true, metaVar = "EXPRESSION", usage = "the expression to evaluate")
     private String expression;
 
     @Option(
             name = "--with",
             metaVar = "NAME=VALUE",
             usage =
-                    "an attribute's value, as often as there are attributes; a name "
-                            + "that is not an attribute of a request or an endpoint becomes one, of the type that its value looks like")
+                    "the value of an attribute, repeatable; a name that is "
+                            + "not an attribute of a request or an endpoint declares one, whose type is inferred from the value")
     private List<String> assignments = new ArrayList<>();
 
     @Override
     public String description() {
-        return "works out one expression: prints its type, its value and the most that it may cost; exit code 2 on an error";
+        return "evaluates one expression: prints its type, its value and its maximum cost; exit code 2 on an error";
     }
 
     @Override
@@ -51,7 +51,7 @@
         return ExitCode.SUCCESS;
     }
 
-    /** Reads and checks the expression; the result counts only if no problem was added. */
+    /** Reads and type-checks the expression; the result is valid only if no problem was added. */
     private Optional<Expression> parse(Schema schema, Diagnostics problems) {
         List<Form> forms =
                 SexprReader.read(expression.getBytes(StandardCharsets.UTF_8), OperatorsFile.BOUNDS, problems);
@@ -65,7 +65,7 @@
         }
         Expression checked = new TypeChecker(schema, problems).infer(forms.get(0));
         if (checked != null && checked.type() == Type.ADDRESS) {
-            problems.add(checked.place(), "an address can only be compared or looked for in networks");
+            problems.add(checked.place(), "an address can only be compared or matched against networks");
         }
         return Optional.ofNullable(checked);
     }
--- a/node/src/main/java/tulipshed/cli/ExpressionTestCommand.java
+++ b/node/src/main/java/tulipshed/cli/ExpressionTestCommand.java
@@ -20,15 +20,18 @@
             index = 1,
             required = true,
             metaVar = "CASES",
-            usage = "requests, and the class, group, rule, route and " + "pool that each must get")
+            usage = "requests, and the expected class, group, rule, route " + "and pool of each")
     private File cases;
 
-    @Option(name = "--config", metaVar = "CONFIG", usage = "the node's configuration; otherwise PROXY_CONFIG names it")
+    @Option(
+            name = "--config",
+            metaVar = "CONFIG",
+            usage = "the node's configuration; default: the file that PROXY_CONFIG names")
     private File config;
 
     @Override
     public String description() {
-        return "holds an operators' file to a table of cases; exit code 1 where one fails, 2 where a file is wrong";
+        return "checks an operators' file against a table of cases; exit code 1 if a case fails, 2 if a file is malformed";
     }
 
     @Override
--- a/node/src/main/java/tulipshed/cli/GracefulShutdown.java
+++ b/node/src/main/java/tulipshed/cli/GracefulShutdown.java
@@ -9,18 +9,20 @@
 import tulipshed.transport.HotRestartState;
 
 /**
- * Takes a node out of service in phases that overlap:
+ * Takes a node out of service in overlapping phases:
  *
  * <ol>
- *   <li>accept: new connections are still accepted, as the load balancer in front of the node needs a moment to notice;
- *   <li>migrate: established clients are asked to reconnect elsewhere, spread over the time there is;
- *   <li>end: clients that have opened no request are rejected, then every pending request gets its response, and the
- *       remaining connections are closed.
+ *   <li>accept: new connections are still accepted, as the load balancer in front of the node detects the shutdown with a
+ *       delay;
+ *   <li>migrate: established clients are told to reconnect elsewhere, spread over the available time;
+ *   <li>end: clients that have not opened a request are rejected, then every pending request gets its final response, and
+ *       the remaining connections are closed.
  * </ol>
  *
- * <p>{@link ShutdownSchedule} says when, from the settings that hold when the signal arrives. After a hand-over to the other
- * process of a hot restart, migration starts at once and the end comes as soon as nothing is open. One instance shuts down
- * once. Confined to the event-loop thread, but for the constructor and {@link #awaitCompletion}.
+ * <p>{@link ShutdownSchedule} computes the times of the phases from the settings in effect when the signal arrives. If the
+ * hot-restart peer serves and takes over, migration starts at once and the shutdown ends as soon as no client connection is
+ * open. An instance is used for one shutdown. Confined to the event-loop thread, except for the constructor and {@link
+ * #awaitCompletion}.
  */
 final class GracefulShutdown {
     private final NodeComponents components;
@@ -36,7 +38,7 @@
     /**
      * Creates a shutdown that {@link #begin} starts.
      *
-     * @param startMs when the signal arrived: the event loop may be late to begin
+     * @param startMs when the signal arrived, which is before {@link #begin} if the event loop is busy
      */
     GracefulShutdown(
             NodeOptions options, NodeComponents components, ConfigurationReload configurationReload, double startMs) {
@@ -109,17 +111,18 @@
 
         @Override
         public void rejectPending() {
-            // From here on nothing is forwarded; until then retries follow the list.
+            // No request is forwarded from now on; until now retries needed the current endpoint list.
             components.watch().stop();
             core.rejectAllPending();
         }
 
         @Override
         public boolean isIdle() {
-            return core.metrics().activeRequests() == 0 && components.loop().openConnections() <= openWithoutClients();
+            return core.metrics().activeRequests() == 0
+                    && components.loop().openConnections() <= connectionsOtherThanClients();
         }
 
-        private int openWithoutClients() {
+        private int connectionsOtherThanClients() {
             return (components.watch().isConnected() ? 1 : 0)
                     + (components.peers().isOpen() ? 1 : 0);
         }
--- a/node/src/main/java/tulipshed/cli/HotRestartMonitor.java
+++ b/node/src/main/java/tulipshed/cli/HotRestartMonitor.java
@@ -3,8 +3,8 @@
 import tulipshed.transport.HotRestartState;
 
 /**
- * Follows the other process of a hot restart: shares the quota with it, replicates established connections, and opens
- * the UDP sockets once the other process has exited and their ports are free. Confined to the event-loop thread.
+ * Monitors the hot-restart peer: shares the quota with it, replicates established connections, and opens the UDP sockets
+ * once the peer has exited and their ports are free. Confined to the event-loop thread.
  */
 final class HotRestartMonitor {
     private final HotRestartState hotRestart;
@@ -17,7 +17,7 @@
         intervalMs = options.limits().sockets().sweepIntervalMs();
     }
 
-    /** Checks the other process now, and again at each sweep interval for as long as the event loop runs. */
+    /** Checks the peer now and then at each sweep interval for as long as the event loop runs. */
     void check() {
         components.loop().schedule(intervalMs, this::check);
         hotRestart.refresh();
--- a/node/src/main/java/tulipshed/cli/Main.java
+++ b/node/src/main/java/tulipshed/cli/Main.java
@@ -12,13 +12,13 @@
     private static final Map<String, Supplier<Command>> COMMANDS = new LinkedHashMap<>();
 
     static {
-        // An enum rather than method references: linking each reference would lengthen the start of every command.
+        // An enum instead of method references, as linking each reference would slow down the start of every command.
         for (TopLevelCommand command : TopLevelCommand.values()) {
             COMMANDS.put(command.name().toLowerCase(Locale.ROOT), command);
         }
     }
 
-    /** The sub-commands; the lower-case name of a constant is the word on the command line. */
+    /** The sub-commands; the lower-case name of a constant is its name on the command line. */
     private enum TopLevelCommand implements Supplier<Command> {
         SERVE,
         ADAPTER,
--- a/node/src/main/java/tulipshed/cli/Node.java
+++ b/node/src/main/java/tulipshed/cli/Node.java
@@ -10,8 +10,8 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * One node in service, from {@link #start} to {@link #shutDown}. Safe for use by any thread: each operation runs on the
- * node's event-loop thread.
+ * A running node, from {@link #start} to {@link #shutDown}. Safe for use by any thread: operations that change or read
+ * confined state run on the node's event-loop thread.
  */
 final class Node {
     private final NodeOptions options;
@@ -29,8 +29,8 @@
     /**
      * Starts a node and waits until it accepts clients.
      *
-     * @throws IOException when the clients' address cannot be bound, or when the calling thread is interrupted
-     * @throws tulipshed.config.MalformedInputException when another address cannot be bound
+     * @throws IOException if the client address cannot be bound, or if the calling thread is interrupted
+     * @throws tulipshed.config.MalformedInputException if another address cannot be bound
      */
     static Node start(NodeOptions options) throws IOException {
         return new Node(options, NodeStartup.start(options));
@@ -41,12 +41,12 @@
         return components.clientListener().address();
     }
 
-    /** Returns the address of the management server; empty when the configuration leaves it off. */
+    /** Returns the address of the management server; empty if the configuration does not enable it. */
     Optional<InetSocketAddress> managementAddress() {
         return components.management().map(ManagementServer::address);
     }
 
-    /** Returns how many endpoints are listed as serving, after all events before this call are processed. */
+    /** Returns the number of endpoints listed as serving, after all events queued before this call are processed. */
     long servingEndpointCount() {
         CompletableFuture<Long> count = new CompletableFuture<>();
         loop.execute(() -> count.complete(components.core().servingEndpoints()));
@@ -58,29 +58,30 @@
         return components.clientListener().isDraining();
     }
 
-    /** Applies, soon and at once, what a running node can change of a new configuration. */
+    /** Applies the parts of a new configuration that a running node can change, asynchronously and in one step. */
     void reload(NodeConfig changed, OperatorsFile operators) {
         boolean needsRestart = configurationReload.needsRestart(changed);
         loop.execute(() -> configurationReload.apply(changed, operators, needsRestart));
     }
 
     /**
-     * Counts and logs a new configuration that could not be read; it changes nothing.
+     * Counts and logs a new configuration that could not be read; the current configuration is kept.
      *
-     * @param reason what is wrong with it
+     * @param reason the error message
      */
     void rejectConfiguration(String reason) {
         loop.execute(() -> configurationReload.reject(reason));
     }
 
-    /** Shuts down gracefully and returns when done; see {@link GracefulShutdown}. Called once. */
+    /** Shuts down gracefully and blocks until done; see {@link GracefulShutdown}. Must be called only once. */
     void shutDown() {
         double startMs = options.clock().nowMs();
         GracefulShutdown shutdown = new GracefulShutdown(options, components, configurationReload, startMs);
         loop.execute(shutdown::begin);
         shutdown.awaitCompletion();
-        // A virtual machine that exits waits 300 ms for threads that are in system calls, as the loop's are, with all
-        // sockets open until then.
+        // On exit the virtual machine waits 300 ms for threads in system calls, such as those of the loop, and keeps
+        // all
+        // sockets open meanwhile.
         loop.stop();
     }
 }
--- a/node/src/main/java/tulipshed/cli/NodeAssembly.java
+++ b/node/src/main/java/tulipshed/cli/NodeAssembly.java
@@ -14,7 +14,7 @@
 import tulipshed.routing.Router;
 import tulipshed.transport.XnioEventLoop;
 
-/** Builds the components of a node in the order in which they depend on each other. Runs on the event-loop thread. */
+/** Builds the components of a node in the order of their dependencies. Runs on the event-loop thread. */
 final class NodeAssembly {
     private final NodeOptions options;
     private final NodeConfig config;
@@ -30,10 +30,10 @@
     }
 
     /**
-     * Builds the components. The management server listens from here on; the other listeners stay closed.
+     * Builds the components. The management server starts to listen; the other listeners stay closed.
      *
-     * @param quicConfig the configuration of the QUIC frontend, or null when it is off
-     * @throws IOException when the management address cannot be bound
+     * @param quicConfig the configuration of the QUIC frontend, or null if it is disabled
+     * @throws IOException if the management address cannot be bound
      */
     NodeComponents assemble(QuicConfig quicConfig) throws IOException {
         ProxyCore core = new ProxyCore(
--- a/node/src/main/java/tulipshed/cli/NodeComponents.java
+++ b/node/src/main/java/tulipshed/cli/NodeComponents.java
@@ -8,17 +8,17 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * The components of one node, as {@link NodeAssembly} connects them. The components are confined to the event-loop
- * thread, but for the event loop's own {@code execute} and what {@link ClientListener} says of itself.
+ * The components of one node, as connected by {@link NodeAssembly}. They are confined to the event-loop thread, except
+ * for the event loop's {@code execute} and the methods that {@link ClientListener} documents as safe for any thread.
  *
- * @param loop the event loop on which all others run
+ * @param loop the event loop on which the other components run
  * @param core the request lifecycle and the load-balancing decisions
- * @param frontend the line protocol
- * @param watch the endpoint list from discovery
+ * @param frontend the line-protocol frontend
+ * @param watch the watch of the endpoint list in discovery
  * @param clientListener the listener for line-protocol clients
- * @param quic the QUIC frontend, which may be off
- * @param peers messages between nodes, which may be off
- * @param management the management server, unless the configuration leaves it off
+ * @param quic the QUIC frontend, which may be disabled
+ * @param peers the peer messages, which may be disabled
+ * @param management the management server; empty if the configuration does not enable it
  */
 record NodeComponents(
         XnioEventLoop loop,
--- a/node/src/main/java/tulipshed/cli/NodeOptions.java
+++ b/node/src/main/java/tulipshed/cli/NodeOptions.java
@@ -8,14 +8,14 @@
 import tulipshed.transport.HotRestartState;
 
 /**
- * What a node is started with; none of it is null.
+ * The options with which a node is started; no component is null.
  *
- * @param config the configuration at start; a reload does not change this record
- * @param operators the operators' file at start; the QUIC frontend is off unless the file configures it
- * @param limits bounds and intervals
- * @param hotRestart the state shared with the other process of this node during a hot restart
+ * @param config the configuration at startup; a reload does not change this record
+ * @param operators the operators' file at startup; the QUIC frontend is disabled unless the file configures it
+ * @param limits limits and intervals
+ * @param hotRestart the state shared with the hot-restart peer
  * @param clock the time source of all components
- * @param log where the components log
+ * @param log the log of all components
  */
 record NodeOptions(
         NodeConfig config,
@@ -25,7 +25,7 @@
         Clock clock,
         NodeLog log) {
 
-    /** Returns the options of a node that never has a second process beside it. */
+    /** Returns the options of a node that never has a hot-restart peer. */
     static NodeOptions withoutHotRestart(
             NodeConfig config, OperatorsFile operators, Limits limits, Clock clock, NodeLog log) {
         return new NodeOptions(config, operators, limits, new HotRestartState(), clock, log);
--- a/node/src/main/java/tulipshed/cli/NodeStartup.java
+++ b/node/src/main/java/tulipshed/cli/NodeStartup.java
@@ -14,11 +14,11 @@
 
 /**
  * Brings a node into service. The client listener opens only after discovery's current endpoint list has arrived: the
- * cached one may name endpoints that another process of the node, killed or still serving, was notified to leave. Where
- * discovery fails or is late, the node serves by the cached list. Nor does it open before the {@link Warmup} has ended, so that
- * the first clients do not wait for code that is not compiled yet.
+ * cached list may contain endpoints that are draining or removed, of which an earlier or still serving process of the node
+ * was already notified. If discovery fails or is late, the node serves with the cached list. The listener also waits for
+ * the {@link Warmup} to end, so that the first clients do not wait for code that is not compiled yet.
  *
- * <p>Confined to the event-loop thread, but for {@link #start}, which blocks the thread that starts the node.
+ * <p>Confined to the event-loop thread, except for {@link #start}, which blocks the calling thread.
  */
 final class NodeStartup {
     private static final double READINESS_POLL_INTERVAL_MS = 25;
@@ -43,8 +43,8 @@
     /**
      * Starts a node and waits until it accepts clients.
      *
-     * @throws IOException when the clients' address cannot be bound, or when the calling thread is interrupted
-     * @throws MalformedInputException when another address cannot be bound
+     * @throws IOException if the client address cannot be bound, or if the calling thread is interrupted
+     * @throws MalformedInputException if another address cannot be bound
      */
     static NodeComponents start(NodeOptions options) throws IOException {
         QuicConfig quicConfig = options.operators().quic() == null
@@ -57,7 +57,7 @@
         return startup.awaitStarted();
     }
 
-    /** Meanwhile discovery is asked; the node serves once both are done. */
+    /** Runs the warm-up while the event loop requests the endpoint list; the node serves once both are done. */
     private void warmUp() {
         try {
             boolean isInTime = new Warmup(config, options.limits(), options.clock()).run();
@@ -75,7 +75,7 @@
         try {
             return started.get();
         } catch (InterruptedException e) {
-            throw new IOException("interrupted", e);
+            throw new IOException("interrupted while waiting for the node to start", e);
         } catch (ExecutionException e) {
             if (e.getCause() instanceof RuntimeException unchecked) {
                 throw unchecked;
@@ -87,7 +87,7 @@
     private void begin(QuicConfig quicConfig) {
         try {
             components = assemble(quicConfig);
-            // What another process of this node was notified of, serving or killed, binds this one too.
+            // This process must respect drain notifications that an earlier or concurrent process of the node received.
             components.watch().requestInitialList();
             components.watch().setPushed(!config.settings().polledDiscovery());
             serveOnceReady(
@@ -108,15 +108,18 @@
     }
 
     private void serveOnceReady(double deadlineMs) {
-        if (isWarm && (isListCurrent() || options.clock().nowMs() >= deadlineMs)) {
+        if (isWarm && (isListWaitOver() || options.clock().nowMs() >= deadlineMs)) {
             serve();
         } else {
             loop.schedule(READINESS_POLL_INTERVAL_MS, () -> serveOnceReady(deadlineMs));
         }
     }
 
-    /** Without another process that serves, a node whose discovery fails is better than none. */
-    private boolean isListCurrent() {
+    /**
+     * Returns whether to stop waiting for the endpoint list: it has arrived, or the request failed and no other process of
+     * the node serves, in which case a node with the cached list is better than none.
+     */
+    private boolean isListWaitOver() {
         return components.core().endpointListReceived()
                 || (!hotRestart.isPeerServing() && !components.watch().isCallInProgress());
     }
--- a/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
+++ b/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
@@ -12,8 +12,8 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * The QUIC frontend of a node: off unless the operators' file configures it at start, and closed until {@link
- * #openIfConfigured}, as the UDP port belongs to one process of the node at a time. Confined to the event-loop thread.
+ * The QUIC frontend of a node: disabled unless the operators' file configures it at startup, and closed until {@link
+ * #openIfConfigured}, as only one process of the node at a time can bind the UDP port. Confined to the event-loop thread.
  */
 final class OptionalQuicFrontend {
     private final NodeOptions options;
@@ -28,13 +28,13 @@
 
     private boolean isNodeStarted;
 
-    /** The last logged reason why the frontend could not be opened; empty before. */
+    /** The last logged reason why the frontend could not be opened; empty if there is none. */
     private String loggedFailure = "";
 
     /**
      * Creates a closed frontend.
      *
-     * @param configAtStart the configuration that the frontend opens with; null if it is off until the next restart
+     * @param configAtStart the configuration with which the frontend opens; null if it is disabled until the next restart
      */
     OptionalQuicFrontend(NodeOptions options, QuicConfig configAtStart, XnioEventLoop loop, ProxyCore core) {
         this.options = options;
@@ -46,10 +46,10 @@
     }
 
     /**
-     * Opens the frontend where it is configured and not open yet.
+     * Opens the frontend if it is configured and not open yet.
      *
-     * @throws MalformedInputException when a configured address cannot be bound while the node starts; later, once the
-     *     other process of a hot restart has gone, the failure is logged and each call tries again
+     * @throws MalformedInputException if a configured address cannot be bound while the node starts; after the start, when
+     *     the hot-restart peer has exited, the failure is logged and the next call tries again
      */
     void openIfConfigured() {
         if (frontend != null || configAtStart == null) {
@@ -74,12 +74,12 @@
         }
     }
 
-    /** The node serves: from now on a failure to open the frontend is logged and does not end the process. */
+    /** Records that the node serves: from now on a failure to open the frontend is logged and does not end the process. */
     void nodeStarted() {
         isNodeStarted = true;
     }
 
-    /** Applies changed names and, to an open frontend, its section of the operators' file, if the file has one. */
+    /** Applies changed names and, if the frontend is open, the QUIC section of the operators' file if there is one. */
     void reconfigure(NameIndex changedNames, OperatorsFile operators) {
         names = changedNames;
         if (frontend == null) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Accepts no new connections from now on. */
+    /** Stops accepting new connections. */
     void startDraining() {
         if (frontend != null) {
             frontend.startDraining();
--- a/node/src/main/java/tulipshed/cli/PeerMessaging.java
+++ b/node/src/main/java/tulipshed/cli/PeerMessaging.java
@@ -6,15 +6,15 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * The messages between nodes: no socket and no metrics of them exist until a configuration enables them. Confined to
- * the event-loop thread.
+ * The peer messages of a node. Their socket and metrics do not exist until a configuration enables them. Confined to the
+ * event-loop thread.
  */
 final class PeerMessaging {
     private final NodeOptions options;
     private final XnioEventLoop loop;
     private final ProxyCore core;
 
-    /** Null until a configuration enables the messages; it stays once it exists, as its counters do. */
+    /** Null until a configuration enables the messages; then kept, even if disabled again, because of its counters. */
     private PeerSocket socket;
 
     PeerMessaging(NodeOptions options, XnioEventLoop loop, ProxyCore core) {
@@ -23,7 +23,7 @@
         this.core = core;
     }
 
-    /** Applies a configuration; one without peers closes the socket. {@link #retryBind} opens it. */
+    /** Applies a configuration; one without peers closes the socket. {@link #retryBind} opens the socket. */
     void configure(NodeConfig config) {
         if (socket == null && config.peers() != null) {
             socket = new PeerSocket(options.clock(), options.limits(), loop, core, options.log());
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Binds the socket where it is enabled and its address is free; a failure is retried at the next call. */
+    /** Binds the socket if it is enabled and its address is free; a failure is retried at the next call. */
     void retryBind() {
         if (socket != null) {
             socket.retryBind();
@@ -45,7 +45,7 @@
         return socket != null && socket.isOpen();
     }
 
-    /** Closes the socket where it is open. */
+    /** Closes the socket if it is open. */
     void close() {
         if (socket != null) {
             socket.close();
--- a/node/src/main/java/tulipshed/cli/ServeCommand.java
+++ b/node/src/main/java/tulipshed/cli/ServeCommand.java
@@ -18,10 +18,10 @@
 
 /** {@code serve}: runs one node until SIGTERM. */
 public final class ServeCommand implements Command {
-    /** Names the directory of the state that the two processes of a hot restart share; none, no hot restart. */
+    /** The variable that names the directory of the state shared with the hot-restart peer; unset disables hot restart. */
     private static final String SHARED_STATE_DIRECTORY_VARIABLE = "TMPDIR";
 
-    /** How many lines of level TRACE the process may log; none where it is not set. */
+    /** The variable with the maximum number of lines of level TRACE that the process logs; unset disables them. */
     private static final String TRACE_LINES_VARIABLE = "PROXY_TRACE_LINES";
 
     @Option(
@@ -32,7 +32,7 @@
 
     @Override
     public String description() {
-        return "one real node, from the file that PROXY_CONFIG names, until the process is stopped";
+        return "runs one node with the configuration file that PROXY_CONFIG names, until the process is stopped";
     }
 
     @Override
@@ -70,7 +70,8 @@
         try {
             return NodeLog.tracingTo(System.out::println, clock::nowMs, Integer.parseUnsignedInt(maxTraceLines));
         } catch (NumberFormatException e) {
-            throw new MalformedInputException(TRACE_LINES_VARIABLE + " is not a number of lines");
+            throw new MalformedInputException(
+                    TRACE_LINES_VARIABLE + " is not a non-negative integer (number of lines)");
         }
     }
 
@@ -85,7 +86,7 @@
         return operators == null ? OperatorsFile.EMPTY : OperatorsFile.load(operators.toPath(), config.nameIndex());
     }
 
-    /** Joins the state that the two processes of a hot restart share, in a file that the listen address names. */
+    /** Opens the state shared with the hot-restart peer, in a file named after the listen address. */
     private static HotRestartState joinHotRestart(NodeConfig config, String directory, Limits limits, NodeLog log) {
         if (directory == null || directory.isEmpty()) {
             return new HotRestartState();
--- a/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
+++ b/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
@@ -4,21 +4,21 @@
 import tulipshed.limits.ShutdownLimits;
 
 /**
- * When the phases of a graceful shutdown begin and end, in milliseconds since SIGTERM.
+ * The times at which the phases of a graceful shutdown begin and end, in milliseconds since SIGTERM.
  *
- * <p>SIGKILL may follow SIGTERM by the longest deadline of the settings, of which at most {@link
- * ShutdownLimits#maxDeadlineMs} counts, and {@link ShutdownLimits#killAfterDeadlineMs}. All of it is over so long before
- * that a process which is held up once still ends in time; the time is not counted from any later event, and settings that
- * are reloaded meanwhile do not change it. A request that arrives in the last moment in which the load balancer in front of the node sends any keeps
- * its full deadline.
+ * <p>SIGKILL may follow SIGTERM after the longest deadline of the settings, capped at {@link ShutdownLimits#maxDeadlineMs},
+ * plus {@link ShutdownLimits#killAfterDeadlineMs}. The schedule ends early enough that a process which is paused once, for
+ * at most {@link ShutdownLimits#holdUpMs}, still exits before SIGKILL. All times are relative to SIGTERM, not to a later
+ * event, and settings that are reloaded during the shutdown do not change them. A request that arrives at the last moment
+ * at which the load balancer in front of the node still sends requests keeps its full deadline.
  *
- * @param acceptUntilMs until when new connections are accepted
- * @param migrateFromMs from when established clients are migrated
- * @param migrateUntilMs by when all of them are; those established later are migrated at once
- * @param rejectWaitingMs from when clients whose open command has not arrived are rejected
- * @param rejectPendingMs from when requests without a final response are answered
- * @param endFromMs from when the shutdown ends as soon as nothing is open
- * @param closeMs when the shutdown ends, whatever is open still
+ * @param acceptUntilMs when the node stops accepting new connections
+ * @param migrateFromMs when the migration of established clients begins
+ * @param migrateUntilMs when all established clients are migrated; clients established later are migrated at once
+ * @param rejectWaitingMs when the rejection of clients whose open command has not arrived begins
+ * @param rejectPendingMs when the rejection of requests without a final response begins
+ * @param endWhenIdleMs from when on the shutdown ends as soon as no client connection is open
+ * @param closeMs when the shutdown ends, even if connections are still open
  */
 record ShutdownSchedule(
         double acceptUntilMs,
@@ -26,16 +26,16 @@
         double migrateUntilMs,
         double rejectWaitingMs,
         double rejectPendingMs,
-        double endFromMs,
+        double endWhenIdleMs,
         double closeMs) {
 
-    /** Migration starts by this part of the time until its end at the latest: a half. */
+    /** Migration starts no later than the end of the migration phase divided by this. */
     private static final int MIGRATION_START_DIVISOR = 2;
 
-    /** The last migrated connection lingers for this part of the usual time at least, however short the deadlines: a half. */
+    /** The last migrated connection lingers for at least the usual time divided by this, however short the deadlines are. */
     private static final int MIGRATION_LINGER_DIVISOR = 2;
 
-    /** The schedule of a process that ends without another one of its node. */
+    /** Returns the schedule of a process that ends without handing over to a hot-restart peer. */
     static ShutdownSchedule of(ShutdownLimits limits, double longestDeadlineMs) {
         double killMs = Math.min(limits.maxDeadlineMs(), longestDeadlineMs) + limits.killAfterDeadlineMs();
         double closeMs = killMs - limits.holdUpMs() - limits.exitMs();
@@ -53,14 +53,14 @@
     }
 
     /**
-     * The same for a process that has handed over to another one: that one listens already, and what arrives from now on is
-     * better served there.
+     * Returns this schedule for a process that hands over to its hot-restart peer, which already listens and is to serve all
+     * new connections.
      */
     ShutdownSchedule afterHandover() {
         return new ShutdownSchedule(0, 0, migrateUntilMs, rejectWaitingMs, rejectPendingMs, 0, closeMs);
     }
 
-    /** How long after {@code elapsedMs} the next phase begins or ends; infinite after the last. */
+    /** Returns the time from {@code elapsedMs} until the next phase begins or ends; infinite after the last one. */
     double untilNextPhaseMs(double elapsedMs) {
         return DoubleStream.of(acceptUntilMs, migrateFromMs, migrateUntilMs, rejectWaitingMs, rejectPendingMs, closeMs)
                 .filter(phaseMs -> phaseMs > elapsedMs)
--- a/node/src/main/java/tulipshed/cli/ShutdownSequence.java
+++ b/node/src/main/java/tulipshed/cli/ShutdownSequence.java
@@ -5,8 +5,8 @@
 import tulipshed.time.Clock;
 
 /**
- * Carries a {@link ShutdownSchedule} out: runs in short steps on the event loop until the shutdown has ended. Times are
- * counted from the signal, so that a step which is late delays no other. Without I/O. Confined to the event-loop thread.
+ * Executes a {@link ShutdownSchedule} in short steps on the event loop until the shutdown has ended. Times are relative to
+ * the signal, so that a late step does not delay the next ones. Performs no I/O itself. Confined to the event-loop thread.
  */
 final class ShutdownSequence {
     private static final double STEP_INTERVAL_MS = 25;
@@ -19,34 +19,34 @@
     private final Actions actions;
     private boolean accepting = true;
 
-    /** What the shutdown does with the node; each is called on the event-loop thread. */
+    /** The operations of the shutdown on the node; all are called on the event-loop thread. */
     interface Actions {
-        /** Takes what the kernel has accepted, and listens no more. Called once. */
+        /** Accepts the connections that the kernel has queued, then stops listening. Called once. */
         void stopAccepting();
 
-        /** Returns how many clients are established. */
+        /** Returns the number of established clients. */
         int establishedCount();
 
-        /** Migrates the client that has been established longest; false where there is none. */
+        /** Migrates the client that was established first; returns false if there is none. */
         boolean migrateOldest();
 
         /** Rejects the clients whose open command has not arrived. */
         void rejectWaiting();
 
-        /** Answers all requests that have no final response. */
+        /** Rejects all requests that have no final response. */
         void rejectPending();
 
-        /** Returns whether nothing of a client is open. */
+        /** Returns whether no client has an open request or connection. */
         boolean isIdle();
 
-        /** Closes the sockets that remain. Called once, as the last. */
+        /** Closes the remaining sockets. Called once, after all other methods. */
         void finish();
     }
 
     /**
      * Creates a sequence that {@link #run} starts.
      *
-     * @param startMs when the signal arrived, on this clock
+     * @param startMs when the signal arrived, by {@code clock}
      */
     ShutdownSequence(
             ShutdownSchedule schedule, double startMs, Clock clock, EventLoop loop, Logger log, Actions actions) {
@@ -58,13 +58,13 @@
         this.actions = actions;
     }
 
-    /** Runs the steps that are due, and schedules itself until the end. */
+    /** Runs the phases that are due, and schedules the next step until the shutdown ends. */
     void run() {
         double elapsedMs = clock.nowMs() - startMs;
         try {
             runPhases(elapsedMs);
         } catch (RuntimeException e) {
-            // A defect met in one step must not keep the process from ending in time.
+            // A failed step must not prevent the process from ending in time.
             log.error("shutdown step failed: " + e);
         }
         if (hasEnded(elapsedMs)) {
@@ -86,18 +86,18 @@
             actions.rejectPending();
         }
         if (elapsedMs >= schedule.migrateFromMs()) {
-            migrateShare(elapsedMs);
+            migrateBatch(elapsedMs);
         }
     }
 
-    /** Migrates as many connections as one step has to so that all are migrated in time. */
-    private void migrateShare(double elapsedMs) {
+    /** Migrates the connections of one step, as many as it takes to migrate all of them in time. */
+    private void migrateBatch(double elapsedMs) {
         double remainingMs = Math.max(STEP_INTERVAL_MS, schedule.migrateUntilMs() - elapsedMs);
         int count = (int) Math.ceil(actions.establishedCount() * STEP_INTERVAL_MS / remainingMs);
         for (int i = 0; i < count && actions.migrateOldest(); i++) {}
     }
 
     private boolean hasEnded(double elapsedMs) {
-        return elapsedMs >= schedule.closeMs() || (elapsedMs >= schedule.endFromMs() && actions.isIdle());
+        return elapsedMs >= schedule.closeMs() || (elapsedMs >= schedule.endWhenIdleMs() && actions.isIdle());
     }
 }
--- a/node/src/main/java/tulipshed/cli/VersionCommand.java
+++ b/node/src/main/java/tulipshed/cli/VersionCommand.java
@@ -10,7 +10,7 @@
     @Override
     public int run() {
         String version = Main.class.getPackage().getImplementationVersion();
-        System.out.println("tulipshed " + (version == null ? "of an unpacked build" : version));
+        System.out.println("tulipshed " + (version == null ? "(unpackaged build)" : version));
         return ExitCode.SUCCESS;
     }
 }
--- a/node/src/main/java/tulipshed/demo/StubDiscovery.java
+++ b/node/src/main/java/tulipshed/demo/StubDiscovery.java
@@ -20,7 +20,7 @@
 
 /**
  * A discovery server on loopback that lists the endpoints published to it and responds to a watch at the next change.
- * Safe for use by any thread; each request is handled on a daemon thread of its own.
+ * Safe for use by any thread; each pending request has its own daemon thread.
  */
 public final class StubDiscovery implements AutoCloseable {
     private static final Pattern WATCH_QUERY = Pattern.compile("index=([0-9]{1,9})&wait=([0-9]{1,6})");
@@ -30,8 +30,8 @@
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int NO_BODY = -1;
 
-    /** An index before all versions. */
-    private static final long BEFORE_ALL = -1;
+    /** An index that is lower than every version. */
+    private static final long INDEX_BEFORE_FIRST_VERSION = -1;
 
     private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool(StubDiscovery::daemon);
@@ -43,21 +43,21 @@
 
     private NotificationListener notificationListener = (receivedNanoTime, states) -> {};
 
-    /** Is notified of each response with a list. */
+    /** A listener for responses that contain an endpoint list. */
     public interface NotificationListener {
         /**
-         * A response was written.
+         * Called after a response was written.
          *
-         * @param receivedNanoTime when its request was received, as {@link System#nanoTime} shows it
-         * @param statesById the external state of each endpoint that the response names
+         * @param receivedNanoTime the {@link System#nanoTime} at which the request was received
+         * @param statesById the external state of each endpoint in the response
          */
         void onNotified(long receivedNanoTime, Map<String, String> statesById);
     }
 
-    /** The last state of an endpoint, and the version of the list that brought it. */
+    /** The last published state of an endpoint, and the list version that introduced it. */
     private record PublishedEndpoint(long version, String state, String json) {}
 
-    /** Listens on a free port. */
+    /** Starts the server on a free port. */
     public StubDiscovery() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
         server.setExecutor(threads);
@@ -71,51 +71,51 @@
         return thread;
     }
 
-    /** Returns the address that it listens on. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return server.getAddress();
     }
 
-    /** Publishes an endpoint that started long ago, or another state of it: SERVING, DRAINING or DELETED. */
-    public void publish(String id, InetSocketAddress at, String zone, String kind, String state) {
-        publish(id, at, zone, kind, state, 1, 0);
+    /** Publishes an endpoint with start time 0 and weight 1, or its new state: SERVING, DRAINING or DELETED. */
+    public void publish(String id, InetSocketAddress address, String zone, String machineType, String state) {
+        publish(id, address, zone, machineType, state, 1, 0);
     }
 
     /**
-     * Publishes an endpoint, or another state of it.
+     * Publishes an endpoint, or a new state of it.
      *
-     * @param kind its machine type
-     * @param weight its capacity relative to the others
-     * @param startedMs when it started, as Unix time in milliseconds, or 0 for long ago
+     * @param machineType the machine type
+     * @param weight the capacity relative to the other endpoints
+     * @param startedMs the start time as Unix time in milliseconds, or 0 for an endpoint that started long ago
      */
     public synchronized void publish(
-            String id, InetSocketAddress at, String zone, String kind, String state, double weight, long startedMs) {
+            String id, InetSocketAddress address, String zone, String machineType, String state, double weight, long startedMs) {
         version++;
-        String json = "{\"id\":\"" + id + "\",\"addr\":\"" + at.getAddress().getHostAddress() + ":" + at.getPort()
-                + "\",\"zone\":\"" + zone + "\",\"kind\":\"" + kind + "\",\"cell\":0,\"state\":\"" + state
+        String json = "{\"id\":\"" + id + "\",\"addr\":\"" + address.getAddress().getHostAddress() + ":" + address.getPort()
+                + "\",\"zone\":\"" + zone + "\",\"kind\":\"" + machineType + "\",\"cell\":0,\"state\":\"" + state
                 + "\",\"weight\":" + weight + ",\"started_ms\":" + startedMs + "}";
         endpoints.put(id, new PublishedEndpoint(version, state, json));
         notifyAll();
     }
 
-    /** Returns the bytes of all lists and changes that were sent, without heads. */
+    /** Returns the total size in bytes of the full lists and updates that were sent, without HTTP headers. */
     public long listBytes() {
         return listBytes.get();
     }
 
-    /** Returns how many requests are received and not answered. */
+    /** Returns the number of requests that were received and not answered yet. */
     public int pendingRequests() {
         return pendingRequests.get();
     }
 
-    /** Sets who is called, on the request's thread, after each response with a list. */
+    /** Sets the listener, which is called on the request's thread after each response that contains a list. */
     public synchronized void onNotified(NotificationListener listener) {
         notificationListener = listener;
     }
 
-    /** While unavailable, every request fails with status 503 and every pending watch ends so. */
-    public synchronized void setUnavailable(boolean now) {
-        unavailable = now;
+    /** Sets whether every request, including each pending watch, fails with status 503. */
+    public synchronized void setUnavailable(boolean newUnavailable) {
+        unavailable = newUnavailable;
         notifyAll();
     }
 
@@ -153,7 +153,7 @@
         return notificationListener;
     }
 
-    /** Waits for a version after {@code index}, then returns the changes since, of which there may be none. */
+    /** Waits until the version exceeds {@code index} or the wait ends, then returns the changes since, possibly none. */
     private synchronized String awaitChanges(long index, long waitMs, Map<String, String> states) {
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
         try {
@@ -169,10 +169,10 @@
     }
 
     private synchronized String fullList(Map<String, String> states) {
-        return list(true, BEFORE_ALL, states);
+        return list(true, INDEX_BEFORE_FIRST_VERSION, states);
     }
 
-    /** Returns a list in discovery's form and adds the states in it; a full list leaves out deleted endpoints. */
+    /** Returns a list in discovery's format and adds its states to {@code states}; a full list omits deleted endpoints. */
     private synchronized String list(boolean full, long index, Map<String, String> states) {
         List<String> listed = new ArrayList<>();
         endpoints.forEach((id, endpoint) -> {
--- a/node/src/main/java/tulipshed/demo/StubEndpoint.java
+++ b/node/src/main/java/tulipshed/demo/StubEndpoint.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An endpoint on loopback that accepts every request and echoes the lines after it. Each connection has a daemon thread
- * of its own.
+ * An endpoint on loopback that accepts every request and echoes the lines that follow. Each connection has its own daemon
+ * thread.
  */
 public final class StubEndpoint implements AutoCloseable {
     private static final int BACKLOG = 50;
@@ -25,21 +25,21 @@
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
 
     /**
-     * Listens on a free port.
+     * Starts an endpoint on a free port.
      *
-     * @param id its ID in the endpoint list
+     * @param id the ID in the endpoint list
      */
     public StubEndpoint(String id) throws IOException {
         this.id = id;
         StubDiscovery.daemon(this::acceptConnections).start();
     }
 
-    /** Returns its ID in the endpoint list. */
+    /** Returns the ID in the endpoint list. */
     public String id() {
         return id;
     }
 
-    /** Returns the address that it listens on. */
+    /** Returns the address that the endpoint listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
@@ -50,7 +50,7 @@
                 Socket connection = listener.accept();
                 StubDiscovery.daemon(() -> serve(connection)).start();
             } catch (IOException e) {
-                // The listener was closed, or accepting failed for a moment.
+                // The listener was closed, or accepting failed temporarily.
                 pauseAfterFailedAccept();
             }
         }
