--- a/node/src/main/java/tulipshed/cli/CommandDispatcher.java
+++ b/node/src/main/java/tulipshed/cli/CommandDispatcher.java
@@ -74,7 +74,9 @@
         parser.printUsage(System.out);
     }
 
-    /** {@code serve} reports all problems on one line, for the node's log; other commands print one line per problem. */
+    /**
+     * {@code serve} reports all problems on one line, for the node's log; other commands print one line per problem.
+     */
     private static void printProblems(String program, Command command, InvalidOperatorsFileException e) {
         System.err.println(command instanceof ServeCommand ? badConfiguration(program, e) : e.lines());
     }
--- a/node/src/main/java/tulipshed/cli/ConfigurationReload.java
+++ b/node/src/main/java/tulipshed/cli/ConfigurationReload.java
@@ -23,8 +23,8 @@
     private double lastReloadMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * The longest deadline of the settings that the last reload replaced; the minimum of those values if several reloads
-     * followed each other within {@link tulipshed.limits.ShutdownLimits#signalOrderMs}.
+     * The longest deadline of the settings that the last reload replaced; the minimum of those values if several
+     * reloads followed each other within {@link tulipshed.limits.ShutdownLimits#signalOrderMs}.
      */
     private double replacedDeadlineMs;
 
@@ -40,7 +40,9 @@
         log = options.log().logger("node");
     }
 
-    /** Returns whether a configuration changes values that only take effect at a restart. Safe for use by any thread. */
+    /**
+     * Returns whether a configuration changes values that only take effect at a restart. Safe for use by any thread.
+     */
     boolean needsRestart(NodeConfig changed) {
         return !changed.name().equals(configAtStart.name())
                 || !changed.listen().equals(configAtStart.listen())
@@ -75,9 +77,9 @@
     }
 
     /**
-     * Returns the longest request deadline, from which the schedule of a shutdown that begins now is computed. Signals that
-     * arrive together are handled in any order, so a reload that was just applied may have been requested after SIGTERM; in
-     * that case the shorter of the old and the new deadline is used.
+     * Returns the longest request deadline, from which the schedule of a shutdown that begins now is computed. Signals
+     * that arrive together are handled in any order, so a reload that was just applied may have been requested after
+     * SIGTERM; in that case the shorter of the old and the new deadline is used.
      */
     double longestDeadlineAtShutdownMs() {
         double deadlineMs = components.core().longestDeadlineMs();
--- a/node/src/main/java/tulipshed/cli/GracefulShutdown.java
+++ b/node/src/main/java/tulipshed/cli/GracefulShutdown.java
@@ -12,17 +12,17 @@
  * Takes a node out of service in overlapping phases:
  *
  * <ol>
- *   <li>accept: new connections are still accepted, as the load balancer in front of the node detects the shutdown with a
- *       delay;
+ *   <li>accept: new connections are still accepted, as the load balancer in front of the node detects the shutdown with
+ *       a delay;
  *   <li>migrate: established clients are told to reconnect elsewhere, spread over the available time;
- *   <li>end: clients that have not opened a request are rejected, then every pending request gets its final response, and
- *       the remaining connections are closed.
+ *   <li>end: clients that have not opened a request are rejected, then every pending request gets its final response,
+ *       and the remaining connections are closed.
  * </ol>
  *
- * <p>{@link ShutdownSchedule} computes the times of the phases from the settings in effect when the signal arrives. If the
- * hot-restart peer serves and takes over, migration starts at once and the shutdown ends as soon as no client connection is
- * open. An instance is used for one shutdown. Confined to the event-loop thread, except for the constructor and {@link
- * #awaitCompletion}.
+ * <p>{@link ShutdownSchedule} computes the times of the phases from the settings in effect when the signal arrives. If
+ * the hot-restart peer serves and takes over, migration starts at once and the shutdown ends as soon as no client
+ * connection is open. An instance is used for one shutdown. Confined to the event-loop thread, except for the
+ * constructor and {@link #awaitCompletion}.
  */
 final class GracefulShutdown {
     private final NodeComponents components;
--- a/node/src/main/java/tulipshed/cli/HangupSignal.java
+++ b/node/src/main/java/tulipshed/cli/HangupSignal.java
@@ -5,14 +5,15 @@
 /**
  * The handler of SIGHUP, the signal to reload the configuration.
  *
- * <p>The only interface of the platform to signals is {@code sun.misc.Signal} in the module {@code jdk.unsupported}. It is
- * used by reflection because the compiler warns about each use and no annotation suppresses that warning.
+ * <p>The only interface of the platform to signals is {@code sun.misc.Signal} in the module {@code jdk.unsupported}. It
+ * is used by reflection because the compiler warns about each use and no annotation suppresses that warning.
  */
 final class HangupSignal {
     private HangupSignal() {}
 
     /**
-     * Calls {@code reload} at each SIGHUP, on a thread of the virtual machine; without a handler the process would exit.
+     * Calls {@code reload} at each SIGHUP, on a thread of the virtual machine; without a handler the process would
+     * exit.
      *
      * @return whether the signal can arrive; false if the parent process ignores it, as {@code nohup} does, since the
      *     virtual machine then keeps it ignored
--- a/node/src/main/java/tulipshed/cli/HotRestartMonitor.java
+++ b/node/src/main/java/tulipshed/cli/HotRestartMonitor.java
@@ -3,8 +3,8 @@
 import tulipshed.transport.HotRestartState;
 
 /**
- * Monitors the hot-restart peer: shares the quota with it, replicates established connections, and opens the UDP sockets
- * once the peer has exited and their ports are free. Confined to the event-loop thread.
+ * Monitors the hot-restart peer: shares the quota with it, replicates established connections, and opens the UDP
+ * sockets once the peer has exited and their ports are free. Confined to the event-loop thread.
  */
 final class HotRestartMonitor {
     private final HotRestartState hotRestart;
--- a/node/src/main/java/tulipshed/cli/NodeStartup.java
+++ b/node/src/main/java/tulipshed/cli/NodeStartup.java
@@ -14,9 +14,9 @@
 
 /**
  * Brings a node into service. The client listener opens only after discovery's current endpoint list has arrived: the
- * cached list may contain endpoints that are draining or removed, of which an earlier or still serving process of the node
- * was already notified. If discovery fails or is late, the node serves with the cached list. The listener also waits for
- * the {@link Warmup} to end, so that the first clients do not wait for code that is not compiled yet.
+ * cached list may contain endpoints that are draining or removed, of which an earlier or still serving process of the
+ * node was already notified. If discovery fails or is late, the node serves with the cached list. The listener also
+ * waits for the {@link Warmup} to end, so that the first clients do not wait for code that is not compiled yet.
  *
  * <p>Confined to the event-loop thread, except for {@link #start}, which blocks the calling thread.
  */
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Returns whether to stop waiting for the endpoint list: it has arrived, or the request failed and no other process of
-     * the node serves, in which case a node with the cached list is better than none.
+     * Returns whether to stop waiting for the endpoint list: it has arrived, or the request failed and no other process
+     * of the node serves, in which case a node with the cached list is better than none.
      */
     private boolean isListWaitOver() {
         return components.core().endpointListReceived()
--- a/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
+++ b/node/src/main/java/tulipshed/cli/OptionalQuicFrontend.java
@@ -13,7 +13,8 @@
 
 /**
  * The QUIC frontend of a node: disabled unless the operators' file configures it at startup, and closed until {@link
- * #openIfConfigured}, as only one process of the node at a time can bind the UDP port. Confined to the event-loop thread.
+ * #openIfConfigured}, as only one process of the node at a time can bind the UDP port. Confined to the event-loop
+ * thread.
  */
 final class OptionalQuicFrontend {
     private final NodeOptions options;
@@ -34,7 +35,8 @@
     /**
      * Creates a closed frontend.
      *
-     * @param configAtStart the configuration with which the frontend opens; null if it is disabled until the next restart
+     * @param configAtStart the configuration with which the frontend opens; null if it is disabled until the next
+     *     restart
      */
     OptionalQuicFrontend(NodeOptions options, QuicConfig configAtStart, XnioEventLoop loop, ProxyCore core) {
         this.options = options;
@@ -48,8 +50,8 @@
     /**
      * Opens the frontend if it is configured and not open yet.
      *
-     * @throws MalformedInputException if a configured address cannot be bound while the node starts; after the start, when
-     *     the hot-restart peer has exited, the failure is logged and the next call tries again
+     * @throws MalformedInputException if a configured address cannot be bound while the node starts; after the start,
+     *     when the hot-restart peer has exited, the failure is logged and the next call tries again
      */
     void openIfConfigured() {
         if (frontend != null || configAtStart == null) {
@@ -74,7 +76,9 @@
         }
     }
 
-    /** Records that the node serves: from now on a failure to open the frontend is logged and does not end the process. */
+    /**
+     * Records that the node serves: from now on a failure to open the frontend is logged and does not end the process.
+     */
     void nodeStarted() {
         isNodeStarted = true;
     }
--- a/node/src/main/java/tulipshed/cli/PeerMessaging.java
+++ b/node/src/main/java/tulipshed/cli/PeerMessaging.java
@@ -6,8 +6,8 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * The peer messages of a node. Their socket and metrics do not exist until a configuration enables them. Confined to the
- * event-loop thread.
+ * The peer messages of a node. Their socket and metrics do not exist until a configuration enables them. Confined to
+ * the event-loop thread.
  */
 final class PeerMessaging {
     private final NodeOptions options;
--- a/node/src/main/java/tulipshed/cli/ServeCommand.java
+++ b/node/src/main/java/tulipshed/cli/ServeCommand.java
@@ -18,7 +18,9 @@
 
 /** {@code serve}: runs one node until SIGTERM. */
 public final class ServeCommand implements Command {
-    /** The variable that names the directory of the state shared with the hot-restart peer; unset disables hot restart. */
+    /**
+     * The variable that names the directory of the state shared with the hot-restart peer; unset disables hot restart.
+     */
     private static final String SHARED_STATE_DIRECTORY_VARIABLE = "TMPDIR";
 
     /** The variable with the maximum number of lines of level TRACE that the process logs; unset disables them. */
--- a/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
+++ b/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
@@ -6,11 +6,12 @@
 /**
  * The times at which the phases of a graceful shutdown begin and end, in milliseconds since SIGTERM.
  *
- * <p>SIGKILL may follow SIGTERM after the longest deadline of the settings, capped at {@link ShutdownLimits#maxDeadlineMs},
- * plus {@link ShutdownLimits#killAfterDeadlineMs}. The schedule ends early enough that a process which is paused once, for
- * at most {@link ShutdownLimits#holdUpMs}, still exits before SIGKILL. All times are relative to SIGTERM, not to a later
- * event, and settings that are reloaded during the shutdown do not change them. A request that arrives at the last moment
- * at which the load balancer in front of the node still sends requests keeps its full deadline.
+ * <p>SIGKILL may follow SIGTERM after the longest deadline of the settings, capped at {@link
+ * ShutdownLimits#maxDeadlineMs}, plus {@link ShutdownLimits#killAfterDeadlineMs}. The schedule ends early enough that a
+ * process which is paused once, for at most {@link ShutdownLimits#holdUpMs}, still exits before SIGKILL. All times are
+ * relative to SIGTERM, not to a later event, and settings that are reloaded during the shutdown do not change them. A
+ * request that arrives at the last moment at which the load balancer in front of the node still sends requests keeps
+ * its full deadline.
  *
  * @param acceptUntilMs when the node stops accepting new connections
  * @param migrateFromMs when the migration of established clients begins
@@ -32,7 +33,10 @@
     /** Migration starts no later than the end of the migration phase divided by this. */
     private static final int MIGRATION_START_DIVISOR = 2;
 
-    /** The last migrated connection lingers for at least the usual time divided by this, however short the deadlines are. */
+    /**
+     * The last migrated connection lingers for at least the usual time divided by this, however short the deadlines
+     * are.
+     */
     private static final int MIGRATION_LINGER_DIVISOR = 2;
 
     /** Returns the schedule of a process that ends without handing over to a hot-restart peer. */
@@ -53,8 +57,8 @@
     }
 
     /**
-     * Returns this schedule for a process that hands over to its hot-restart peer, which already listens and is to serve all
-     * new connections.
+     * Returns this schedule for a process that hands over to its hot-restart peer, which already listens and is to
+     * serve all new connections.
      */
     ShutdownSchedule afterHandover() {
         return new ShutdownSchedule(0, 0, migrateUntilMs, rejectWaitingMs, rejectPendingMs, 0, closeMs);
--- a/node/src/main/java/tulipshed/cli/ShutdownSequence.java
+++ b/node/src/main/java/tulipshed/cli/ShutdownSequence.java
@@ -5,8 +5,9 @@
 import tulipshed.time.Clock;
 
 /**
- * Executes a {@link ShutdownSchedule} in short steps on the event loop until the shutdown has ended. Times are relative to
- * the signal, so that a late step does not delay the next ones. Performs no I/O itself. Confined to the event-loop thread.
+ * Executes a {@link ShutdownSchedule} in short steps on the event loop until the shutdown has ended. Times are relative
+ * to the signal, so that a late step does not delay the next ones. Performs no I/O itself. Confined to the event-loop
+ * thread.
  */
 final class ShutdownSequence {
     private static final double STEP_INTERVAL_MS = 25;
--- a/node/src/main/java/tulipshed/config/NameIndex.java
+++ b/node/src/main/java/tulipshed/config/NameIndex.java
@@ -7,8 +7,8 @@
 import tulipshed.decision.api.BalancerSettings;
 
 /**
- * Maps the external names of request classes and tenants to their indexes in {@link BalancerSettings#classes()} and {@link
- * BalancerSettings#tenants()}. Immutable.
+ * Maps the external names of request classes and tenants to their indexes in {@link BalancerSettings#classes()} and
+ * {@link BalancerSettings#tenants()}. Immutable.
  */
 public final class NameIndex {
     private final Map<String, Integer> classes;
--- a/node/src/main/java/tulipshed/config/NodeConfig.java
+++ b/node/src/main/java/tulipshed/config/NodeConfig.java
@@ -17,8 +17,8 @@
  *
  * @param name the node's name; external name {@code name}
  * @param listen the address for clients; external name {@code listen}
- * @param management the address of the management server, null if it is disabled; external name {@code management}, or the
- *     environment variable PROXY_MANAGEMENT
+ * @param management the address of the management server, null if it is disabled; external name {@code management}, or
+ *     the environment variable PROXY_MANAGEMENT
  * @param discovery the address of the discovery service; external name {@code discovery}
  * @param seed the seed of the random number generator; external name {@code seed}, hexadecimal
  * @param memoryMb the memory that the node may use, in mebibytes; external name {@code limits.memory_mb}
--- a/node/src/main/java/tulipshed/demo/StubDiscovery.java
+++ b/node/src/main/java/tulipshed/demo/StubDiscovery.java
@@ -89,9 +89,16 @@
      * @param startedMs the start time as Unix time in milliseconds, or 0 for an endpoint that started long ago
      */
     public synchronized void publish(
-            String id, InetSocketAddress address, String zone, String machineType, String state, double weight, long startedMs) {
+            String id,
+            InetSocketAddress address,
+            String zone,
+            String machineType,
+            String state,
+            double weight,
+            long startedMs) {
         version++;
-        String json = "{\"id\":\"" + id + "\",\"addr\":\"" + address.getAddress().getHostAddress() + ":" + address.getPort()
+        String json = "{\"id\":\"" + id + "\",\"addr\":\""
+                + address.getAddress().getHostAddress() + ":" + address.getPort()
                 + "\",\"zone\":\"" + zone + "\",\"kind\":\"" + machineType + "\",\"cell\":0,\"state\":\"" + state
                 + "\",\"weight\":" + weight + ",\"started_ms\":" + startedMs + "}";
         endpoints.put(id, new PublishedEndpoint(version, state, json));
@@ -153,7 +160,9 @@
         return notificationListener;
     }
 
-    /** Waits until the version exceeds {@code index} or the wait ends, then returns the changes since, possibly none. */
+    /**
+     * Waits until the version exceeds {@code index} or the wait ends, then returns the changes since, possibly none.
+     */
     private synchronized String awaitChanges(long index, long waitMs, Map<String, String> states) {
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
         try {
@@ -172,7 +181,9 @@
         return list(true, INDEX_BEFORE_FIRST_VERSION, states);
     }
 
-    /** Returns a list in discovery's format and adds its states to {@code states}; a full list omits deleted endpoints. */
+    /**
+     * Returns a list in discovery's format and adds its states to {@code states}; a full list omits deleted endpoints.
+     */
     private synchronized String list(boolean full, long index, Map<String, String> states) {
         List<String> listed = new ArrayList<>();
         endpoints.forEach((id, endpoint) -> {
--- a/node/src/main/java/tulipshed/demo/StubEndpoint.java
+++ b/node/src/main/java/tulipshed/demo/StubEndpoint.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An endpoint on loopback that accepts every request and echoes the lines that follow. Each connection has its own daemon
- * thread.
+ * An endpoint on loopback that accepts every request and echoes the lines that follow. Each connection has its own
+ * daemon thread.
  */
 public final class StubEndpoint implements AutoCloseable {
     private static final int BACKLOG = 50;
--- a/node/src/test/java/tulipshed/cli/AcceptShortageTest.java
+++ b/node/src/test/java/tulipshed/cli/AcceptShortageTest.java
@@ -20,7 +20,7 @@
 import tulipshed.testing.NodeConfigFile;
 import tulipshed.testing.NodeProcess;
 
-/** A node that the kernel allows fewer descriptors than its settings say: accepts fail with EMFILE. */
+/** A node whose kernel limit of descriptors is lower than its configured limit, so that accepts fail with EMFILE. */
 @Timeout(60)
 class AcceptShortageTest {
     private static final int DESCRIPTOR_LIMIT = 128;
@@ -30,7 +30,9 @@
     @TempDir
     private Path directory;
 
-    /** Here each class is a file of its own, which needs a descriptor; a program's jar is open all the time. */
+    /**
+     * Loads the classes while descriptors are free: in the test each class is a file, while a packaged jar stays open.
+     */
     private static void loadClassesForRejection(int listenPort) throws IOException {
         try (Socket client = connect(listenPort)) {
             send(client, "MALFORMED\r\n");
@@ -52,7 +54,7 @@
             }
             for (int i = 0; i < 20; i++) {
                 try (Socket client = connect(listenPort)) {
-                    // Shorter than the 2 s after which an idle client gives its descriptor back by itself.
+                    // Shorter than the 2 s after which the node closes an idle client anyway.
                     client.setSoTimeout(1000);
                     send(client, "PING\r\n");
                     String reply = String.valueOf(reader(client).readLine());
--- a/node/src/test/java/tulipshed/cli/CommandLineTest.java
+++ b/node/src/test/java/tulipshed/cli/CommandLineTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Usage texts, exit codes and output of the sub-commands that need no node. */
+/** Usage texts, exit codes and output of the sub-commands that do not start a node. */
 class CommandLineTest {
     private static final String CONFIG = "src/test/resources/node.json";
     private static final String EXAMPLE = "../example/tulipshed.sexp";
--- a/node/src/test/java/tulipshed/cli/ConfigurationReloadTest.java
+++ b/node/src/test/java/tulipshed/cli/ConfigurationReloadTest.java
@@ -25,9 +25,9 @@
 import tulipshed.testing.NodeConfigFile;
 import tulipshed.testing.NodeProcess;
 
-/** Reload of the configuration and the operators' file at SIGHUP, with a node in a process of its own. */
+/** Reload of the configuration and the operators' file at SIGHUP, with a node in a separate process. */
 class ConfigurationReloadTest {
-    /** A port of loopback that nobody listens on. */
+    /** A loopback port without a listener. */
     private static final int UNUSED_PORT = 9;
 
     @TempDir
@@ -46,7 +46,7 @@
         return in.readLine();
     }
 
-    /** Without a handler the virtual machine exits at SIGHUP, and all connections close. */
+    /** Guards against a missing SIGHUP handler, with which the virtual machine exits and all connections close. */
     @Test
     void appliesValidConfigurationAndKeepsCurrentOneOtherwise() throws Exception {
         int listenPort = freeTcpPort();
@@ -73,7 +73,7 @@
                     }
                     node.sendSignal("HUP");
                     assertTrue(node.awaitReloadLine() != null, "a further reload");
-                    assertEquals("PONG", ping(client, in), "the connection has stayed");
+                    assertEquals("PONG", ping(client, in), "the connection was kept");
                 }
                 node.sendSignal("TERM");
                 node.awaitLogLine("INFO node: shutting down");
@@ -85,8 +85,8 @@
     }
 
     /**
-     * A process inherits that a signal is ignored, and the virtual machine installs no handler for such a signal: without
-     * the command of the deployment file, reloads would depend on what started the node.
+     * A process inherits ignored signals, and the virtual machine installs no handler for them: without the command in
+     * the deployment file, reloads would depend on the parent process of the node.
      */
     @Test
     void warnsOfIgnoredSighupAndDeploymentCommandRestoresIt() throws Exception {
@@ -124,7 +124,7 @@
         }
     }
 
-    /** A new class is known at once, and a file without deadlines is rejected. */
+    /** A new request class is accepted at once; malformed files and non-positive deadlines are rejected. */
     @Test
     void appliesNewSettingsAtOnceAndRejectsMalformedFiles() throws Exception {
         int listenPort = freeTcpPort();
@@ -142,7 +142,7 @@
                 configureWithEndpoint(listenPort, endpoint.getLocalPort(), "\"gate-status\"", "\"gate-alarm\"");
                 node.sendSignal("HUP");
                 node.awaitLogLine("INFO node: configuration reloaded, discovery");
-                assertEquals("ERR", openRequest(listenPort, "2", "gate-status"), "dropped, so unknown");
+                assertEquals("ERR", openRequest(listenPort, "2", "gate-status"), "unknown, as the class was removed");
                 try (Socket client = connect(listenPort)) {
                     send(client, "OPEN 3 k c=gate-alarm,t=melnik-terminal,d=2000\r\n");
                     try (Socket upstream = endpoint.accept()) {
@@ -175,7 +175,7 @@
                 rejection);
     }
 
-    /** The rules change together with the settings that they name, and a file with any problem changes neither. */
+    /** The rules and the settings to which they refer are applied together; a file with any error changes neither. */
     @Test
     void reloadsOperatorsFileCompletelyOrNotAtAll() throws Exception {
         int listenPort = freeTcpPort();
@@ -240,7 +240,9 @@
         }
     }
 
-    /** With pushed lists the node's agent alone has the list: the node watches it from the start and after each outage. */
+    /**
+     * With pushed lists only the local agent has the list: the node watches it from the start and after each outage.
+     */
     @Test
     void watchesPushedListsFromTheStartAndAfterAnOutage() throws Exception {
         int listenPort = freeTcpPort();
@@ -270,10 +272,10 @@
     }
 
     private static void awaitTargets(int managementPort, int expected) throws IOException {
-        long untilNanos = System.nanoTime() + 10_000_000_000L;
+        long deadlineNs = System.nanoTime() + 10_000_000_000L;
         String metric = "\"targets\":" + expected + ",";
         while (!httpGet(managementPort, "/status/metrics").contains(metric)) {
-            assertTrue(System.nanoTime() < untilNanos, "the node was not notified of " + expected);
+            assertTrue(System.nanoTime() < deadlineNs, "timed out waiting for this number of targets: " + expected);
         }
     }
 }
--- a/node/src/test/java/tulipshed/cli/CrashRestartTest.java
+++ b/node/src/test/java/tulipshed/cli/CrashRestartTest.java
@@ -26,7 +26,7 @@
 import tulipshed.testing.NodeConfigFile;
 import tulipshed.testing.NodeProcess;
 
-/** A process that is started again after a crash is ready in time, whatever discovery does. */
+/** A process that is restarted after a crash is ready in time despite any discovery fault. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
 class CrashRestartTest {
     private static final long READY_TIMEOUT_NS = 10_000_000_000L;
@@ -34,7 +34,7 @@
     @TempDir
     private Path directory;
 
-    /** How discovery treats the requests of a node that starts. */
+    /** The fault that the requests of a starting node meet in discovery. */
     enum DiscoveryFault {
         CONNECTION_REFUSED,
         NO_RESPONSE,
@@ -51,17 +51,17 @@
         return new NodeProcess(Map.of("PROXY_CONFIG", config.toString(), "TMPDIR", nodeDirectory.toString()));
     }
 
-    /** Polls the node as the front layer does, until it responds. */
-    private static void awaitReady(int listenPort, long sinceNs) throws IOException, InterruptedException {
+    /** Polls the node as the load balancer in front of it does, until it responds. */
+    private static void awaitReady(int listenPort, long startNs) throws IOException, InterruptedException {
         while (true) {
             try (Socket client = connect(listenPort)) {
                 send(client, "PING\r\n");
                 String answer = reader(client).readLine();
-                assertTrue(System.nanoTime() - sinceNs < READY_TIMEOUT_NS, "ready within 10 s");
+                assertTrue(System.nanoTime() - startNs < READY_TIMEOUT_NS, "ready within 10 s");
                 assertEquals("PONG", answer);
                 return;
             } catch (ConnectException notYet) {
-                assertTrue(System.nanoTime() - sinceNs < READY_TIMEOUT_NS, "ready within 10 s");
+                assertTrue(System.nanoTime() - startNs < READY_TIMEOUT_NS, "ready within 10 s");
                 Thread.sleep(20);
             }
         }
@@ -104,9 +104,9 @@
                 first.sendSignal("KILL");
                 assertTrue(first.awaitExit(5));
             }
-            long sinceNs = System.nanoTime();
+            long startNs = System.nanoTime();
             try (NodeProcess second = start(listenPort, discoveryPort, "n")) {
-                awaitReady(listenPort, sinceNs);
+                awaitReady(listenPort, startNs);
                 assertTrue(second.isRunning());
             }
         } finally {
@@ -116,7 +116,7 @@
         }
     }
 
-    /** All nodes of a tier that start at one moment on one machine. */
+    /** All nodes of a tier start at the same time on one machine. */
     @Test
     void manyProcessesStartedAtOnceAreReadyInTime() throws Exception {
         int nodes = 10;
@@ -126,12 +126,12 @@
             for (int i = 0; i < nodes; i++) {
                 ports.add(freeTcpPort());
             }
-            long sinceNs = System.nanoTime();
+            long startNs = System.nanoTime();
             for (int i = 0; i < nodes; i++) {
                 running.add(start(ports.get(i), closedPort.getLocalPort(), "n" + i));
             }
             for (int port : ports) {
-                awaitReady(port, sinceNs);
+                awaitReady(port, startNs);
             }
         } finally {
             running.forEach(NodeProcess::close);
--- a/node/src/test/java/tulipshed/cli/DescriptorExhaustionTest.java
+++ b/node/src/test/java/tulipshed/cli/DescriptorExhaustionTest.java
@@ -29,7 +29,7 @@
 import tulipshed.testing.NodeConfigFile;
 import tulipshed.testing.NodeProcess;
 
-/** A node in a process with a low descriptor limit, under more clients than that and with discovery unreachable. */
+/** A node in a process with a low descriptor limit, with more clients than descriptors and unreachable discovery. */
 class DescriptorExhaustionTest {
     private static final int DESCRIPTOR_LIMIT = 256;
     private static final List<String> LIMITING_LAUNCHER =
@@ -85,7 +85,7 @@
         return socket;
     }
 
-    /** Opens a request and returns the reply, that of the endpoint or, without capacity, that of the node. */
+    /** Opens a request and returns the reply of the endpoint or, if there is no capacity, of the node. */
     private String openRequest(ServerSocket expectedEndpoint) throws IOException {
         Socket client = connectClient(OPEN);
         expectedEndpoint.setSoTimeout(1000);
@@ -100,7 +100,7 @@
         return reader(client).readLine();
     }
 
-    /** Opens a request and retries it when it is rejected, as on a busy machine an attempt may not succeed in time. */
+    /** Opens a request and retries it if it is rejected, as an attempt may time out on a busy machine. */
     private String openRequestWithRetries(ServerSocket expectedEndpoint) throws IOException {
         String reply = openRequest(expectedEndpoint);
         for (int i = 0; i < 10 && reply.matches("BUSY [0-9]+"); i++) {
@@ -109,12 +109,12 @@
         return reply;
     }
 
-    /** Asserts that management, reloads and discovery still get descriptors. */
+    /** Asserts that the management server, reloads and discovery still get descriptors. */
     private void assertOtherServicesContinue(NodeProcess node) throws Exception {
         assertTrue(httpGet(managementPort, "/status").startsWith("HTTP/1.1 200 "), "the management server");
         node.sendSignal("HUP");
         assertNotNull(node.awaitReloadLine(), "a reload");
-        // Discovery is reachable again, and lists another endpoint.
+        // Discovery becomes reachable again and lists another endpoint.
         try (ServerSocket listener = new ServerSocket()) {
             listener.setReuseAddress(true);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), discoveryPort), 50);
@@ -136,13 +136,13 @@
         assertNotNull(node.awaitLogLine("INFO node: shutting down"), "SIGTERM");
         assertTrue(node.awaitExit(8));
         assertNull(node.awaitLogLine("the end of its log"));
-        // When accepting ran ahead, connections to endpoints and discovery failed for want of descriptors.
+        // Guards against accepting so many clients that connections to endpoints and discovery run out of descriptors.
         assertTrue(
                 node.readLines().stream().noneMatch(line -> line.contains("Too many open files")),
                 node.readLines()::toString);
     }
 
-    /** Four times as many clients as descriptors, all at once, half of them with an incomplete line. */
+    /** Four times as many clients as descriptors connect at once, half of them with an incomplete line. */
     @Test
     void silentClientsDoNotExhaustDescriptorsOfOthers() throws Exception {
         try (NodeProcess node = startNode()) {
@@ -153,14 +153,14 @@
             assertEquals("UP r", openRequestWithRetries(endpoint), "idle clients are evicted for one with a request");
             assertOtherServicesContinue(node);
             assertEquals("UP r", openRequestWithRetries(secondEndpoint));
-            // The first was evicted, with a reply or none, and its connection ends.
+            // The first client was evicted, with or without a reply, and its connection is closed.
             String reply = String.valueOf(reader(idle.get(0)).readLine());
             assertTrue(reply.matches("BUSY [0-9]+|ERR|null"), reply);
             assertShutsDownCleanly(node);
         }
     }
 
-    /** Established clients hold all of the clients' capacity; others are rejected until there is capacity again. */
+    /** Established clients use all of the client capacity; others are rejected until there is capacity again. */
     @Test
     void establishedClientsDoNotExhaustDescriptorsOfOthers() throws Exception {
         try (NodeProcess node = startNode()) {
@@ -183,7 +183,7 @@
             for (Socket client : established) {
                 client.close();
             }
-            assertEquals("UP r", openRequestWithRetries(secondEndpoint), "service returns by itself");
+            assertEquals("UP r", openRequestWithRetries(secondEndpoint), "served again without a restart");
             assertShutsDownCleanly(node);
         }
     }
--- a/node/src/test/java/tulipshed/cli/DrainNotificationTest.java
+++ b/node/src/test/java/tulipshed/cli/DrainNotificationTest.java
@@ -37,9 +37,9 @@
 import tulipshed.time.SystemClock;
 
 /**
- * A change of the endpoint list counts as notified 6 s after discovery has it and is reachable, whatever fault its
- * requests met before. For each fault a node runs against a faulty discovery, which then recovers and lists one endpoint
- * as draining. All faults run at once, as each takes seconds.
+ * The node must be notified of a change of the endpoint list within 6 s after discovery has it and is reachable,
+ * whatever fault earlier requests met. For each fault a node runs against a faulty discovery, which then recovers and
+ * lists one endpoint as draining. All faults run concurrently, as each takes seconds.
  */
 class DrainNotificationTest {
     private static final double NOTIFICATION_LIMIT_MS = 6_000;
@@ -47,7 +47,7 @@
     @TempDir
     private Path directory;
 
-    /** What the node's requests meet until discovery recovers. */
+    /** The fault that the node's requests meet until discovery recovers. */
     private enum DiscoveryFault {
         CONNECTION_REFUSED,
         CONNECT_HANGS,
@@ -59,7 +59,9 @@
         ADDRESS_CHANGED
     }
 
-    /** A stub that fails its clients until it recovers, and records when it first listed the draining endpoint. */
+    /**
+     * A discovery stub that fails requests until it recovers, and signals when it first listed the draining endpoint.
+     */
     private static final class FaultyDiscovery implements AutoCloseable {
         private final DiscoveryFault fault;
         private final String list;
@@ -144,7 +146,7 @@
             }
         }
 
-        /** Becomes reachable and lists the draining endpoint. */
+        /** Makes discovery reachable; it then lists the draining endpoint. */
         void recover() throws IOException {
             recovered = true;
             if (fault == DiscoveryFault.CONNECTION_REFUSED) {
@@ -170,7 +172,7 @@
     }
 
     private NodeConfig config(DiscoveryFault fault, int discoveryPort, int endpointPort) throws IOException {
-        // A short poll interval, so that each node soon has a failed request.
+        // A short poll interval, so that each node soon has a failed request to retry.
         Path file = NodeConfigFile.fromTemplate()
                 .listenPort(0)
                 .endpointPort(endpointPort)
@@ -180,7 +182,10 @@
         return NodeConfig.load(Map.of("PROXY_CONFIG", file.toString()));
     }
 
-    /** Returns how long after discovery's recovery the node had the list; asserts that the draining endpoint gets no request. */
+    /**
+     * Returns the time from discovery's recovery to the notification; asserts that the draining endpoint gets no
+     * request.
+     */
     private double notificationMs(DiscoveryFault fault) throws Exception {
         try (ServerSocket draining = listen(50);
                 ServerSocket serving = listen(50);
@@ -203,7 +208,7 @@
                     })));
             FaultyDiscovery recovered = discovery;
             if (fault == DiscoveryFault.ADDRESS_CHANGED) {
-                // A request has no response yet when a reload changes the address.
+                // A request is pending when a reload changes the address.
                 assertTrue(discovery.requested.await(20, TimeUnit.SECONDS));
                 newAddress.recover();
                 recovered = newAddress;
@@ -212,9 +217,9 @@
                 assertTrue(failed.await(20, TimeUnit.SECONDS), fault + ": " + log);
                 discovery.recover();
             }
-            long sinceNs = System.nanoTime();
+            long recoveryNs = System.nanoTime();
             assertTrue(recovered.notified.await(20, TimeUnit.SECONDS), fault + ": " + log);
-            double tookMs = (System.nanoTime() - sinceNs) / 1e6;
+            double tookMs = (System.nanoTime() - recoveryNs) / 1e6;
             assertRequestsGoToServingEndpoint(node, serving, fault);
             return tookMs;
         }
@@ -245,7 +250,8 @@
             }
             for (DiscoveryFault fault : DiscoveryFault.values()) {
                 double ms = notificationMs.get(fault).get();
-                assertTrue(ms < NOTIFICATION_LIMIT_MS, fault + ": notified " + ms + " ms after discovery had it");
+                assertTrue(
+                        ms < NOTIFICATION_LIMIT_MS, fault + ": notified " + ms + " ms after discovery had recovered");
             }
         } finally {
             executor.shutdownNow();
--- a/node/src/test/java/tulipshed/cli/HotRestartFileFaultTest.java
+++ b/node/src/test/java/tulipshed/cli/HotRestartFileFaultTest.java
@@ -26,10 +26,12 @@
 import tulipshed.testing.NodeConfigFile;
 import tulipshed.testing.NodeProcess;
 
-/** Nodes in processes of their own whose shared file cannot be written, or is cut off while they use it. */
+/** Nodes in separate processes whose shared hot-restart file cannot be written, or is truncated while in use. */
 @Timeout(60)
 class HotRestartFileFaultTest {
-    /** Fewer bytes than a slot of the shared file has, whether the shell counts blocks of 512 or of 1,024 bytes. */
+    /**
+     * Limits files to less than a slot of the shared file, whether the shell counts blocks of 512 or of 1,024 bytes.
+     */
     private static final List<String> SIZE_LIMITING_LAUNCHER = List.of("sh", "-c", "ulimit -f 200; exec \"$@\"", "sh");
 
     private static final int ACCEPT_TIMEOUT_MS = 10_000;
@@ -74,7 +76,7 @@
         }
     }
 
-    private static void assertLeaves(NodeProcess node) throws Exception {
+    private static void assertShutsDown(NodeProcess node) throws Exception {
         node.sendSignal("TERM");
         assertNotNull(node.awaitLogLine("INFO node: shutting down"));
         assertTrue(node.awaitExit(8));
@@ -86,7 +88,7 @@
             for (int i = 0; i < 10; i++) {
                 assertServes("9b" + i);
             }
-            assertLeaves(node);
+            assertShutsDown(node);
             assertEquals(
                     1,
                     node.readLines().stream()
--- a/node/src/test/java/tulipshed/cli/HotRestartTest.java
+++ b/node/src/test/java/tulipshed/cli/HotRestartTest.java
@@ -78,13 +78,13 @@
         }
     }
 
-    /** Opens connections that either process may accept, and asserts that both reject a request ID that is open. */
+    /** Opens connections that either process may accept, and asserts that both reject an ID that is already open. */
     private List<Socket> pingBothProcesses(String openId) throws IOException {
         List<Socket> pings = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             pings.add(connect(listenPort));
             send(pings.get(i), "PING\r\n");
-            assertEquals("PONG", reader(pings.get(i)).readLine(), "admitted by either process");
+            assertEquals("PONG", reader(pings.get(i)).readLine(), "accepted by either process");
             try (Socket duplicate = openRequest(openId)) {
                 assertEquals("ERR", reader(duplicate).readLine(), "open in one process, so rejected by both");
             }
@@ -92,7 +92,10 @@
         return pings;
     }
 
-    /** Without a shared port the second process cannot start; without shared IDs it accepts one ID twice. */
+    /**
+     * Guards the shared port, without which the second process cannot start, and the shared IDs, without which one ID
+     * is accepted twice.
+     */
     @Test
     void secondProcessTakesOverAndFirstMigratesItsClients() throws Exception {
         int firstManagement = freeTcpPort();
--- a/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
+++ b/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
@@ -38,7 +38,7 @@
 import tulipshed.testing.NodeConfigFile;
 import tulipshed.time.SystemClock;
 
-/** A node in this process: metrics, graceful shutdown, and admission when descriptors run out. */
+/** A node in the test's process: metrics, graceful shutdown, and admission when descriptors run out. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
 class NodeLifecycleTest {
     private static final String OPEN = "OPEN ID k c=slot-board,t=melnik-terminal,d=4000\r\n";
@@ -97,7 +97,7 @@
         return server;
     }
 
-    /** Returns the management server's response, head and body. */
+    /** Returns the management server's response with headers and body. */
     private String requestManagement(String request) throws IOException {
         try (Socket client = connect(node.managementAddress().orElseThrow())) {
             client.setSoTimeout(1000);
@@ -191,11 +191,12 @@
                     Socket pending = connectClient(OPEN);
                     Socket unresponsive = endpoint.accept()) {
                 BufferedReader lateIn = reader(late);
-                assertEquals("UP r", lateIn.readLine(), "accepted, and the ping before it not answered");
-                long sinceNs = System.nanoTime();
+                assertEquals("UP r", lateIn.readLine(), "accepted, without a reply to the preceding ping");
+                long startNs = System.nanoTime();
                 assertEquals("MOVE", establishedIn.readLine());
-                // A neighbour that shut down just before is not back yet: a client that reconnects early finds no node.
-                assertTrue(System.nanoTime() - sinceNs > 1_000_000_000L, "served for as long as there is time");
+                // Another node that was restarted just before may not serve yet: a client that reconnects early finds
+                // no node.
+                assertTrue(System.nanoTime() - startNs > 1_000_000_000L, "served until migration has to begin");
                 assertNull(establishedIn.readLine());
                 assertEquals("MOVE", lateIn.readLine());
                 assertTrue(reader(pending).readLine().startsWith("BUSY"), "a response is pending until the end");
@@ -205,7 +206,10 @@
         }
     }
 
-    /** The exit of the process would close idle connections without a response, perhaps with a request under way. */
+    /**
+     * Otherwise the exit of the process would close idle connections without a response, even if a request is in
+     * flight.
+     */
     @Test
     void shutdownRejectsClientsThatHaveNotOpenedARequest() throws IOException {
         longestDeadlineS = 1;
@@ -232,7 +236,7 @@
         }
     }
 
-    /** SIGKILL comes 0.7 s after the longest deadline, which settings may make shorter than defaults. */
+    /** SIGKILL follows 0.7 s after the longest deadline, which the settings may make shorter than the default. */
     @Test
     void shutdownIsShorterWithShorterDeadlines() throws IOException {
         longestDeadlineS = 1;
@@ -240,15 +244,18 @@
         try (Socket established = connectClient(OPEN);
                 Socket server = acceptUpstream()) {
             assertEquals("UP r", reader(established).readLine());
-            long sinceNs = System.nanoTime();
+            long startNs = System.nanoTime();
             node.shutDown();
             // The deadlines are 1.0 to 1.8 s here.
-            assertTrue(System.nanoTime() - sinceNs < 2_500_000_000L);
+            assertTrue(System.nanoTime() - startNs < 2_500_000_000L);
             assertEquals("MOVE", reader(established).readLine());
         }
     }
 
-    /** Signals that arrive together are handled in any order, and whoever sends SIGKILL may count by either deadline. */
+    /**
+     * Signals that arrive together are handled in any order, so the supervisor may send SIGKILL by the deadlines from
+     * before or after the reload.
+     */
     @Test
     void reloadThatCrossesTheSignalOrFollowsItDoesNotLengthenTheShutdown() throws Exception {
         for (boolean reloadFirst : new boolean[] {true, false}) {
@@ -256,7 +263,7 @@
             startNode(1024);
             longestDeadlineS = 4;
             NodeConfig longer = loadConfig();
-            long sinceNs = System.nanoTime();
+            long startNs = System.nanoTime();
             if (reloadFirst) {
                 node.reload(longer, OperatorsFile.EMPTY);
                 node.shutDown();
@@ -269,8 +276,8 @@
                 node.reload(longer, OperatorsFile.EMPTY);
                 shutdown.join();
             }
-            // The longest deadline was 1.8 s; by the new one it would be 3.2 s at least.
-            assertTrue(System.nanoTime() - sinceNs < 2_500_000_000L, "the reload first: " + reloadFirst);
+            // The longest deadline was 1.8 s; with the new settings the shutdown would take at least 3.2 s.
+            assertTrue(System.nanoTime() - startNs < 2_500_000_000L, "the reload first: " + reloadFirst);
             assertTrue(log.stream().anyMatch(line -> line.startsWith("INFO node: configuration reloaded")));
             log.clear();
         }
@@ -304,7 +311,7 @@
                 .getMessage();
     }
 
-    /** Otherwise staff look for what uses the clients' address. */
+    /** Otherwise the message would mislead operators into looking for another user of the client address. */
     @Test
     void addressThatCannotBeBoundIsNamed() throws IOException {
         String taken = ":" + endpoint.getLocalPort();
@@ -322,7 +329,9 @@
         }
     }
 
-    /** Otherwise a node at its limit would accept clients that it cannot connect upstream, or accept none. */
+    /**
+     * Guards against a node at its descriptor limit that accepts clients it cannot connect upstream, or accepts none.
+     */
     @Test
     void rejectsClientsWithoutDescriptorsAndRecovers() throws IOException {
         startNode(64 + 32 + 4);
@@ -334,7 +343,7 @@
             assertEquals("UP r", reader(two).readLine());
             try (Socket three = connectClient(OPEN)) {
                 BufferedReader in = reader(three);
-                assertTrue(in.readLine().matches("BUSY [0-9]+"), "with the time to retry after");
+                assertTrue(in.readLine().matches("BUSY [0-9]+"), "with a Retry-After time");
                 assertNull(in.readLine());
             }
             second.close();
--- a/node/src/test/java/tulipshed/cli/PeerDatagramTest.java
+++ b/node/src/test/java/tulipshed/cli/PeerDatagramTest.java
@@ -24,7 +24,7 @@
 import tulipshed.testing.NodeConfigFile;
 import tulipshed.testing.NodeProcess;
 
-/** Datagrams to a node in a process of its own, from a configured peer's address and from an unknown one. */
+/** Datagrams to a node in a separate process, from a configured peer's address and from an unknown one. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
 class PeerDatagramTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -51,9 +51,9 @@
         unknownSender.close();
     }
 
-    /** Starts a node that is number 0 of two; number 1 is this test's socket. */
+    /** Starts a node with index 0 of two; the socket {@code peer} of this test has index 1. */
     private NodeProcess startNode(boolean peersEnabled) throws IOException {
-        Path file = conmetric(peersEnabled);
+        Path file = writeConfig(peersEnabled);
         NodeProcess node = new NodeProcess(Map.of(
                 "PROXY_CONFIG",
                 file.toString(),
@@ -65,7 +65,7 @@
         return node;
     }
 
-    private Path conmetric(boolean peersEnabled) throws IOException {
+    private Path writeConfig(boolean peersEnabled) throws IOException {
         return NodeConfigFile.fromTemplate()
                 .replace("\"127.0.0.1:18080\",", addresses())
                 .replace("\"Peers\": false", "\"Peers\": " + peersEnabled)
@@ -89,10 +89,10 @@
         return matcher.find() ? Long.parseLong(matcher.group(1)) : -1;
     }
 
-    /** Waits until the metrics account for so many datagrams; on loopback none that fits the buffer is lost. */
+    /** Waits until the metrics count this number of datagrams; loopback loses none that fits into the buffer. */
     private void awaitDatagrams(long total) throws IOException {
-        long untilNanos = System.nanoTime() + 10_000_000_000L;
-        while (metric("peers_received") + metric("peers_dropped") < total && System.nanoTime() < untilNanos) {
+        long deadlineNs = System.nanoTime() + 10_000_000_000L;
+        while (metric("peers_received") + metric("peers_dropped") < total && System.nanoTime() < deadlineNs) {
             Thread.onSpinWait();
         }
         assertEquals(total, metric("peers_received") + metric("peers_dropped"));
@@ -111,9 +111,9 @@
                 send(peer, 8);
             }
             awaitDatagrams(610);
-            // A burst falls into two of the rate limit's seconds at most.
+            // A burst spans at most two one-second intervals of the rate limit.
             assertTrue(metric("peers_received") <= 2 * 200, "of 600 at once: " + metric("peers_received"));
-            assertEquals(0, metric("peers_sent"), "nothing is sent by itself");
+            assertEquals(0, metric("peers_sent"), "the node sends nothing unprompted");
             assertTrue(node.isRunning());
         }
     }
@@ -123,31 +123,31 @@
         try (NodeProcess node = startNode(false)) {
             new DatagramSocket(peerPort, LOOPBACK).close();
             assertEquals(-1, metric("peers_received"), "no metric either");
-            conmetric(true);
+            writeConfig(true);
             node.sendSignal("HUP");
             assertFalse(node.awaitReloadLine().contains("rejected"));
             // Datagrams arrive once the socket is open; earlier ones are lost.
-            long untilNanos = System.nanoTime() + 10_000_000_000L;
-            while (metric("peers_received") < 1 && System.nanoTime() < untilNanos) {
+            long deadlineNs = System.nanoTime() + 10_000_000_000L;
+            while (metric("peers_received") < 1 && System.nanoTime() < deadlineNs) {
                 send(peer, 8);
             }
             assertTrue(metric("peers_received") >= 1);
-            conmetric(false);
+            writeConfig(false);
             node.sendSignal("HUP");
             node.awaitReloadLine();
             new DatagramSocket(peerPort, LOOPBACK).close();
         }
     }
 
-    /** Peer messages are optional: a node whose address for them is in use serves without and retries to bind. */
+    /** Peer messages are optional: a node whose peer address is in use serves without them and retries to bind. */
     @Test
     void servesWhilePeerAddressIsInUseAndBindsItOnceFree() throws Exception {
         DatagramSocket other = new DatagramSocket(peerPort, LOOPBACK);
         try (NodeProcess node = startNode(true)) {
             assertEquals(0, metric("peers_received"));
             other.close();
-            long untilNanos = System.nanoTime() + 10_000_000_000L;
-            while (metric("peers_received") < 1 && System.nanoTime() < untilNanos) {
+            long deadlineNs = System.nanoTime() + 10_000_000_000L;
+            while (metric("peers_received") < 1 && System.nanoTime() < deadlineNs) {
                 send(peer, 8);
             }
             assertTrue(metric("peers_received") >= 1);
--- a/node/src/test/java/tulipshed/cli/RapidReloadTest.java
+++ b/node/src/test/java/tulipshed/cli/RapidReloadTest.java
@@ -37,8 +37,8 @@
 import tulipshed.time.SystemClock;
 
 /**
- * Reloads in a row, faster than discovery answers: its calls are held open and never answered, but for the one of a node that
- * starts.
+ * Successive reloads that are faster than discovery's responses: discovery calls stay open without a response, except
+ * for the first call of a starting node.
  */
 @Timeout(60)
 class RapidReloadTest {
@@ -51,8 +51,8 @@
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final List<ServerSocket> discoveries = new ArrayList<>();
 
-    /** Open calls at each discovery, as its stand-in sees them. */
-    private final List<List<Future<String>>> endsOfCalls = new ArrayList<>();
+    /** The calls to each discovery stub; a future completes when the node ends the connection. */
+    private final List<List<Future<String>>> callsByDiscovery = new ArrayList<>();
 
     private Node node;
 
@@ -67,20 +67,20 @@
     private void openDiscoveries(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             ServerSocket discovery = listen(50);
-            List<Future<String>> ends = new ArrayList<>();
+            List<Future<String>> calls = new ArrayList<>();
             discoveries.add(discovery);
-            endsOfCalls.add(ends);
-            threads.execute(() -> acceptCalls(discovery, ends));
+            callsByDiscovery.add(calls);
+            threads.execute(() -> acceptCalls(discovery, calls));
         }
     }
 
-    private void acceptCalls(ServerSocket discovery, List<Future<String>> ends) {
+    private void acceptCalls(ServerSocket discovery, List<Future<String>> calls) {
         try {
             while (true) {
                 Socket call = discovery.accept();
-                synchronized (ends) {
-                    boolean isOfStart = discovery == discoveries.get(0) && ends.isEmpty();
-                    ends.add(threads.submit(() -> readToEnd(call, isOfStart)));
+                synchronized (calls) {
+                    boolean isStartupCall = discovery == discoveries.get(0) && calls.isEmpty();
+                    calls.add(threads.submit(() -> readToEnd(call, isStartupCall)));
                 }
             }
         } catch (IOException closed) {
@@ -88,11 +88,14 @@
         }
     }
 
-    /** Returns what was requested, once the node has ended the connection; the call of a node that starts is answered. */
-    private static String readToEnd(Socket call, boolean isOfStart) throws IOException {
+    /**
+     * Reads until the node ends the connection and returns the remaining text; the first call of a starting node is
+     * answered.
+     */
+    private static String readToEnd(Socket call, boolean isStartupCall) throws IOException {
         try (call) {
             BufferedReader in = reader(call);
-            if (isOfStart) {
+            if (isStartupCall) {
                 while (!in.readLine().isEmpty()) {}
                 send(call, "HTTP/1.1 200 OK\r\nContent-Length: " + NO_CHANGES.length() + "\r\n\r\n" + NO_CHANGES);
             }
@@ -103,9 +106,9 @@
     }
 
     private long openCalls(int discovery) {
-        List<Future<String>> ends = endsOfCalls.get(discovery);
-        synchronized (ends) {
-            return ends.stream().filter(end -> !end.isDone()).count();
+        List<Future<String>> calls = callsByDiscovery.get(discovery);
+        synchronized (calls) {
+            return calls.stream().filter(call -> !call.isDone()).count();
         }
     }
 
@@ -139,11 +142,11 @@
         }
     }
 
-    /** Waits until a condition holds that the node brings about by itself. */
-    private static void await(String what, java.util.function.BooleanSupplier condition) {
-        long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+    /** Waits until a condition holds that the node fulfills asynchronously. */
+    private static void await(String expectation, java.util.function.BooleanSupplier condition) {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < untilNs, what);
+            assertTrue(System.nanoTime() < deadlineNs, expectation);
             Thread.onSpinWait();
         }
     }
@@ -157,13 +160,13 @@
         for (int i = 1; i <= RELOADS; i++) {
             configs.add(config(discoveries.get(i).getLocalPort(), "gate-" + i));
         }
-        // Every fourth file is read while it is half written.
+        // Every fourth file is read while it is incomplete.
         int[] reads = new int[1];
         ConfigurationReloader reloader = new ConfigurationReloader(
                 () -> {
                     int read = reads[0]++;
                     if (read % 4 == 2) {
-                        throw new MalformedInputException("half a file");
+                        throw new MalformedInputException("incomplete file");
                     }
                     return configs.get(read);
                 },
@@ -181,16 +184,16 @@
                 "eight applied, two rejected",
                 () -> uncheckedMetrics().contains("\"reload_success\":8,\"reload_failure\":2"));
         String metrics = metrics();
-        assertTrue(metrics.contains("\"gate-10\":{\"success\":0"), "the last one holds: " + metrics);
+        assertTrue(metrics.contains("\"gate-10\":{\"success\":0"), "the last one is in effect: " + metrics);
         await("one call, at the last address", () -> openCalls(RELOADS) == 1 && allOpenCalls() == 1);
-        for (List<Future<String>> ends : endsOfCalls) {
-            assertTrue(ends.size() <= 1, "one call at each address at most");
+        for (List<Future<String>> calls : callsByDiscovery) {
+            assertTrue(calls.size() <= 1, "at most one call per address");
         }
     }
 
-    /** All configurations together are many times what may remain of them. */
+    /** The size of all configurations together is many times the allowed growth. */
     @Test
-    void memoryStaysOverManyReloads() throws Exception {
+    void memoryDoesNotGrowOverManyReloads() throws Exception {
         openDiscoveries(2);
         startNode(config(discoveries.get(0).getLocalPort(), "gate-status"));
         reloadManyTimes(20);
--- a/node/src/test/java/tulipshed/cli/ShutdownDeadlineTest.java
+++ b/node/src/test/java/tulipshed/cli/ShutdownDeadlineTest.java
@@ -30,16 +30,18 @@
 import tulipshed.testing.NodeConfigFile;
 import tulipshed.testing.NodeProcess;
 
-/** SIGTERM to a process whose deadlines are short, while clients send, others come, endpoints hang and SIGHUP arrives. */
+/**
+ * SIGTERM to a process with short deadlines while clients send, new clients connect, endpoints hang and SIGHUP arrives.
+ */
 @Timeout(60)
 class ShutdownDeadlineTest {
-    /** SIGKILL follows SIGTERM by the longest deadline and this. */
+    /** The time from the longest deadline after SIGTERM until SIGKILL. */
     private static final long KILL_AFTER_DEADLINE_MS = 700;
 
-    /** New connections come for that long after SIGTERM. */
+    /** How long new clients connect after SIGTERM. */
     private static final long ARRIVALS_MS = 400;
 
-    /** An open command with this key gets no response of the endpoint. */
+    /** The key of open commands to which the endpoint does not respond. */
     private static final String HANGS = "hangs";
 
     private static final String SERVED = "served";
@@ -74,7 +76,7 @@
         }
     }
 
-    /** Serves one connection as an endpoint does, and returns its lines; or never answers it. */
+    /** Serves one connection as an endpoint that echoes lines, or never responds if the key is {@link #HANGS}. */
     private static void serveUpstream(Socket upstream) {
         try {
             BufferedReader in = reader(upstream);
@@ -88,7 +90,7 @@
             }
             upstream.close();
         } catch (IOException ended) {
-            // The node has ended the connection.
+            // The node ended the connection.
         }
     }
 
@@ -101,14 +103,16 @@
                 .writeTo(directory);
     }
 
-    /** Opens a request, and notes the last line that its client reads. */
+    /** Opens a request and records the last line that its client reads. */
     private void openClient(String key, long deadlineMs, CompletableFuture<Void> established) throws IOException {
         Socket client = connect(listenPort);
         send(client, "OPEN 9b" + nextId++ + " " + key + " c=slot-board,t=melnik-terminal,d=" + deadlineMs + "\r\n");
         finalLines.add(threads.submit(() -> lastLine(client, established)));
     }
 
-    /** Reads to the end; a client that is served sends its next line as soon as the last one is back. */
+    /**
+     * Reads to the end of the connection; a served client sends the next line as soon as the previous one is echoed.
+     */
     private static String lastLine(Socket client, CompletableFuture<Void> established) throws IOException {
         String last = null;
         try (client) {
@@ -133,8 +137,8 @@
         }
     }
 
-    private static long elapsedMs(long sinceNs) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNs);
+    private static long elapsedMs(long startNs) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
     }
 
     @ParameterizedTest
@@ -150,7 +154,7 @@
             }
             long startNs = System.nanoTime();
             node.sendSignal("TERM");
-            // Longer deadlines from now on; those that hold when the signal arrives count.
+            // Lengthens the deadlines; the shutdown must use those in effect when the signal arrived.
             configure(4);
             node.sendSignal("HUP");
             openUntilArrivalsEnd(startNs, deadlineMs);
--- a/node/src/test/java/tulipshed/cli/ShutdownSequenceTest.java
+++ b/node/src/test/java/tulipshed/cli/ShutdownSequenceTest.java
@@ -17,16 +17,16 @@
 import tulipshed.proxy.EventLoop;
 import tulipshed.time.ManualClock;
 
-/** The phases of a shutdown in virtual time, with clients that arrive, hang and never close. */
+/** The phases of a shutdown in virtual time, with clients that connect during it, hang, or never close. */
 class ShutdownSequenceTest {
-    /** New connections come for that long after SIGTERM. */
+    /** How long new clients connect after SIGTERM. */
     private static final double ARRIVALS_MS = 400;
 
     private static final double KILL_AFTER_DEADLINE_MS = 700;
     private static final double HOLD_UP_MS = 150;
-    private static final double LONGEST_COUNTED_MS = 3_000;
+    private static final double MAX_COUNTED_DEADLINE_MS = 3_000;
 
-    /** What the core leaves to the client's deadline. */
+    /** The time before the client's deadline at which the core sends the final response at the latest. */
     private static final double RESPONSE_MARGIN_MS = 40;
 
     private final ShutdownLimits limits = Limits.forDescriptors(1024).shutdown();
@@ -34,7 +34,7 @@
     private final VirtualLoop loop = new VirtualLoop();
     private final FakeNode node = new FakeNode();
 
-    /** Runs tasks in the order of their times; can be held up once, before the first task at or after a time. */
+    /** Runs tasks in the order of their times; can be paused once, before the first task at or after a given time. */
     private final class VirtualLoop implements EventLoop {
         private final PriorityQueue<Task> tasks = new PriorityQueue<>();
         private double holdUpAtMs = Double.POSITIVE_INFINITY;
@@ -71,10 +71,10 @@
         }
     }
 
-    /** Clients that never close by themselves, as the worst of them do. */
+    /** A node whose clients never close their connections, which is the worst case. */
     private final class FakeNode implements ShutdownSequence.Actions {
         private final List<Double> pendingSinceMs = new ArrayList<>();
-        /** Connections that the kernel accepts at these times. */
+        /** The times at which the kernel accepts connections. */
         private final ArrayDeque<Double> arrivalsMs = new ArrayDeque<>();
 
         private int established;
@@ -88,8 +88,8 @@
         private int largestMigration;
         private RuntimeException defect;
 
-        /** Takes the clients that have come by now; every second one gets an endpoint that hangs. */
-        void takeArrivals() {
+        /** Accepts the clients that have connected by now; the endpoint of every second one hangs. */
+        void acceptArrivals() {
             while (!arrivalsMs.isEmpty() && arrivalsMs.peek() <= clock.nowMs() && Double.isNaN(acceptedUntilMs)) {
                 if (arrivalsMs.poll() % 20 == 0) {
                     established++;
@@ -101,7 +101,7 @@
 
         @Override
         public void stopAccepting() {
-            takeArrivals();
+            acceptArrivals();
             acceptedUntilMs = clock.nowMs();
         }
 
@@ -156,11 +156,11 @@
         new ShutdownSequence(schedule, 0, clock, loop, NodeLog.silent().logger("node"), node).run();
     }
 
-    /** Clients all through the time in which the front layer sends any. */
+    /** Schedules clients throughout the time in which the load balancer in front of the node still sends any. */
     private void scheduleArrivals() {
         for (double atMs = 0; atMs <= ARRIVALS_MS; atMs += 10) {
             node.arrivalsMs.add(atMs);
-            loop.schedule(atMs - clock.nowMs(), node::takeArrivals);
+            loop.schedule(atMs - clock.nowMs(), node::acceptArrivals);
         }
         node.established = 200;
         node.waiting = 5;
@@ -168,7 +168,7 @@
     }
 
     private static double killMs(double deadlineMs) {
-        return Math.min(LONGEST_COUNTED_MS, deadlineMs) + KILL_AFTER_DEADLINE_MS;
+        return Math.min(MAX_COUNTED_DEADLINE_MS, deadlineMs) + KILL_AFTER_DEADLINE_MS;
     }
 
     private void assertAllAnswered() {
@@ -186,13 +186,13 @@
         shutDown(ShutdownSchedule.of(limits, deadlineMs));
         loop.run();
         assertAllAnswered();
-        double countedMs = Math.min(LONGEST_COUNTED_MS, deadlineMs);
+        double countedMs = Math.min(MAX_COUNTED_DEADLINE_MS, deadlineMs);
         assertTrue(node.acceptedUntilMs >= Math.min(500, countedMs + 450), "accepted until " + node.acceptedUntilMs);
         assertTrue(node.lastWriteMs + 50 <= node.finishedMs, "the last answer can still be read");
         assertTrue(node.finishedMs + limits.exitMs() <= killMs(deadlineMs) - HOLD_UP_MS, "ended " + node.finishedMs);
         assertTrue(
                 node.firstRejectionMs >= ARRIVALS_MS + countedMs - RESPONSE_MARGIN_MS,
-                "the latest request keeps its full deadline, unless that is longer than counts");
+                "the latest request keeps its deadline, up to the longest one that counts");
     }
 
     @ParameterizedTest
@@ -211,7 +211,7 @@
         }
     }
 
-    /** The loop may be busy when the signal arrives; what it loses is not added to the time. */
+    /** The event loop may be busy when the signal arrives; that delay must not extend the shutdown. */
     @Test
     void lateBeginDoesNotDelayTheEnd() {
         clock.advance(HOLD_UP_MS);
@@ -259,7 +259,7 @@
         assertTrue(node.finishedMs + limits.exitMs() <= killMs(50) - HOLD_UP_MS);
     }
 
-    /** A step that fails at every time must not keep the process until it is killed. */
+    /** A step that always fails must not keep the process running until it is killed. */
     @Test
     void endsInTimeDespiteADefectInAStep() {
         node.defect = new IllegalStateException("defect");
--- a/node/src/test/java/tulipshed/cli/StalledClientTest.java
+++ b/node/src/test/java/tulipshed/cli/StalledClientTest.java
@@ -34,11 +34,11 @@
 import tulipshed.testing.NodeConfigFile;
 import tulipshed.time.SystemClock;
 
-/** Clients that stop in the middle of a request and stay, and requests that have hardly any time left. */
+/** Clients that stall in the middle of a request, and requests whose deadline is almost reached. */
 @Timeout(60)
 class StalledClientTest {
-    /** Bad clients are owed an error or the end of their connection within this time. */
-    private static final long OWED_WITHIN_MS = 3_000;
+    /** The time within which a stalled client must get an error and the end of its connection. */
+    private static final long ERROR_TIMEOUT_MS = 3_000;
 
     private static final int MAX_ATTEMPTS = 6;
 
@@ -73,25 +73,28 @@
                 NodeLog.silent()));
     }
 
-    /** What a client reads up to the end of its connection, and when that came. */
+    /** The text that a client reads up to the end of its connection, and the time until that end. */
     private record Ending(String text, long tookMs) {}
 
-    /** Sends the bytes of a text, one at a time with a pause or all at once, and then stays until the node ends it. */
+    /**
+     * Sends a text one byte at a time with pauses, or all at once, and then keeps the connection open until the node
+     * ends it.
+     */
     private Future<Ending> stall(InetSocketAddress address, String text, boolean oneByteAtATime) {
         return threads.submit(() -> {
             long startNs = System.nanoTime();
             try (Socket socket = connect(address)) {
                 socket.setSoTimeout(10_000);
-                CompletableFuture<String> heard = new CompletableFuture<>();
-                threads.execute(() -> heard.complete(readToEnd(socket)));
-                for (int i = 0; i < text.length() && oneByteAtATime && !heard.isDone(); i++) {
+                CompletableFuture<String> receivedText = new CompletableFuture<>();
+                threads.execute(() -> receivedText.complete(readToEnd(socket)));
+                for (int i = 0; i < text.length() && oneByteAtATime && !receivedText.isDone(); i++) {
                     send(socket, text.substring(i, i + 1));
                     Thread.sleep(50);
                 }
                 if (!oneByteAtATime) {
                     send(socket, text);
                 }
-                String all = heard.get(10, TimeUnit.SECONDS);
+                String all = receivedText.get(10, TimeUnit.SECONDS);
                 return new Ending(all, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs));
             }
         });
@@ -108,12 +111,14 @@
     private static void assertEndsInTime(String expected, Future<Ending> client) throws Exception {
         Ending ending = client.get(20, TimeUnit.SECONDS);
         assertTrue(ending.text().startsWith(expected), ending.toString());
-        assertTrue(ending.tookMs() < OWED_WITHIN_MS, ending.toString());
+        assertTrue(ending.tookMs() < ERROR_TIMEOUT_MS, ending.toString());
     }
 
-    /** A time that each byte began anew would let such a client stay for as long as it likes. */
+    /**
+     * Guards against a timeout that restarts at each byte, with which such a client could stay connected indefinitely.
+     */
     @Test
-    void clientsThatStopInTheMiddleOfARequestGetTheirErrorAndTheEndInTime() throws Exception {
+    void clientsThatStallInARequestGetAnErrorAndAreClosedInTime() throws Exception {
         startNode();
         InetSocketAddress management = node.managementAddress().orElseThrow();
         String openCommand = "OPEN 9b1 " + "k".repeat(200) + " c=slot-board,t=melnik-terminal,d=4000\r\n";
@@ -132,12 +137,12 @@
         for (Future<Ending> client : managementClients) {
             assertEndsInTime("HTTP/1.1 408 ", client);
         }
-        // Beside them others are served as ever.
+        // Other clients are still served.
         threads.execute(() -> acceptUpstreams("UP r\r\n"));
         assertEquals("UP r", finalLine("9b2", 2_000).line());
     }
 
-    /** Accepts connections of the node until the test is over; answers each with a line, or resets it for none. */
+    /** Accepts connections of the node until the test ends; sends each the response, or resets it if that is empty. */
     private void acceptUpstreams(String response) {
         try {
             while (true) {
@@ -155,7 +160,7 @@
         }
     }
 
-    /** The response to a request, and when it came. */
+    /** The response to a request, and the time until it arrived. */
     private record Response(String line, long tookMs) {}
 
     private Response finalLine(String id, long timeoutMs) throws IOException {
@@ -181,7 +186,10 @@
         assertTrue(upstreams.get() <= requests * MAX_ATTEMPTS, upstreams + " connections");
     }
 
-    /** Less time than the node needs to answer in time, and a little more: each request gets its answer all the same. */
+    /**
+     * Timeouts just below and above the time that the node needs to respond in time: each request still gets a
+     * response.
+     */
     @Test
     void requestsWithHardlyAnyTimeLeftAreAnsweredAtOnce() throws Exception {
         startNode();
--- a/node/src/test/java/tulipshed/cli/StartupListTest.java
+++ b/node/src/test/java/tulipshed/cli/StartupListTest.java
@@ -33,7 +33,7 @@
 import tulipshed.time.Clock;
 import tulipshed.time.SystemClock;
 
-/** What a process that starts does before it accepts clients. */
+/** The endpoint list and the warm-up of a starting process, before it accepts clients. */
 class StartupListTest {
     private static final int REQUESTS = 5;
 
@@ -43,7 +43,7 @@
     private final ExecutorService executor = Executors.newSingleThreadExecutor();
 
     private Future<Node> start(int listenPort, int discoveryPort, int endpointPort) throws IOException {
-        return start(listenPort, discoveryPort, endpointPort, patientLimits());
+        return start(listenPort, discoveryPort, endpointPort, longTimeoutLimits());
     }
 
     private Future<Node> start(int listenPort, int discoveryPort, int endpointPort, Limits limits) throws IOException {
@@ -57,26 +57,28 @@
                 config, OperatorsFile.EMPTY, limits, new SystemClock(), NodeLog.silent())));
     }
 
-    /** Limits by which a slow machine does not end the wait for the list. */
-    private static Limits patientLimits() {
+    /** Returns limits with timeouts so long that even a slow machine waits for the list. */
+    private static Limits longTimeoutLimits() {
         Limits limits = Limits.forDescriptors(1024);
         DiscoveryLimits defaults = limits.discovery();
-        double patienceMs = 60_000;
+        double longTimeoutMs = 60_000;
         return limits.with(new DiscoveryLimits(
                 defaults.headBytes(),
                 defaults.bodyBytes(),
-                patienceMs,
+                longTimeoutMs,
                 defaults.watchWaitMs(),
-                patienceMs,
-                patienceMs,
+                longTimeoutMs,
+                longTimeoutMs,
                 defaults.agentWaitMs(),
-                patienceMs,
+                longTimeoutMs,
                 defaults.agentRetryDelayMs(),
                 defaults.agentPollIntervalMs(),
-                patienceMs));
+                longTimeoutMs));
     }
 
-    /** Regression: a restarted node sent requests by its cached list to endpoints that were removed long before. */
+    /**
+     * Guards against a restarted node that uses its cached list and sends requests to endpoints removed long before.
+     */
     @Test
     void processAsksForTheListBeforeItServes() throws Exception {
         int listenPort = freeTcpPort();
@@ -88,7 +90,8 @@
                 assertEquals(
                         "GET /discovery/hosts?index=1&wait=0 HTTP/1.1",
                         reader(call).readLine());
-                assertThrows(ConnectException.class, () -> connect(listenPort), "not before the list is there");
+                assertThrows(
+                        ConnectException.class, () -> connect(listenPort), "not listening before the list has arrived");
                 respond(call, serving.getLocalPort());
                 assertTrue(starting.get(10, TimeUnit.SECONDS) != null);
                 for (int request = 0; request < REQUESTS; request++) {
@@ -96,13 +99,13 @@
                 }
             }
             removed.setSoTimeout(1);
-            assertThrows(SocketTimeoutException.class, removed::accept, "nothing was sent there");
+            assertThrows(SocketTimeoutException.class, removed::accept, "no request was sent to the removed endpoint");
         } finally {
             executor.shutdownNow();
         }
     }
 
-    /** A node whose discovery is down serves by what it knows. */
+    /** A node whose discovery is unreachable serves with its cached list. */
     @Test
     void processServesByItsCachedListWhereDiscoveryFails() throws Exception {
         int listenPort = freeTcpPort();
@@ -117,7 +120,7 @@
     @Test
     void processServesOnceItsWarmUpHasEnded() throws Exception {
         double timeoutMs = 500;
-        Limits limits = patientLimits().with(new WarmupLimits(1, -1, 1, 0, timeoutMs));
+        Limits limits = longTimeoutLimits().with(new WarmupLimits(1, -1, 1, 0, timeoutMs));
         Clock clock = new SystemClock();
         try {
             double startMs = clock.nowMs();
--- a/node/src/test/java/tulipshed/config/NodeConfigTest.java
+++ b/node/src/test/java/tulipshed/config/NodeConfigTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tulipshed.testing.InputFuzzer;
 
-/** Tests of the configuration with the documented file and variants of it. */
+/** Reads the documented configuration file and invalid variants of it. */
 class NodeConfigTest {
     private static final Path FILE = Path.of("src/test/resources/node.json");
 
