--- a/node/src/main/java/tulipshed/cli/AttributeValues.java
+++ b/node/src/main/java/tulipshed/cli/AttributeValues.java
@@ -74,8 +74,11 @@
 
     private static Schema schemaWith(Map<String, String> textByName) {
         Schema schema = new Schema();
-        AttributeDeclarations none = new AttributeDeclarations(Map.of(), MAX_STRING_LENGTH, MAX_STRING_LENGTH);
-        addAll(schema, new RequestSchema(MAX_STRING_LENGTH, MAX_STRING_LENGTH, none, MAX_STRING_LENGTH).schema());
+        AttributeDeclarations noDeclarations =
+                new AttributeDeclarations(Map.of(), MAX_STRING_LENGTH, MAX_STRING_LENGTH);
+        addAll(
+                schema,
+                new RequestSchema(MAX_STRING_LENGTH, MAX_STRING_LENGTH, noDeclarations, MAX_STRING_LENGTH).schema());
         addAll(schema, new EndpointSchema().schema());
         textByName.forEach((name, text) -> {
             if (schema.get(name) == null) {
--- a/node/src/main/java/tulipshed/cli/DemoEnvironment.java
+++ b/node/src/main/java/tulipshed/cli/DemoEnvironment.java
@@ -98,7 +98,7 @@
     private static String resource(String name) throws IOException {
         try (InputStream in = DemoEnvironment.class.getResourceAsStream("/tulipshed/demo/" + name)) {
             if (in == null) {
-                throw new IOException("resource " + name + " is missing from the program");
+                throw new IOException(name + " is missing from the program");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/node/src/test/java/tulipshed/cli/DrainNotificationTest.java
+++ b/node/src/test/java/tulipshed/cli/DrainNotificationTest.java
@@ -37,9 +37,10 @@
 import tulipshed.time.SystemClock;
 
 /**
- * The node must be notified of a change of the endpoint list within 6 s after discovery has it and is reachable,
- * whatever fault earlier requests met. For each fault a node runs against a faulty discovery, which then recovers and
- * lists one endpoint as draining. All faults run concurrently, as each takes seconds.
+ * A node counts as notified of a change of the endpoint list 6 s after discovery has it and is reachable, whatever
+ * fault earlier requests met, so it must have the change by then. For each fault a node runs against a faulty
+ * discovery, which then recovers and lists one endpoint as draining. All faults run concurrently, as each takes
+ * seconds.
  */
 class DrainNotificationTest {
     private static final double NOTIFICATION_LIMIT_MS = 6_000;
@@ -123,7 +124,7 @@
                     requested.countDown();
                     fail(connection);
                 }
-            } catch (IOException | InterruptedException over) {
+            } catch (IOException | InterruptedException connectionEnded) {
                 return;
             }
         }
