--- a/node/src/test/java/tulipshed/config/NodeConfigTest.java
+++ b/node/src/test/java/tulipshed/config/NodeConfigTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tulipshed.testing.InputFuzzer;
 
-/** Tests of the configuration with the documented file and variants of it. */
+/** Reads the documented configuration file and invalid variants of it. */
 class NodeConfigTest {
     private static final Path FILE = Path.of("src/test/resources/node.json");
 
@@ -30,7 +30,7 @@
         assertEquals(3, config.settings().classes().size());
         assertEquals(250_000, config.settings().limits().connectTimeoutUs());
         assertEquals(60_000, config.settings().classes().get(0).messageLatencyObjectiveUs());
-        assertEquals(1, config.knownServers().size());
+        assertEquals(1, config.cachedEndpointEntries().size());
     }
 
     @Test
