--- a/node/src/main/java/tulipshed/cli/GracefulShutdown.java
+++ b/node/src/main/java/tulipshed/cli/GracefulShutdown.java
@@ -57,7 +57,7 @@
         hotRestart.markLeaving();
         core.setQuotaShare(hotRestart.quotaShare());
         if (!handedOver) {
-            components.frontend().startLeaving();
+            components.frontend().startShutdown();
         }
         components.clientListener().startDraining();
         log.info("shutting down" + (handedOver ? ", handing over to another process, " : ", ") + core.establishedCount()
@@ -88,7 +88,7 @@
         @Override
         public void stopAccepting() {
             components.clientListener().drainAndClose();
-            components.frontend().listenerClosed();
+            components.frontend().onListenerClosed();
             components.quic().startDraining();
         }
 
@@ -104,7 +104,7 @@
 
         @Override
         public void rejectWaiting() {
-            components.frontend().rejectWaitingClients();
+            components.frontend().rejectOpeningClients();
         }
 
         @Override
--- a/node/src/main/java/tulipshed/lineprotocol/ClientCloser.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientCloser.java
@@ -3,40 +3,40 @@
 import tulipshed.transport.TcpConnection;
 
 /**
- * Closes one client's connection so that the client can still read what was written last: to close over unread input would
- * send a reset, which could overtake it. Confined to the event-loop thread.
+ * Closes one client's connection so that the client can still read the last line written to it: closing a socket with
+ * unread input sends a reset, which could make the client lose that line. Confined to the event-loop thread.
  */
 final class ClientCloser {
     private final LineProtocolFrontend frontend;
     private final ClientSession session;
     private final TcpConnection connection;
-    private final ClientLease lease;
+    private final ClientRegistration registration;
 
     ClientCloser(LineProtocolFrontend frontend, ClientSession session, TcpConnection connection) {
         this.frontend = frontend;
         this.session = session;
         this.connection = connection;
-        this.lease = new ClientLease(frontend);
+        this.registration = new ClientRegistration(frontend);
     }
 
-    /** What the session holds in the frontend. */
-    ClientLease lease() {
-        return lease;
+    /** Returns the session's client slot and request ID. */
+    ClientRegistration registration() {
+        return registration;
     }
 
-    /** The request needs nothing more of the client but its last line; its ID is available again. */
+    /** Marks the session as closing before its last line is sent, and releases the ID of its request. */
     void beginClosing() {
         session.markClosing();
-        lease.releaseId();
+        registration.releaseId();
     }
 
     /**
-     * Ends the sending, and has the session read and drop further input until the client has ended too or the linger timeout
-     * has expired.
+     * Shuts down the output; the session reads and discards further input until the client ends its output too or the
+     * linger timeout expires.
      */
     void shutdownAndLinger() {
         FrontendContext context = frontend.context();
-        frontend.unservedConnections().lingers(session);
+        frontend.unservedConnections().addLingering(session);
         connection.shutdownOutput();
         connection.setReading(!session.isInputEnded());
         context.eventLoop().schedule(context.limits().sockets().lingerTimeoutMs(), this::onLingerTimeout);
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Nothing more comes from the client, but it may not have read all that is queued for it. */
+    /** Closes the connection if no bytes are queued for the client; called once the client has ended its output. */
     void closeOnceWritten() {
         if (connection.queuedBytes() == 0) {
             close();
@@ -57,12 +57,12 @@
         close();
     }
 
-    /** Closes the connection at once, and releases what the session holds. */
+    /** Closes the connection immediately and releases the client slot and the request ID. */
     void close() {
         session.markClosing();
-        lease.releaseId();
+        registration.releaseId();
         frontend.unservedConnections().remove(session);
         connection.close();
-        lease.release();
+        registration.release();
     }
 }
--- a/node/src/main/java/tulipshed/lineprotocol/ClientLease.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientRegistration.java
@@ -1,21 +1,21 @@
 package tulipshed.lineprotocol;
 
 /**
- * What one client session holds in the frontend until it closes: a place among the clients, and the ID of its request.
- * Confined to the event-loop thread.
+ * The resources that one client session holds in the frontend until it closes: a slot in the count of clients and the ID of
+ * its request. Confined to the event-loop thread.
  */
-final class ClientLease {
+final class ClientRegistration {
     private final LineProtocolFrontend frontend;
     private String requestId;
     private boolean isReleased;
 
-    /** Takes a place among the clients. */
-    ClientLease(LineProtocolFrontend frontend) {
+    /** Counts the client with the frontend. */
+    ClientRegistration(LineProtocolFrontend frontend) {
         this.frontend = frontend;
         frontend.clientOpened();
     }
 
-    /** Claims the ID of the client's request; false if another open request has it. */
+    /** Claims the ID of the client's request; returns false if another open request has it. */
     boolean claimId(String id) {
         if (!frontend.openRequestIds().claim(id)) {
             return false;
@@ -24,7 +24,7 @@
         return true;
     }
 
-    /** Releases the ID, if one was claimed; the place is kept. */
+    /** Releases the ID, if one was claimed; the client slot is kept. */
     void releaseId() {
         if (requestId != null) {
             frontend.openRequestIds().release(requestId);
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Releases the place; further calls do nothing. */
+    /** Releases the client slot; further calls do nothing. */
     void release() {
         if (!isReleased) {
             isReleased = true;
--- a/node/src/main/java/tulipshed/lineprotocol/ClientRelay.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientRelay.java
@@ -4,8 +4,8 @@
 import tulipshed.transport.TcpConnection;
 
 /**
- * Passes one client's input on while an endpoint serves its request; takes no more of it than can be queued for the endpoint.
- * Confined to the event-loop thread.
+ * Forwards one client's input to the endpoint that serves its request, and reads no more of it than may be queued for the
+ * endpoint. Confined to the event-loop thread.
  */
 final class ClientRelay implements StreamReader.Receiver {
     private final ClientSession session;
@@ -13,7 +13,7 @@
     private final UpstreamConnection upstream;
     private final int maxQueuedBytes;
 
-    /** A relay to an endpoint for which at most that many bytes are queued. */
+    /** Creates a relay that queues at most {@code maxQueuedBytes} for the endpoint. */
     ClientRelay(ClientSession session, TcpConnection connection, UpstreamConnection upstream, int maxQueuedBytes) {
         this.session = session;
         this.connection = connection;
@@ -21,7 +21,7 @@
         this.maxQueuedBytes = maxQueuedBytes;
     }
 
-    /** Passes the endpoint's response on, and what the client sent before it. */
+    /** Forwards the endpoint's response to the client and the client's early data to the endpoint. */
     void start(byte[] response, EarlyData earlyData) {
         connection.write(response);
         if (!earlyData.isEmpty()) {
@@ -31,7 +31,7 @@
         connection.setReading(true);
     }
 
-    /** Reads all that the client has sent, as far as it can be queued for the endpoint. */
+    /** Reads the available input of the client, up to the bytes that may be queued for the endpoint. */
     void read(ByteBuffer buffer) {
         StreamReader.read(connection, buffer, StreamReader.UNLIMITED_READS, this);
     }
--- a/node/src/main/java/tulipshed/lineprotocol/ClientRequest.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientRequest.java
@@ -7,7 +7,7 @@
 import tulipshed.routing.RequestOrigin;
 
 /**
- * The request of one client, from its open command on: registers it with the core, and opens the connections of its
+ * The request of one client, beginning with its open command: registers it with the core and opens the connections of its
  * attempts. Confined to the event-loop thread.
  */
 final class ClientRequest implements UpstreamConnector {
@@ -19,7 +19,7 @@
     private Request request;
     private UpstreamConnection upstream;
 
-    /** A request that {@link #start} makes; its final response goes through {@code responder}. */
+    /** Creates a request that {@link #start} registers; its final response is sent through {@code responder}. */
     ClientRequest(LineProtocolFrontend frontend, ClientSession session, ClientConnection responder) {
         this.frontend = frontend;
         this.context = frontend.context();
@@ -30,33 +30,33 @@
     /** Registers the request of the client's open command with the core. */
     void start(OpenCommand command, RequestOrigin origin) {
         openCommand = command;
-        Request arrived = new Request(
+        Request newRequest = new Request(
                 responder, this, command.attributes(), origin, context.clock().nowMs(), command.isAdopted());
         if (command.isAdopted()) {
-            context.core().adoptConnection(arrived, command.adoptedFrom());
+            context.core().adoptConnection(newRequest, command.adoptedFrom());
         } else {
-            context.core().requestArrived(arrived);
+            context.core().requestArrived(newRequest);
         }
-        request = arrived;
+        request = newRequest;
     }
 
-    /** Whether the core has taken the request. */
-    boolean hasArrived() {
+    /** Whether the request has been registered with the core. */
+    boolean isRegistered() {
         return request != null;
     }
 
-    /** Notifies the core that the client needs no response any more. */
+    /** Notifies the core that the client has disconnected. */
     void cancel() {
         context.core().clientDisconnected(request);
     }
 
-    /** The connection of the latest attempt; null before the first one, and once it was abandoned. */
+    /** The connection of the latest attempt; null before the first attempt and after the latest one was abandoned. */
     UpstreamConnection upstream() {
         return upstream;
     }
 
-    /** The endpoint of this connection serves the request. */
-    void established(UpstreamConnection established) {
+    /** Records the connection whose endpoint serves the request. */
+    void setEstablished(UpstreamConnection established) {
         upstream = established;
     }
 
@@ -64,7 +64,7 @@
     public void open(Attempt attempt) {
         session.readAvailableInput();
         if (session.state() != ClientState.PENDING) {
-            // The client has gone; the core has just been notified, and abandons the attempt.
+            // The client has disconnected; the core has just been notified and abandons the attempt.
             return;
         }
         upstream = new UpstreamConnection(frontend, session, openCommand, attempt);
--- a/node/src/main/java/tulipshed/lineprotocol/ClientResponder.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientResponder.java
@@ -3,7 +3,7 @@
 import tulipshed.proxy.ClientConnection;
 import tulipshed.transport.TcpConnection;
 
-/** Sends one client the last line of its connection, of which there is one. Confined to the event-loop thread. */
+/** Sends the last line of one client connection, at most once. Confined to the event-loop thread. */
 final class ClientResponder implements ClientConnection {
     private final FrontendContext context;
     private final ClientSession session;
@@ -27,7 +27,7 @@
         sendLastLine(WireMessages.FAILED);
     }
 
-    /** Fails a client that does not follow the protocol; the reason must not quote it. */
+    /** Fails a client that violates the protocol; the reason is logged and must not quote the client's input. */
     void failMalformed(String reason) {
         context.clientErrors().record(reason);
         fail();
@@ -37,12 +37,12 @@
     public void migrate() {
         if (session.state() == ClientState.RELAYING) {
             session.upstream().abandon();
-            // Only complete lines are ever queued for the client, so this one comes between two of them.
+            // Only complete lines are queued for the client, so this one cannot split another.
             sendLastLine(WireMessages.MIGRATE);
         }
     }
 
-    /** Sends a last line, and closes once the client has read it or the linger timeout has expired. */
+    /** Sends the last line, then closes the connection once the client has read it or the linger timeout has expired. */
     private void sendLastLine(byte[] line) {
         if (session.state() != ClientState.CLOSING) {
             closer.beginClosing();
--- a/node/src/main/java/tulipshed/lineprotocol/ClientSession.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientSession.java
@@ -4,9 +4,9 @@
 import tulipshed.transport.TcpConnection;
 
 /**
- * The state machine of one client's connection, from its acceptance to its end: takes the events of the client, of its
- * endpoint and of timeouts, and passes each to the part whose concern it is. What has arrived from the client is read before
- * anything is decided against it. Confined to the event-loop thread.
+ * The state machine of one client connection, from its acceptance to its end: dispatches the events of the client, of its
+ * endpoint and of timeouts to the objects that handle them. Input that has already arrived is read before the client is
+ * rejected, failed or evicted. Confined to the event-loop thread.
  */
 final class ClientSession implements TcpConnection.Listener {
     private final LineProtocolFrontend frontend;
@@ -18,12 +18,12 @@
     private final ClientCloser closer;
     private final double acceptedAtMs;
     private ClientState state = ClientState.OPENING;
-    /** Null before an endpoint serves the request. */
+    /** Null until an endpoint serves the request. */
     private ClientRelay relay;
 
     private boolean isInputEnded;
 
-    /** Takes over an accepted connection; reads nothing before {@link #start}. */
+    /** Registers an accepted connection with the event loop; nothing is read before {@link #start}. */
     ClientSession(LineProtocolFrontend frontend, StreamConnection accepted) {
         this.frontend = frontend;
         this.context = frontend.context();
@@ -41,27 +41,27 @@
         onReadable(connection);
     }
 
-    /** How far the connection has come. */
+    /** The current state of the connection. */
     ClientState state() {
         return state;
     }
 
-    /** Records that the last line is about to be queued, or that the connection is about to be closed. */
+    /** Marks the session as closing, before the last line is queued or the connection is closed. */
     void markClosing() {
         state = ClientState.CLOSING;
     }
 
-    /** Whether the client has ended its sending. */
+    /** Whether the client has ended its output. */
     boolean isInputEnded() {
         return isInputEnded;
     }
 
-    /** The connection of the latest attempt; null before the first one, and once it was abandoned. */
+    /** The connection of the latest attempt; null before the first attempt and after the latest one was abandoned. */
     UpstreamConnection upstream() {
         return request.upstream();
     }
 
-    /** When the connection was taken over. */
+    /** The monotonic time at which the connection was accepted, in milliseconds. */
     double acceptedAtMs() {
         return acceptedAtMs;
     }
@@ -74,14 +74,14 @@
             if (state == ClientState.RELAYING) {
                 relay.read(context.readBuffer());
             } else {
-                requestReader.readSome();
+                requestReader.readBounded();
             }
         } catch (RuntimeException | Error e) {
             onDefect(e);
         }
     }
 
-    /** Reads all that has arrived and was not notified yet: the client's end, or its open command. */
+    /** Reads input that has arrived but whose event has not been delivered yet: an end of stream or an open command. */
     void readAvailableInput() {
         if (state == ClientState.RELAYING || connection.isClosed()) {
             return;
@@ -93,12 +93,15 @@
         }
     }
 
-    /** Ends this connection alone after a defect of this program or a lack of memory, with a response where one is owed. */
+    /**
+     * Closes only this connection after a defect of this program or a lack of memory; sends a final response if none was
+     * sent.
+     */
     private void onDefect(Throwable defect) {
         context.recordDefect(defect);
         switch (state) {
             case OPENING, PENDING -> {
-                if (request.hasArrived()) {
+                if (request.isRegistered()) {
                     request.cancel();
                 }
                 responder.fail();
@@ -112,34 +115,34 @@
     }
 
     /**
-     * The open command has arrived.
+     * Starts the request of an open command.
      *
      * @throws MalformedLineException if its ID is that of another open request
      */
     void startRequest(OpenCommand command) {
-        if (!closer.lease().claimId(command.id())) {
-            // Endpoints would respond with a failure, one after the other.
-            throw new MalformedLineException("the ID of an open request");
+        if (!closer.registration().claimId(command.id())) {
+            // Otherwise the request would be retried on one endpoint after another, and each would fail it.
+            throw new MalformedLineException("an ID that another open request has");
         }
         state = ClientState.PENDING;
-        frontend.unservedConnections().openCommandReceived(this);
+        frontend.unservedConnections().removeOpening(this);
         request.start(command, frontend.origin(connection, command));
     }
 
-    /** Fails a client that does not follow the protocol, and cancels its pending request. */
+    /** Fails a client that violates the protocol and cancels its pending request. */
     void cancelMalformed(String reason) {
         request.cancel();
         responder.failMalformed(reason);
     }
 
-    /** The client ended its sending. */
+    /** Handles the end of the client's output. */
     void onEndOfStream() {
         connection.setReading(false);
         isInputEnded = true;
         switch (state) {
             case PENDING -> {
                 request.cancel();
-                // The client may have ended only its sending, and still read.
+                // The client may have shut down only its output and still read.
                 responder.fail();
             }
             case RELAYING -> upstream().relay().onClientEndOfStream();
@@ -169,7 +172,7 @@
 
     // ---- Timeouts and eviction ----
 
-    /** The open command did not arrive in time. */
+    /** Fails the client if its open command did not arrive in time. */
     void onOpenTimeout() {
         if (isStillOpening()) {
             responder.failMalformed("no open command in time");
@@ -183,12 +186,12 @@
         }
     }
 
-    /** Rejects the client for lack of capacity, whatever it has sent. */
+    /** Rejects the client for lack of capacity, regardless of the input already received. */
     void rejectForOverload() {
         responder.reject(frontend.overloadRetryAfterMs());
     }
 
-    /** Gives the descriptor up for a client that can be served, unless this one can: its open command may have arrived. */
+    /** Closes the connection to free its descriptor for another client, unless an open command of its own has arrived. */
     void evict() {
         rejectIfOpening();
         if (state == ClientState.CLOSING) {
@@ -203,33 +206,33 @@
 
     // ---- Relay ----
 
-    /** The endpoint serves the request: passes its response on, and relays both ways from now on. */
+    /** Forwards the response of the endpoint that serves the request and starts relaying in both directions. */
     void onEstablished(UpstreamConnection established, byte[] response) {
-        request.established(established);
+        request.setEstablished(established);
         relay = new ClientRelay(
                 this, connection, established, context.limits().sockets().relayBytes());
         state = ClientState.RELAYING;
         relay.start(response, requestReader.earlyData());
     }
 
-    /** Passes bytes of the endpoint on. */
+    /** Queues bytes of the endpoint for the client. */
     void sendFromEndpoint(byte[] bytes) {
         connection.write(bytes);
     }
 
-    /** Bytes that wait to be written to the client. */
+    /** The number of bytes queued for the client. */
     int queuedBytes() {
         return connection.queuedBytes();
     }
 
-    /** All that was queued for the endpoint has been written. */
+    /** Resumes reading from the client after all bytes queued for the endpoint have been written. */
     void onUpstreamWritten() {
         if (state == ClientState.RELAYING && !isInputEnded) {
             connection.setReading(true);
         }
     }
 
-    /** The endpoint ended its sending. */
+    /** Closes the connection gracefully after the endpoint has ended its output. */
     void onUpstreamEndOfStream() {
         if (state == ClientState.RELAYING) {
             closer.beginClosing();
@@ -237,7 +240,7 @@
         }
     }
 
-    /** The endpoint's connection broke. */
+    /** Resets the client's connection after the endpoint's connection has failed. */
     void onUpstreamBroken() {
         connection.abort();
         closer.close();
--- a/node/src/main/java/tulipshed/lineprotocol/ClientState.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientState.java
@@ -1,13 +1,13 @@
 package tulipshed.lineprotocol;
 
-/** How far a client's connection has come; it never goes back. */
+/** The state of a client connection; transitions only go forward. */
 enum ClientState {
-    /** The open command is awaited. */
+    /** The open command has not arrived yet. */
     OPENING,
-    /** The request awaits its response. */
+    /** The request has no response yet. */
     PENDING,
     /** An endpoint serves the request. */
     RELAYING,
-    /** The last line is queued or written; further input is dropped. */
+    /** The last line is queued or written; further input is discarded. */
     CLOSING
 }
--- a/node/src/main/java/tulipshed/lineprotocol/CrlfDecoder.java
+++ b/node/src/main/java/tulipshed/lineprotocol/CrlfDecoder.java
@@ -3,23 +3,24 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Splits a byte stream into lines, keeping no more than one partial line of bounded length. */
+/** Splits a byte stream into lines; buffers at most one partial line of bounded length. */
 final class CrlfDecoder {
-    /** The end of each line on the wire. */
+    /** The line terminator on the wire. */
     static final String LINE_END = "\r\n";
 
     private final byte[] partialLine;
     private int partialBytes;
 
-    /** A decoder of lines of at most {@code maxLineBytes}, with their end. */
+    /** Creates a decoder of lines of at most {@code maxLineBytes} bytes, including the line terminator. */
     CrlfDecoder(int maxLineBytes) {
         partialLine = new byte[maxLineBytes];
     }
 
     /**
-     * The next complete line with its end, or null if the input holds no more of one.
+     * Returns the next complete line with its terminator, or null if the input contains no complete line.
      *
-     * @throws MalformedLineException if the line is longer than allowed; it stays as the partial line
+     * @throws MalformedLineException if the line is longer than allowed; the bytes read so far stay buffered as the partial
+     *     line
      */
     byte[] next(ByteBuffer in) {
         while (in.hasRemaining()) {
@@ -28,7 +29,7 @@
             }
             byte next = in.get();
             partialLine[partialBytes++] = next;
-            // The parsers check that a carriage return precedes the line feed.
+            // That a carriage return precedes the line feed is checked by the parsers.
             if (next == '\n') {
                 return takePartialLine();
             }
@@ -36,14 +37,14 @@
         return null;
     }
 
-    /** Removes and returns what is kept of a partial line. */
+    /** Removes and returns the buffered partial line. */
     byte[] takePartialLine() {
         byte[] taken = Arrays.copyOf(partialLine, partialBytes);
         partialBytes = 0;
         return taken;
     }
 
-    /** Bytes kept of a partial line. */
+    /** The length of the buffered partial line in bytes. */
     int partialBytes() {
         return partialBytes;
     }
--- a/node/src/main/java/tulipshed/lineprotocol/EarlyData.java
+++ b/node/src/main/java/tulipshed/lineprotocol/EarlyData.java
@@ -3,17 +3,20 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 
-/** What a client sends between its open command and the response, kept for the endpoint. Bounded; confined to the event-loop thread. */
+/**
+ * A bounded buffer for the bytes that a client sends between its open command and the response, which are forwarded to the
+ * endpoint that serves the request. Confined to the event-loop thread.
+ */
 final class EarlyData {
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private final int maxBytes;
 
-    /** Keeps {@code maxBytes} at most. */
+    /** Creates a buffer of at most {@code maxBytes}. */
     EarlyData(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Keeps all that the buffer holds; false, and nothing taken, if that would be more than allowed. */
+    /** Appends all remaining bytes of {@code in}; consumes none and returns false if they exceed the limit. */
     boolean append(ByteBuffer in) {
         if (bytes.size() + in.remaining() > maxBytes) {
             return false;
@@ -24,17 +27,17 @@
         return true;
     }
 
-    /** Whether nothing is kept. */
+    /** Whether the buffer is empty. */
     boolean isEmpty() {
         return bytes.size() == 0;
     }
 
-    /** All that was kept, in order. */
+    /** The buffered bytes, in the order of arrival. */
     byte[] toByteArray() {
         return bytes.toByteArray();
     }
 
-    /** Forgets all that was kept. */
+    /** Discards the buffered bytes. */
     void clear() {
         bytes.reset();
     }
--- a/node/src/main/java/tulipshed/lineprotocol/EndpointReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/EndpointReader.java
@@ -4,8 +4,8 @@
 import tulipshed.decision.api.Outcome;
 
 /**
- * Reads one endpoint's input line by line, and takes no more of it than can be queued for the client. Confined to the
- * event-loop thread.
+ * Reads one endpoint's input line by line, and no more of it than may be queued for the client. Confined to the event-loop
+ * thread.
  */
 final class EndpointReader implements StreamReader.Receiver {
     private final ClientSession client;
@@ -20,7 +20,7 @@
         this.maxQueuedBytes = context.limits().sockets().relayBytes();
     }
 
-    /** The bytes of a line whose end has not been read; they are not kept any more. */
+    /** Removes and returns the bytes of a line whose terminator has not arrived. */
     byte[] takePartialLine() {
         return decoder.takePartialLine();
     }
@@ -30,7 +30,7 @@
         return upstream.state() != UpstreamState.CLOSED;
     }
 
-    /** A response is read in any case: reading would not be resumed for it. */
+    /** At least 1 before the response has arrived: reading is only resumed for established connections. */
     @Override
     public int capacityBytes() {
         int capacityBytes = maxQueuedBytes - client.queuedBytes();
@@ -39,7 +39,7 @@
 
     @Override
     public void onBytes(ByteBuffer bytes) {
-        upstream.relay().onInputOfEndpoint();
+        upstream.relay().onEndpointInput();
         while (isReading() && bytes.hasRemaining()) {
             try {
                 byte[] line = decoder.next(bytes);
@@ -51,7 +51,7 @@
                     upstream.end(Outcome.ERROR);
                     return;
                 }
-                // Longer than this protocol allows; what the client and the endpoint make of it is theirs.
+                // The line exceeds the limit; it is forwarded as it is, since the relay does not interpret such lines.
                 client.sendFromEndpoint(decoder.takePartialLine());
             }
         }
--- a/node/src/main/java/tulipshed/lineprotocol/EndpointReports.java
+++ b/node/src/main/java/tulipshed/lineprotocol/EndpointReports.java
@@ -5,8 +5,8 @@
 import tulipshed.decision.api.Outcome;
 
 /**
- * What the messages of one endpoint say of its load, and of how the attempt ends. A malformed report is counted and
- * ignored; the message counts without it. Confined to the event-loop thread.
+ * The load reports in the messages of one endpoint, and the outcome that they announce for the attempt. A malformed report
+ * is counted and ignored; the rest of its message still applies. Confined to the event-loop thread.
  */
 final class EndpointReports {
     private final FrontendContext context;
@@ -17,8 +17,8 @@
         this.context = context;
     }
 
-    /** Takes one message; returns the value that it reports of the connection, if it does. */
-    OptionalDouble received(EndpointMessage message) {
+    /** Processes one message; returns the value of a {@code LOAD} line, empty for any other message. */
+    OptionalDouble processMessage(EndpointMessage message) {
         lastKind = message.kind();
         try {
             switch (message.kind()) {
@@ -40,17 +40,17 @@
                 : LoadReport.NONE;
     }
 
-    /** The last load report that came with a response; {@link LoadReport#NONE} if none did. */
+    /** The load report of the last response; {@link LoadReport#NONE} if there was none. */
     LoadReport finalReport() {
         return finalReport;
     }
 
-    /** The outcome of an attempt that ends now: what the last message announced, or {@code otherwise}. */
-    Outcome outcomeAtEnd(Outcome otherwise) {
+    /** The outcome of an attempt that ends now: the one announced by the last message, or {@code defaultOutcome}. */
+    Outcome outcomeAtEnd(Outcome defaultOutcome) {
         return switch (lastKind) {
             case COMPLETED -> Outcome.OK;
             case MIGRATING -> Outcome.CANCELLED;
-            default -> otherwise;
+            default -> defaultOutcome;
         };
     }
 }
--- a/node/src/main/java/tulipshed/lineprotocol/FrontendContext.java
+++ b/node/src/main/java/tulipshed/lineprotocol/FrontendContext.java
@@ -9,13 +9,13 @@
 import tulipshed.transport.ProtocolErrorLog;
 
 /**
- * What all connections of one frontend share.
+ * Services and state shared by all connections of one frontend.
  *
- * @param readBuffer used by whichever connection reads; holds nothing between two notifications
+ * @param readBuffer the buffer of whichever connection is reading; its content is not kept between events
  * @param clientErrors counts clients that are rejected for malformed input
  * @param upstreamErrors counts malformed lines of endpoints
  * @param defects counts connections that were ended because of a defect of this program
- * @param upstreamLog the log of what passes between the node and its endpoints
+ * @param upstreamLog the logger for traffic between the node and its endpoints
  */
 record FrontendContext(
         Clock clock,
@@ -28,7 +28,7 @@
         ProtocolErrorLog defects,
         Logger upstreamLog) {
 
-    /** Counts a defect of this program that was met while one connection was served; quotes no input. */
+    /** Counts a defect of this program that occurred while a connection was served; logs no input. */
     void recordDefect(Throwable defect) {
         StackTraceElement[] trace = defect.getStackTrace();
         String location = trace.length > 0 ? trace[0].toString() : "unknown location";
--- a/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
@@ -12,8 +12,8 @@
 import tulipshed.transport.TcpConnection;
 
 /**
- * The connection for the health checks of one endpoint; at most one check is in progress on it, and each is bounded in
- * time. Confined to the event-loop thread.
+ * The connection for the health checks of one endpoint. At most one check is in progress at a time, and each has a
+ * timeout. Confined to the event-loop thread.
  */
 final class HealthCheckConnection implements TcpConnection.Listener {
     private final HealthCheckConnections owner;
@@ -47,7 +47,7 @@
         return address;
     }
 
-    /** When the last check began. */
+    /** The monotonic time at which the last check began, in milliseconds. */
     double lastUsedMs() {
         return lastUsedMs;
     }
@@ -58,18 +58,18 @@
         lastUsedMs = context.clock().nowMs();
         isReused = connection != null;
         checkNumber++;
-        int startedCheck = checkNumber;
+        int startedCheckNumber = checkNumber;
         if (isReused) {
             connection.write(WireMessages.HEALTH_CHECK);
         } else {
             connect();
         }
         context.eventLoop()
-                .schedule(context.limits().healthChecks().responseTimeoutMs(), () -> onTimeout(startedCheck));
+                .schedule(context.limits().healthChecks().responseTimeoutMs(), () -> onTimeout(startedCheckNumber));
     }
 
-    private void onTimeout(int timedCheck) {
-        if (isChecking && checkNumber == timedCheck) {
+    private void onTimeout(int timedCheckNumber) {
+        if (isChecking && checkNumber == timedCheckNumber) {
             end(connection == null ? Outcome.CONNECT_FAILED : Outcome.TIMEOUT);
         }
     }
@@ -89,7 +89,7 @@
         connection.setReading(true);
     }
 
-    /** Notifies the core of the check's result; the connection is kept. */
+    /** Notifies the core of the result of the check in progress and keeps the connection. */
     private void complete(Outcome outcome, LoadReport report) {
         if (isChecking) {
             isChecking = false;
@@ -105,7 +105,7 @@
 
     /** Closes the connection without notifying the core. */
     void close() {
-        owner.closed(endpointId, this);
+        owner.removeClosed(endpointId, this);
         if (pendingConnection != null) {
             pendingConnection.abandon();
         }
@@ -120,7 +120,7 @@
         StreamReader.read(connection, context.readBuffer(), maxReads, endpointInput);
     }
 
-    /** Everything that the endpoint sends. */
+    /** Receives the endpoint's input. */
     private final class EndpointInput implements StreamReader.Receiver {
         @Override
         public boolean isReading() {
@@ -151,7 +151,7 @@
 
     private void handleMessage(EndpointMessage message) {
         if (!isChecking) {
-            // On such a connection the next response could not be distinguished from further unsolicited lines.
+            // The response to the next check could not be distinguished from further unsolicited lines.
             context.upstreamErrors().record("an unsolicited line");
             close();
             return;
@@ -160,7 +160,7 @@
             case HEALTHY -> complete(Outcome.OK, LoadReportParser.parse(message.arguments()));
             case FAILED -> complete(Outcome.ERROR, LoadReport.NONE);
             case HEALTH_CHECK_FORBIDDEN -> failMalformed("a health check that is not allowed");
-            default -> failMalformed("another word than PONG or ERR");
+            default -> failMalformed("a response other than PONG or ERR");
         }
     }
 
@@ -172,7 +172,7 @@
     @Override
     public void onWritten(TcpConnection from) {}
 
-    /** The endpoint may have closed an idle connection just as it was reused: then another is opened, once. */
+    /** Reconnects once if a reused connection fails: the endpoint may have closed it while it was idle. */
     @Override
     public void onBroken(TcpConnection from) {
         connection.close();
--- a/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnections.java
+++ b/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnections.java
@@ -10,8 +10,9 @@
 import tulipshed.proxy.HealthChecker;
 
 /**
- * Checks the health of endpoints over connections that are kept for the next check, as opening one costs the endpoint more
- * than the check: one an endpoint, bounded in number, closed when idle. Confined to the event-loop thread.
+ * Checks the health of endpoints over persistent connections, since opening a connection costs the endpoint more than the
+ * check itself. There is at most one connection per endpoint; their number is bounded, and idle ones are closed. Confined to
+ * the event-loop thread.
  */
 final class HealthCheckConnections implements HealthChecker {
     private static final int INITIAL_CAPACITY = 16;
@@ -19,7 +20,7 @@
     private static final boolean IN_ACCESS_ORDER = true;
 
     private final FrontendContext context;
-    /** By endpoint ID; the least recently used comes first. */
+    /** Connections by endpoint ID, least recently used first. */
     private final Map<String, HealthCheckConnection> connections =
             new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, IN_ACCESS_ORDER);
 
@@ -49,13 +50,13 @@
         }
     }
 
-    /** Ends all checks and closes all connections; no check is started any more. */
+    /** Ends all checks, closes all connections and starts no further checks. */
     void stop() {
         isStopped = true;
         snapshot().forEach(connection -> connection.end(Outcome.UNUSED));
     }
 
-    /** Closes the connections that have been idle for long. */
+    /** Closes the connections whose idle timeout has expired. */
     void closeIdle(double nowMs) {
         double idleTimeoutMs = context.limits().healthChecks().idleTimeoutMs();
         for (HealthCheckConnection connection : snapshot()) {
@@ -65,12 +66,12 @@
         }
     }
 
-    /** The connection to this endpoint was closed. */
-    void closed(String endpointId, HealthCheckConnection connection) {
+    /** Removes a connection that is being closed. */
+    void removeClosed(String endpointId, HealthCheckConnection connection) {
         connections.remove(endpointId, connection);
     }
 
-    /** Whether one more connection may be opened; closes the least recently used idle one for it if need be. */
+    /** Whether one more connection may be opened; closes the least recently used idle one if the limit is reached. */
     private boolean ensureCapacity() {
         int maxConnections = context.limits().healthChecks().connections();
         if (connections.size() >= maxConnections) {
--- a/node/src/main/java/tulipshed/lineprotocol/InactivityDetector.java
+++ b/node/src/main/java/tulipshed/lineprotocol/InactivityDetector.java
@@ -1,38 +1,38 @@
 package tulipshed.lineprotocol;
 
 /**
- * Detects an endpoint that does not respond to what its client sent. A running endpoint responds at once, so a short
- * timeout suffices; but a node that was itself suspended finds responses unread that came long ago. So the timeout must
- * have expired at two successive checks, between which all available input was read. Does no I/O; confined to the
- * event-loop thread.
+ * Detects an endpoint that does not respond to its client's input. A running endpoint responds immediately, so a short
+ * timeout suffices; but after this node itself was suspended, responses that arrived long ago may still be unread. The
+ * timeout must therefore have expired at two successive checks, between which all available input was read. Does no I/O;
+ * confined to the event-loop thread.
  */
 final class InactivityDetector {
-    /** In place of a time where no response is awaited. */
-    private static final double NONE = Double.NaN;
+    /** The value of {@link #waitingSinceMs} while no response is awaited. */
+    private static final double NOT_WAITING = Double.NaN;
 
     private final double timeoutMs;
-    private double waitingSinceMs = NONE;
+    private double waitingSinceMs = NOT_WAITING;
     private boolean isSuspected;
 
-    /** A detector with a timeout that is longer than an endpoint may pause. */
+    /** Creates a detector; the timeout has to exceed the longest pause of a running endpoint. */
     InactivityDetector(double timeoutMs) {
         this.timeoutMs = timeoutMs;
     }
 
-    /** The client sent something; the timeout runs from the first message that has no response yet. */
+    /** Records input of the client; the timeout starts with the first input that has no response yet. */
     void requestSent(double nowMs) {
         if (Double.isNaN(waitingSinceMs)) {
             waitingSinceMs = nowMs;
         }
     }
 
-    /** The endpoint sent something. */
+    /** Records input of the endpoint, which stops the timeout. */
     void responseReceived() {
-        waitingSinceMs = NONE;
+        waitingSinceMs = NOT_WAITING;
         isSuspected = false;
     }
 
-    /** One check: whether this and the check before found the timeout expired. */
+    /** Performs one check; returns whether the timeout had expired at this check and the previous one. */
     boolean isUnresponsive(double nowMs) {
         boolean isExpired = nowMs - waitingSinceMs > timeoutMs;
         boolean wasSuspected = isSuspected;
--- a/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
+++ b/node/src/main/java/tulipshed/lineprotocol/LineProtocolFrontend.java
@@ -17,8 +17,8 @@
 import tulipshed.transport.TcpConnection;
 
 /**
- * The frontend of the platform's line protocol: accepts client connections, and holds what their sessions share. Confined
- * to the event-loop thread.
+ * The frontend of the platform's line protocol: accepts client connections and holds the state that their sessions share.
+ * Confined to the event-loop thread.
  */
 public final class LineProtocolFrontend {
     /** The name of this frontend in the operators' rules. */
@@ -37,7 +37,8 @@
     private int clientCount;
 
     /**
-     * A frontend that accepts whatever {@link #accept} is given, and checks the health of the core's endpoints.
+     * Creates a frontend for the connections passed to {@link #accept}, which also checks the health of the core's
+     * endpoints.
      *
      * @param loadReportsLatency whether the value of an endpoint's {@code LOAD} line is a latency rather than a load
      */
@@ -69,14 +70,14 @@
 
     // ---- Settings ----
 
-    /** Replaces the names and the meaning of {@code LOAD}; requests that are open keep their class. */
+    /** Replaces the class and tenant names and the meaning of {@code LOAD}; open requests keep their class. */
     public void reconfigure(NameIndex changedNames, boolean changedLoadReportsLatency) {
         names = changedNames;
         loadReportsLatency = changedLoadReportsLatency;
         rebuildParser();
     }
 
-    /** Replaces what the operators' rules declare of open commands; null if there are no rules. */
+    /** Replaces the attributes that the operators' rules declare for open commands; null if there are no rules. */
     public void setDeclarations(AttributeDeclarations changed) {
         declarations = changed;
         rebuildParser();
@@ -99,7 +100,7 @@
         return loadReportsLatency;
     }
 
-    /** The origin of a request for the operators' rules; unknown if there are none. */
+    /** The origin of a request, as the operators' rules use it; unknown if there are no rules. */
     RequestOrigin origin(TcpConnection client, OpenCommand command) {
         return declarations == null
                 ? RequestOrigin.UNKNOWN
@@ -108,7 +109,7 @@
 
     // ---- Clients ----
 
-    /** Takes one accepted connection. */
+    /** Serves an accepted connection, or rejects it if no descriptor is available. */
     public void accept(StreamConnection connection) {
         evictUntilClientFits();
         boolean hasCapacity = context.eventLoop().hasCapacityForClient();
@@ -121,7 +122,7 @@
         }
     }
 
-    /** If as many were open as may be, the next clients would wait in the kernel, and nothing be evicted for them. */
+    /** Evicts before the client limit is reached: at the limit, further clients would wait in the backlog and evict nothing. */
     private void evictUntilClientFits() {
         boolean isEvicting = true;
         while (isEvicting && (!context.eventLoop().hasCapacityForClient() || isNearClientLimit())) {
@@ -134,35 +135,35 @@
         return clientCount >= limits.clientConnections() - limits.sockets().maxAcceptsPerEvent();
     }
 
-    /** When a client that is rejected for lack of capacity may retry; 0 if the settings allow no such delay. */
+    /** The retry delay for a client rejected for lack of capacity, in milliseconds; 0 if the settings allow none. */
     double overloadRetryAfterMs() {
         return context.core().retryAfterMs(context.limits().sockets().overloadRetryAfterMs());
     }
 
-    /** A client's connection was taken. */
+    /** Counts a client whose connection was accepted. */
     void clientOpened() {
         clientCount++;
     }
 
-    /** A client's connection was closed. */
+    /** Subtracts a client whose connection was closed. */
     void clientClosed() {
         clientCount--;
     }
 
     // ---- Graceful shutdown ----
 
-    /** The node begins to shut down: pings of clients are not answered any more. */
-    public void startLeaving() {
+    /** Starts the graceful shutdown: pings of clients are no longer answered. */
+    public void startShutdown() {
         isReady = false;
     }
 
-    /** The node is about to stop: rejects the clients whose open command has not arrived. */
-    public void rejectWaitingClients() {
+    /** Rejects the clients whose open command has not arrived, before the node stops. */
+    public void rejectOpeningClients() {
         unservedConnections.opening().forEach(ClientSession::rejectIfOpening);
     }
 
-    /** The node accepts no more clients: health checks end. */
-    public void listenerClosed() {
+    /** Stops health checks after the node has stopped accepting clients. */
+    public void onListenerClosed() {
         healthCheckConnections.stop();
     }
 
@@ -171,9 +172,9 @@
         return isReady;
     }
 
-    // ---- What the sessions share ----
+    // ---- State shared by the sessions ----
 
-    /** What all connections share. */
+    /** Services and state shared by all connections. */
     FrontendContext context() {
         return context;
     }
@@ -183,12 +184,12 @@
         return openRequestIds;
     }
 
-    /** The connections that are not served. */
+    /** The connections that hold a descriptor without being served. */
     UnservedConnections unservedConnections() {
         return unservedConnections;
     }
 
-    /** Whether an upstream connection may take a descriptor; evicts unserved connections for it if need be. */
+    /** Whether a descriptor is available for an upstream connection; evicts unserved connections to free one. */
     boolean ensureUpstreamCapacity() {
         boolean isEvicting = true;
         while (isEvicting && !context.eventLoop().hasCapacityForUpstream()) {
@@ -197,12 +198,12 @@
         return context.eventLoop().hasCapacityForUpstream();
     }
 
-    /** The upstream connection is checked for inactivity from now on. */
+    /** Adds an established upstream connection to the inactivity checks. */
     void upstreamEstablished(UpstreamConnection upstream) {
         establishedUpstreams.add(upstream);
     }
 
-    /** The upstream connection is closed, whether it was established or not. */
+    /** Removes a closed upstream connection, whether it was established or not. */
     void upstreamClosed(UpstreamConnection upstream) {
         establishedUpstreams.remove(upstream);
     }
@@ -214,7 +215,7 @@
     }
 
     private void sweep() {
-        // First, so that a defect met in one sweep does not end all later ones.
+        // Rescheduled first, so that an exception in this sweep does not prevent all later ones.
         scheduleSweep();
         double nowMs = context.clock().nowMs();
         List.copyOf(establishedUpstreams).forEach(upstream -> upstream.relay().checkInactivity(nowMs));
--- a/node/src/main/java/tulipshed/lineprotocol/LoadReportParser.java
+++ b/node/src/main/java/tulipshed/lineprotocol/LoadReportParser.java
@@ -5,14 +5,14 @@
 import tulipshed.decision.api.LoadReport;
 
 /**
- * Parses the load report at the end of an endpoint's response: {@code inflight=7,queue=2,util=0.61}. Fields have the names
- * of the protocol page or those of the settings; unknown fields are skipped.
+ * Parses the load report at the end of an endpoint's response: {@code inflight=7,queue=2,util=0.61}. A field may have its
+ * name from the protocol page or from the settings; unknown fields are skipped.
  */
 final class LoadReportParser {
     private static final int MAX_FIELDS = 32; // in one report, known or not
     private static final double MAX_VALUE = 1e9;
 
-    /** The fields that a report can have, in the order of {@link LoadReport}. */
+    /** The fields of a report, in the order of {@link LoadReport}. */
     private enum Field {
         INFLIGHT,
         QUEUE,
@@ -24,8 +24,8 @@
         BACKLOG_SECONDS
     }
 
-    /** The names on the wire. */
-    private static final Map<String, Field> FIELDS = Map.ofEntries(
+    /** Fields by their names on the wire. */
+    private static final Map<String, Field> FIELDS_BY_NAME = Map.ofEntries(
             Map.entry("inflight", Field.INFLIGHT),
             Map.entry("active", Field.INFLIGHT),
             Map.entry("queue", Field.QUEUE),
@@ -44,10 +44,10 @@
     private LoadReportParser() {}
 
     /**
-     * Parses what follows the first word of a response; {@link LoadReport#NONE} if nothing does. Fields that the report
-     * does not have are NaN.
+     * Parses the text after the first word of a response; a blank text yields {@link LoadReport#NONE}. Fields missing from
+     * the report are NaN.
      *
-     * @throws MalformedLineException if a field has no value, a value is not a number from 0 to 1e9, a known field comes
+     * @throws MalformedLineException if a field has no value, a value is not a number from 0 to 1e9, a known field occurs
      *     twice or there are more than 32 fields
      */
     static LoadReport parse(String text) {
@@ -80,7 +80,7 @@
             throw new MalformedLineException("a report with a field that has no value");
         }
         double value = parseValue(field.substring(equals + 1));
-        Field known = FIELDS.get(field.substring(0, equals));
+        Field known = FIELDS_BY_NAME.get(field.substring(0, equals));
         if (known == null) {
             return;
         }
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Parses one value that an endpoint reports.
+     * Parses one reported value.
      *
      * @throws MalformedLineException if it is not a number from 0 to 1e9
      */
--- a/node/src/main/java/tulipshed/lineprotocol/MalformedLineException.java
+++ b/node/src/main/java/tulipshed/lineprotocol/MalformedLineException.java
@@ -1,6 +1,6 @@
 package tulipshed.lineprotocol;
 
-/** Input that does not follow the line protocol. Its message is fit for the log: it never quotes the sender. */
+/** Input that violates the line protocol. The message is logged and must not quote the input. */
 final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommand.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommand.java
@@ -5,16 +5,16 @@
 import tulipshed.routing.AdditionalAttributes;
 
 /**
- * A client's request for a connection, {@code OPEN ID KEY name=value,...} on the wire. Keeps the line as it came, so that
- * it can be forwarded unchanged but for its timeout.
+ * A client's request for a connection, {@code OPEN ID KEY name=value,...} on the wire. Keeps the received line, so that it
+ * can be forwarded unchanged except for its timeout.
  *
- * @param line the complete line with its end, in ISO 8859-1
- * @param id the ID that the client gave, unique among the open requests of the node
- * @param timeoutStart index in the line of the first character of the timeout
+ * @param line the complete line with its terminator, decoded as ISO 8859-1
+ * @param id the ID chosen by the client, unique among the open requests of the node
+ * @param timeoutStart index of the first character of the timeout in the line
  * @param timeoutEnd index after the last character of the timeout
- * @param attributes what the client requests
- * @param adoptedFrom ID of the endpoint to which the connection was established before; null for a new connection
- * @param declaredAttributes the attributes that the operators have declared
+ * @param attributes the parameters of the request
+ * @param adoptedFrom ID of the endpoint to which an adopted connection was established; null for a new connection
+ * @param declaredAttributes the additional attributes that the operators' file declares
  */
 record OpenCommand(
         String line,
@@ -25,15 +25,15 @@
         String adoptedFrom,
         AdditionalAttributes declaredAttributes) {
 
-    /** A timeout of 0 would mean to the endpoint that the client has gone. */
+    /** An endpoint takes a timeout of 0 to mean that the client has disconnected. */
     private static final long MIN_TIMEOUT_MS = 1;
 
-    /** Whether the connection was established before this node took it. */
+    /** Whether this node adopts a connection that was established before. */
     boolean isAdopted() {
         return adoptedFrom != null;
     }
 
-    /** The line as it is forwarded to an endpoint, with the time that the node will wait, in whole milliseconds. */
+    /** The line forwarded to an endpoint, with {@code timeoutMs} rounded down to whole milliseconds, 1 at least. */
     byte[] forwardedLine(double timeoutMs) {
         long wholeMs = Math.max(MIN_TIMEOUT_MS, (long) Math.floor(timeoutMs));
         String forwarded = line.substring(0, timeoutStart) + wholeMs + line.substring(timeoutEnd);
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommandBuilder.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommandBuilder.java
@@ -6,9 +6,9 @@
 import tulipshed.routing.AttributeDeclarations;
 import tulipshed.routing.AttributeValue;
 
-/** Gives the fields of one open command their meaning, and checks that the command is complete. Used once. */
+/** Interprets the fields of one open command and checks that the command is complete. Used for one command only. */
 final class OpenCommandBuilder {
-    // The field names of the wire.
+    // Field names on the wire.
     private static final String CLASS_FIELD = "c";
     private static final String TENANT_FIELD = "t";
     private static final String TIMEOUT_FIELD = "d";
@@ -39,7 +39,7 @@
     private String adoptedFrom;
     private final AdditionalAttributes.Builder declaredAttributes = AdditionalAttributes.builder();
 
-    /** A builder of the command with that line, ID and key. */
+    /** Creates a builder for the command with this line, ID and key. */
     OpenCommandBuilder(OpenCommandParser parser, String line, String id, String key) {
         this.parser = parser;
         this.line = line;
@@ -48,31 +48,31 @@
     }
 
     /**
-     * Takes one field.
+     * Sets one field.
      *
-     * @param valueIndex index in the line of the first character of the value
-     * @throws MalformedLineException if the value is not one that the field may have
+     * @param valueIndex index of the first character of the value in the line
+     * @throws MalformedLineException if the value is invalid for the field
      */
-    void field(String name, String value, int valueIndex) {
+    void setField(String name, String value, int valueIndex) {
         switch (name) {
-            case CLASS_FIELD -> classIndex = known(parser.names().classIndex(value), "an unknown class");
-            case TENANT_FIELD -> tenantIndex = known(parser.names().tenantIndex(value), "an unknown tenant");
+            case CLASS_FIELD -> classIndex = requireKnown(parser.names().classIndex(value), "an unknown class");
+            case TENANT_FIELD -> tenantIndex = requireKnown(parser.names().tenantIndex(value), "an unknown tenant");
             case TIMEOUT_FIELD -> {
-                timeoutMs = number(value);
+                timeoutMs = parseNumber(value);
                 timeoutStart = valueIndex;
                 timeoutEnd = valueIndex + value.length();
             }
             case GROUP_FIELD -> group = value;
-            case LOAD_HINT_FIELD -> loadHintUsPerS = number(value);
+            case LOAD_HINT_FIELD -> loadHintUsPerS = parseNumber(value);
             case RETRY_FIELD -> isRetry = value.equals(TRUE);
             case RECONNECTING_FIELD -> isReconnecting = value.equals(TRUE);
             case ADOPTED_FROM_FIELD -> adoptedFrom = value;
-            default -> furtherField(name, value);
+            default -> setDeclaredField(name, value);
         }
     }
 
-    /** A field that the operators have declared is read; all others are only forwarded. */
-    private void furtherField(String name, String value) {
+    /** Reads a field that the operators' file declares; any other field is only forwarded. */
+    private void setDeclaredField(String name, String value) {
         if (parser.declarations().byName().containsKey(name)) {
             AttributeValue parsed = parser.declarations().parse(name, value);
             if (parsed == null) {
@@ -83,7 +83,7 @@
     }
 
     /**
-     * The command of all fields taken.
+     * Builds the command from the fields set so far.
      *
      * @throws MalformedLineException if a required field is missing, or the timeout, key or group is too long
      */
@@ -99,7 +99,7 @@
         if (classIndex < 0 || timeoutMs < 0) {
             throw new MalformedLineException("no class or no timeout");
         }
-        // The timeout of an adopted connection may be its lifetime: no response waits for it.
+        // An adopted connection may state its lifetime as the timeout, since it awaits no response.
         if (timeoutMs > parser.maxTimeoutMs() && adoptedFrom == null) {
             throw new MalformedLineException("a timeout that is too long");
         }
@@ -116,14 +116,14 @@
         }
     }
 
-    private static int known(Integer index, String otherwise) {
+    private static int requireKnown(Integer index, String errorReason) {
         if (index == null) {
-            throw new MalformedLineException(otherwise);
+            throw new MalformedLineException(errorReason);
         }
         return index;
     }
 
-    private static double number(String value) {
+    private static double parseNumber(String value) {
         if (!NUMBER.matcher(value).matches()) {
             throw new MalformedLineException("a value that is not a number");
         }
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommandParser.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommandParser.java
@@ -7,24 +7,24 @@
 import tulipshed.routing.AttributeDeclarations;
 
 /**
- * Parses the syntax of open commands; what the fields mean is {@link OpenCommandBuilder}'s.
+ * Parses the syntax of open commands; the fields are interpreted by {@link OpenCommandBuilder}.
  *
  * @param names the classes and tenants of the settings
- * @param declarations the further attributes that the operators have declared
- * @param maxTimeoutMs the longest timeout that a new connection may have
+ * @param declarations the additional attributes that the operators' file declares
+ * @param maxTimeoutMs the maximum timeout of a new connection
  */
 record OpenCommandParser(NameIndex names, AttributeDeclarations declarations, double maxTimeoutMs) {
     /** The command word on the wire. */
     private static final String OPEN_WORD = "OPEN";
 
-    private static final int WORDS = 4; // OPEN ID KEY FIELDS
+    private static final int WORD_COUNT = 4; // OPEN ID KEY FIELDS
     private static final char FIRST_PRINTABLE = ' ';
     private static final char LAST_PRINTABLE = '~';
 
     /**
-     * Parses one complete line with its end.
+     * Parses one complete line with its terminator.
      *
-     * @throws MalformedLineException if the line is not an open command, or names what the settings do not have
+     * @throws MalformedLineException if the line is not an open command, or a class or tenant is not in the settings
      */
     OpenCommand parse(byte[] encoded) {
         String line = new String(encoded, StandardCharsets.ISO_8859_1);
@@ -43,8 +43,8 @@
             throw new MalformedLineException("a character that is not printable ASCII");
         }
         String[] words = content.split(" ", -1);
-        if (words.length != WORDS || !words[0].equals(OPEN_WORD) || words[1].isEmpty() || words[2].isEmpty()) {
-            throw new MalformedLineException("not of the form OPEN ID KEY NAMES");
+        if (words.length != WORD_COUNT || !words[0].equals(OPEN_WORD) || words[1].isEmpty() || words[2].isEmpty()) {
+            throw new MalformedLineException("not of the form OPEN ID KEY FIELDS");
         }
         return words;
     }
@@ -56,9 +56,9 @@
         for (String field : fields.split(",", -1)) {
             int equals = field.indexOf('=');
             if (equals <= 0 || equals == field.length() - 1 || !seenNames.add(field.substring(0, equals))) {
-                throw new MalformedLineException("a name without a value, or twice");
+                throw new MalformedLineException("a field without a value, or a repeated field");
             }
-            builder.field(field.substring(0, equals), field.substring(equals + 1), fieldIndex + equals + 1);
+            builder.setField(field.substring(0, equals), field.substring(equals + 1), fieldIndex + equals + 1);
             fieldIndex += field.length() + 1;
         }
     }
--- a/node/src/main/java/tulipshed/lineprotocol/OpenRequestIds.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenRequestIds.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import tulipshed.transport.HotRestartState;
 
-/** The IDs of the requests that are open in this process or in its hot-restart peer. Confined to the event-loop thread. */
+/** The IDs of the requests that are open in this process or its hot-restart peer. Confined to the event-loop thread. */
 final class OpenRequestIds {
     private final Set<String> openIds = new HashSet<>();
     private final HotRestartState hotRestartState;
@@ -13,7 +13,7 @@
         this.hotRestartState = hotRestartState;
     }
 
-    /** Claims the ID for one request; false if it belongs to another open request, in whichever process. */
+    /** Claims the ID for one request; returns false if another open request of either process has it. */
     boolean claim(String id) {
         if (!openIds.add(id)) {
             return false;
@@ -25,7 +25,7 @@
         return true;
     }
 
-    /** Makes a claimed ID available again. */
+    /** Releases a claimed ID. */
     void release(String id) {
         openIds.remove(id);
         hotRestartState.releaseId(id);
--- a/node/src/main/java/tulipshed/lineprotocol/RedialBackoff.java
+++ b/node/src/main/java/tulipshed/lineprotocol/RedialBackoff.java
@@ -4,8 +4,9 @@
 import tulipshed.limits.LineProtocolLimits;
 
 /**
- * The delays after which the connection of one attempt is dialed again, where this machine itself could not begin to
- * connect: at once first, then after pauses that double, and only so often. Does no I/O; confined to the event-loop thread.
+ * The backoff between dials of one attempt after local connect failures, where this machine itself could not begin to
+ * connect: the first redial is immediate, the delays of the following ones double, and their number is bounded. Does no I/O;
+ * confined to the event-loop thread.
  */
 final class RedialBackoff {
     private final int maxRedials;
@@ -13,13 +14,13 @@
     private int redialCount;
     private double nextDelayMs;
 
-    /** The delays of one attempt, none used yet. */
+    /** Creates the backoff of one attempt. */
     RedialBackoff(LineProtocolLimits limits) {
         maxRedials = limits.maxRedials();
         firstPauseMs = limits.firstRedialPauseMs();
     }
 
-    /** The delay before the next dial; empty if there are to be no more, or if the attempt has no time for it. */
+    /** Returns the delay before the next redial; empty if the redials are used up or the attempt has too little time left. */
     OptionalDouble nextDelayMs(double remainingWaitMs) {
         if (redialCount == maxRedials || nextDelayMs >= remainingWaitMs) {
             return OptionalDouble.empty();
--- a/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
@@ -6,8 +6,8 @@
 import tulipshed.transport.TcpConnection;
 
 /**
- * Reads one client's input outside of a relay: answers pings, passes the open command to the session, keeps what is sent
- * early, and drops what comes after the last line. Confined to the event-loop thread.
+ * Reads one client's input before and after its relay: answers pings, passes the open command to the session, buffers early
+ * data, and discards input that follows the last line. Confined to the event-loop thread.
  */
 final class RequestReader implements StreamReader.Receiver {
     private final LineProtocolFrontend frontend;
@@ -33,27 +33,27 @@
         this.maxPings = limits.pings();
     }
 
-    /** What the client sent between its open command and the response. */
+    /** The input that the client sent between its open command and the response. */
     EarlyData earlyData() {
         return earlyData;
     }
 
     /**
-     * Reads until nothing more has arrived. What a client may send before its response is bounded, so that this ends; what
-     * comes after the response is not, and is left to the next event.
+     * Reads until no input is available. Input before the response is bounded, so the loop terminates; input after the last
+     * line is not, and is left to the next event.
      */
     void readAvailable() {
         boolean mayHaveMore = true;
         while (mayHaveMore) {
-            mayHaveMore = readSome() && session.state() != ClientState.CLOSING;
+            mayHaveMore = readBounded() && session.state() != ClientState.CLOSING;
         }
     }
 
     /**
-     * Reads for one event; returns whether there may be more. A client that sends without end must not keep the event loop
-     * to itself.
+     * Reads the input of one event, with a bounded number of reads so that a client that sends continuously cannot monopolize
+     * the event loop; returns whether there may be more.
      */
-    boolean readSome() {
+    boolean readBounded() {
         int maxReads = context.limits().sockets().maxReadsPerEvent();
         return StreamReader.read(connection, context.readBuffer(), maxReads, this);
     }
@@ -66,7 +66,7 @@
     @Override
     public void onBytes(ByteBuffer bytes) {
         readLines(bytes);
-        keepEarlyData(bytes);
+        bufferEarlyData(bytes);
     }
 
     @Override
@@ -105,10 +105,10 @@
         }
     }
 
-    /** Clients await their response before they send more; one that sends hundreds of commands at once is malformed. */
-    private void keepEarlyData(ByteBuffer in) {
+    /** Buffers early data up to its limit; beyond it, as with hundreds of commands sent at once, the client is malformed. */
+    private void bufferEarlyData(ByteBuffer in) {
         if (session.state() == ClientState.PENDING && in.hasRemaining() && !earlyData.append(in)) {
-            session.cancelMalformed("more lines before a response");
+            session.cancelMalformed("too much data before the response");
         }
     }
 }
--- a/node/src/main/java/tulipshed/lineprotocol/StreamReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/StreamReader.java
@@ -3,38 +3,38 @@
 import java.nio.ByteBuffer;
 import tulipshed.transport.TcpConnection;
 
-/** The read loop of all connections of this package: reads into a shared buffer as much as the receiver takes. */
+/** The read loop of all connections of this package: reads into a shared buffer up to the receiver's capacity. */
 final class StreamReader {
-    /** For relays, which are bounded by the capacity of the other side instead. */
+    /** No limit on the number of reads; for relays, which are bounded by the capacity of the other connection. */
     static final int UNLIMITED_READS = Integer.MAX_VALUE;
 
-    /** Takes what is read from one connection. */
+    /** Receives the input of one connection. */
     interface Receiver {
-        /** Whether to read on; checked before each read. */
+        /** Whether to continue reading; checked before each read. */
         boolean isReading();
 
         /**
-         * How many bytes can be taken now, by default any number; where not above 0, reading is suspended until the receiver
-         * resumes it.
+         * The number of bytes that can be accepted now, unlimited by default; at 0 or less, reading is suspended until the
+         * receiver resumes it.
          */
         default int capacityBytes() {
             return Integer.MAX_VALUE;
         }
 
-        /** Takes bytes that were read; the buffer is reused after the call. */
+        /** Processes bytes that were read; the buffer is reused after the call. */
         void onBytes(ByteBuffer bytes);
 
-        /** The other end has ended its sending; nothing is read after that. */
+        /** Handles the end of the remote side's output; nothing is read after that. */
         void onEndOfStream();
     }
 
     private StreamReader() {}
 
     /**
-     * Reads until the connection has nothing more now, the receiver wants no more, or {@code maxReads} reads are done. A
-     * break of the connection is notified to the connection's own listener.
+     * Reads until the connection has no input available, the receiver stops reading, or {@code maxReads} reads are done. A
+     * failure of the connection is reported to the connection's own listener.
      *
-     * @return whether it ended for the number of reads alone, so that there may be more to read
+     * @return whether reading stopped only because of {@code maxReads}, so that more input may be available
      */
     static boolean read(TcpConnection connection, ByteBuffer buffer, int maxReads, Receiver receiver) {
         for (int reads = 0; reads < maxReads && receiver.isReading(); reads++) {
--- a/node/src/main/java/tulipshed/lineprotocol/UnservedConnections.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UnservedConnections.java
@@ -9,8 +9,8 @@
 import tulipshed.limits.Limits;
 
 /**
- * The connections that take a descriptor without being served: those whose open command is awaited, and those that linger
- * after their final response. The oldest are evicted where descriptors run short, so that clients that connect and send
+ * The connections that hold a descriptor without being served: those whose open command has not arrived, and those that
+ * linger after their last line. The oldest are evicted when descriptors run short, so that clients that connect and send
  * nothing cannot starve the others. Confined to the event-loop thread.
  */
 final class UnservedConnections {
@@ -22,7 +22,7 @@
         this.limits = limits;
     }
 
-    /** Adds a connection whose open command is awaited; evicts the oldest such one if there are too many. */
+    /** Adds a connection whose open command has not arrived; evicts the oldest such connection if there are too many. */
     void addOpening(ClientSession session) {
         if (opening.size() >= limits.unopenedConnections()) {
             oldest(opening).evict();
@@ -30,44 +30,47 @@
         opening.add(session);
     }
 
-    /** The session's open command has arrived. */
-    void openCommandReceived(ClientSession session) {
+    /** Removes a session whose open command has arrived. */
+    void removeOpening(ClientSession session) {
         opening.remove(session);
     }
 
-    /** The session's last line was sent; its connection stays until the client has read it. */
-    void lingers(ClientSession session) {
+    /** Adds a session whose last line was sent; its connection stays open until the client has read that line. */
+    void addLingering(ClientSession session) {
         opening.remove(session);
         lingering.add(session);
     }
 
-    /** The session's connection was closed. */
+    /** Removes a session whose connection was closed. */
     void remove(ClientSession session) {
         opening.remove(session);
         lingering.remove(session);
     }
 
-    /** Evicts one connection; false if there is none. */
+    /** Evicts one connection; returns false if there is none. */
     boolean evictOne() {
         Optional<ClientSession> next = nextToEvict();
         next.ifPresent(ClientSession::evict);
         return next.isPresent();
     }
 
-    /** The oldest of those to which all has been written, then of those that open, then of those that still read. */
+    /**
+     * The next connection to evict: the oldest lingering one without queued bytes, else the oldest without an open command,
+     * else the oldest lingering one.
+     */
     private Optional<ClientSession> nextToEvict() {
-        Stream<ClientSession> drained = lingering.stream().filter(session -> session.queuedBytes() == 0);
-        return Stream.of(drained, opening.stream(), lingering.stream())
+        Stream<ClientSession> fullyWritten = lingering.stream().filter(session -> session.queuedBytes() == 0);
+        return Stream.of(fullyWritten, opening.stream(), lingering.stream())
                 .flatMap(Function.identity())
                 .findFirst();
     }
 
-    /** Copy of the sessions whose open command is awaited, oldest first. */
+    /** A copy of the sessions whose open command has not arrived, oldest first. */
     List<ClientSession> opening() {
         return List.copyOf(opening);
     }
 
-    /** Copy of the sessions whose open command should have arrived by now, oldest first. */
+    /** A copy of the sessions whose open command is overdue, oldest first. */
     List<ClientSession> overdue(double nowMs) {
         double timeoutMs = limits.lineProtocol().firstLineTimeoutMs();
         return opening.stream()
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
@@ -7,8 +7,8 @@
 import tulipshed.transport.TcpConnection;
 
 /**
- * The state machine of one attempt's connection to its endpoint: takes the events of the endpoint and of the client, and
- * passes each to the part whose concern it is. The core is notified of its end once. Confined to the event-loop thread.
+ * The state machine of one attempt's connection to its endpoint: dispatches the events of the endpoint and of the client to
+ * the objects that handle them. Notifies the core of its end exactly once. Confined to the event-loop thread.
  */
 final class UpstreamConnection implements TcpConnection.Listener {
     private final LineProtocolFrontend frontend;
@@ -35,27 +35,27 @@
         this.reports = new EndpointReports(context);
     }
 
-    /** The attempt that this connection serves. */
+    /** The attempt that uses this connection. */
     Attempt attempt() {
         return attempt;
     }
 
-    /** How far the connection has come. */
+    /** The current state of the connection. */
     UpstreamState state() {
         return state;
     }
 
-    /** The connection itself; null before it is made. */
+    /** The TCP connection; null until it is made. */
     TcpConnection connection() {
         return connection;
     }
 
-    /** What is passed between the client and the endpoint once it serves the request. */
+    /** The relay between the client and the endpoint, used once the endpoint serves the request. */
     UpstreamRelay relay() {
         return relay;
     }
 
-    /** Bytes that wait to be written to the endpoint. */
+    /** The number of bytes queued for the endpoint. */
     int queuedBytes() {
         return connection == null ? 0 : connection.queuedBytes();
     }
@@ -67,14 +67,14 @@
         dialer.dial();
     }
 
-    /** The connection is made: forwards the open command, if that may still be. */
+    /** Forwards the open command over the new connection, if the core still allows it. */
     void onConnected(StreamConnection connected) {
         connection = context.eventLoop().register(connected, this);
-        // The client's end may have arrived together with this event, and not have been notified yet.
+        // The client's end of stream may have arrived with this event and not have been delivered yet.
         client.readAvailableInput();
         if (state != UpstreamState.CONNECTING || !context.core().mayForward(attempt)) {
             connection.close();
-            // That the client has gone says nothing of the endpoint.
+            // A disconnected client must not count against the endpoint.
             end(attempt.request().isPending() ? Outcome.CONNECT_FAILED : Outcome.CANCELLED);
             return;
         }
@@ -95,7 +95,7 @@
         client.onUpstreamWritten();
     }
 
-    /** The endpoint serves the request. */
+    /** Marks the connection as established, since the endpoint serves the request. */
     void onEstablished(byte[] response) {
         state = UpstreamState.ESTABLISHED;
         frontend.upstreamEstablished(this);
@@ -107,16 +107,16 @@
     @Override
     public void onReadable(TcpConnection from) {
         if (state == UpstreamState.AWAITING_RESPONSE) {
-            // A client that has gone is not established, and what it sent early goes nowhere.
+            // A disconnected client must not be established, nor its early data be forwarded.
             client.readAvailableInput();
         }
         StreamReader.read(connection, context.readBuffer(), StreamReader.UNLIMITED_READS, endpointReader);
     }
 
-    /** One complete line has arrived, a response or what follows it. */
+    /** Handles one complete line, which is a response or follows one. */
     void handleLine(byte[] line) {
         EndpointMessage message = EndpointMessage.parse(line);
-        OptionalDouble value = reports.received(message);
+        OptionalDouble value = reports.processMessage(message);
         if (state == UpstreamState.ESTABLISHED) {
             relay.sendToClient(line, value);
         } else {
@@ -124,7 +124,7 @@
         }
     }
 
-    /** The endpoint ended its sending. */
+    /** Handles the end of the endpoint's output. */
     void onEndOfStream() {
         connection.setReading(false);
         if (state == UpstreamState.ESTABLISHED) {
@@ -140,21 +140,21 @@
             client.onUpstreamBroken();
             end(reports.outcomeAtEnd(Outcome.RESET));
         } else {
-            // Without the last byte of the open command the endpoint cannot have run the request.
+            // The endpoint cannot have started the request without the last byte of the open command.
             end(connection.queuedBytes() > 0 ? Outcome.CONNECT_FAILED : Outcome.RESET);
         }
     }
 
     // ---- Events of the client ----
 
-    /** All that was queued for the client has been written. */
+    /** Resumes reading from the endpoint after all bytes queued for the client have been written. */
     void onClientWritten() {
         if (state == UpstreamState.ESTABLISHED) {
             connection.setReading(true);
         }
     }
 
-    /** The client's connection broke. */
+    /** Handles a failure of the client's connection. */
     void onClientBroken() {
         if (state == UpstreamState.ESTABLISHED) {
             connection.abort();
@@ -164,7 +164,7 @@
 
     // ---- Closing ----
 
-    /** Closes without notifying the core, and gives up a connection that is being made. */
+    /** Closes without notifying the core and abandons a connection attempt in progress. */
     void abandon() {
         close();
         dialer.abandon();
@@ -179,7 +179,7 @@
         }
     }
 
-    /** Closes and notifies the core, unless that was done. */
+    /** Closes and notifies the core, unless the connection is closed already. */
     void end(Outcome outcome) {
         if (state != UpstreamState.CLOSED) {
             close();
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamDialer.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamDialer.java
@@ -8,8 +8,8 @@
 import tulipshed.transport.ConnectionLoop;
 
 /**
- * Makes the connection of one attempt, dialing again where this machine itself could not begin to connect. Confined to the
- * event-loop thread.
+ * Connects to the endpoint of one attempt, and redials after local failures, where this machine itself could not begin to
+ * connect. Confined to the event-loop thread.
  */
 final class UpstreamDialer {
     private final LineProtocolFrontend frontend;
@@ -20,7 +20,7 @@
     private final RedialBackoff redialBackoff;
     private ConnectionLoop.PendingConnection pendingConnection;
 
-    /** A dialer that reports to {@code upstream} what becomes of its attempt. */
+    /** Creates a dialer that reports the result to {@code upstream}. */
     UpstreamDialer(LineProtocolFrontend frontend, ClientSession client, UpstreamConnection upstream) {
         this.frontend = frontend;
         this.context = frontend.context();
@@ -33,7 +33,7 @@
     /** Starts connecting. */
     void dial() {
         if (!frontend.ensureUpstreamCapacity()) {
-            // Descriptors of this node ran out, which says nothing of the endpoint.
+            // This node ran out of descriptors, which must not count against the endpoint.
             upstream.end(Outcome.UNUSED);
             return;
         }
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Dials again for the same attempt, unless it was abandoned or its client has gone. */
+    /** Dials again for the same attempt, unless it was abandoned or its client has disconnected. */
     private void redial() {
         client.readAvailableInput();
         if (upstream.state() == UpstreamState.CONNECTING && attempt.request().isPending()) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Gives up a connection that is being made; nothing is reported of it any more. */
+    /** Abandons a connection attempt in progress without reporting a result. */
     void abandon() {
         if (pendingConnection != null) {
             pendingConnection.abandon();
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamHandshake.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamHandshake.java
@@ -3,7 +3,7 @@
 import tulipshed.decision.api.Outcome;
 import tulipshed.proxy.Attempt;
 
-/** Forwards the open command of one attempt, and takes the endpoint's response to it. Confined to the event-loop thread. */
+/** Forwards the open command of one attempt and handles the endpoint's response. Confined to the event-loop thread. */
 final class UpstreamHandshake {
     private final FrontendContext context;
     private final UpstreamConnection upstream;
@@ -18,7 +18,7 @@
         this.attempt = upstream.attempt();
     }
 
-    /** The open command as it is forwarded now. */
+    /** The open command to forward now, with the time that remains to wait as its timeout. */
     byte[] forwardedLine() {
         double nowMs = context.clock().nowMs();
         double remainingWaitMs =
@@ -26,7 +26,7 @@
         return openCommand.forwardedLine(remainingWaitMs);
     }
 
-    /** The open command has been written to its last byte; further calls do nothing. */
+    /** Notifies the core that the open command has been written completely; further calls do nothing. */
     void onWritten() {
         if (!isForwarded) {
             isForwarded = true;
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Takes one message that came before the endpoint serves the request.
+     * Handles one message received before the endpoint serves the request.
      *
-     * @param line the complete line of the message, as the client is to receive it
+     * @param line the complete line of the message, as it is forwarded to the client
      */
     void onResponse(EndpointMessage message, byte[] line) {
         switch (message.kind()) {
@@ -45,7 +45,7 @@
             case REJECTED -> upstream.end(Outcome.FULL);
             case FAILED -> upstream.end(Outcome.ERROR);
             case COMPLETED, MIGRATING -> {
-                // Announces how the attempt ends; its end follows.
+                // Announces the outcome of the attempt; the endpoint closes the connection next.
             }
             default -> {
                 context.upstreamErrors().record("an unexpected response");
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamRelay.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamRelay.java
@@ -5,8 +5,8 @@
 import tulipshed.proxy.Attempt;
 
 /**
- * Relays between one client and the endpoint that serves its request, and watches that the endpoint responds. Confined to
- * the event-loop thread.
+ * Relays between one client and the endpoint that serves its request, and detects an unresponsive endpoint. Confined to the
+ * event-loop thread.
  */
 final class UpstreamRelay {
     private final LineProtocolFrontend frontend;
@@ -27,24 +27,24 @@
                 new InactivityDetector(context.limits().requests().endpointTimeoutMs());
     }
 
-    /** Whether the client has ended its sending. */
+    /** Whether the client has ended its output. */
     boolean isClientInputEnded() {
         return isClientInputEnded;
     }
 
-    /** The endpoint sent something. */
-    void onInputOfEndpoint() {
+    /** Records input of the endpoint for the inactivity check. */
+    void onEndpointInput() {
         inactivityDetector.responseReceived();
     }
 
-    /** Passes a line of the endpoint on, and the value that it reports, if it does, to the core. */
+    /** Forwards a line of the endpoint to the client and the value of a {@code LOAD} line, if present, to the core. */
     void sendToClient(byte[] line, OptionalDouble value) {
         value.ifPresent(this::reportValue);
-        // Last, as it ends this attempt where the client's connection breaks.
+        // Last, since this ends the attempt if the client's connection fails.
         client.sendFromEndpoint(line);
     }
 
-    /** One message has two meanings: where the settings say that endpoints report latency, its value is milliseconds. */
+    /** Reports the value of a {@code LOAD} line: a latency in milliseconds if the settings say so, otherwise a load. */
     private void reportValue(double value) {
         if (frontend.loadReportsLatency()) {
             context.core().latencyReported(attempt, value);
@@ -53,20 +53,23 @@
         }
     }
 
-    /** Passes bytes of the client on. */
+    /** Forwards bytes of the client to the endpoint. */
     void sendToEndpoint(byte[] bytes) {
         inactivityDetector.requestSent(context.clock().nowMs());
         upstream.connection().write(bytes);
     }
 
-    /** Notifies the core if the endpoint does not respond any more: it may be lost without its connection's end. */
+    /** Notifies the core if the endpoint is unresponsive: an endpoint may fail without its connection being closed. */
     void checkInactivity(double nowMs) {
         if (inactivityDetector.isUnresponsive(nowMs)) {
             context.core().endpointUnresponsive(attempt);
         }
     }
 
-    /** The client ended its sending: so does this side, and awaits the endpoint's end until the linger timeout. */
+    /**
+     * Shuts down the output to the endpoint after the client's end of stream, and awaits the endpoint's end of stream until
+     * the linger timeout.
+     */
     void onClientEndOfStream() {
         isClientInputEnded = true;
         upstream.connection().shutdownOutput();
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamState.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamState.java
@@ -1,13 +1,13 @@
 package tulipshed.lineprotocol;
 
-/** How far the connection of an attempt has come; it never goes back. */
+/** The state of an attempt's connection; transitions only go forward. */
 enum UpstreamState {
-    /** The connection is being made. */
+    /** The TCP connection is not made yet. */
     CONNECTING,
-    /** The open command was sent; the response is awaited. */
+    /** The open command was sent; the response has not arrived yet. */
     AWAITING_RESPONSE,
     /** The endpoint serves the request. */
     ESTABLISHED,
-    /** Ended or abandoned. */
+    /** The connection has ended or was abandoned. */
     CLOSED
 }
--- a/node/src/test/java/tulipshed/lineprotocol/ConnectionCloseRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ConnectionCloseRaceTest.java
@@ -13,9 +13,9 @@
 import tulipshed.limits.Limits;
 import tulipshed.limits.SocketLimits;
 
-/** Closing a client connection just as more input of it arrives. */
+/** A client connection that is closed just as more of its input arrives. */
 class ConnectionCloseRaceTest extends RaceConditionFixture {
-    /** Otherwise a client whose command arrives at the last moment would be sent ERR over unread bytes. */
+    /** Without a last read, a client whose open command arrives at the timeout would be sent ERR with its bytes unread. */
     @Test
     void servesOpenCommandThatArrivesAsItsTimeoutExpires() throws Exception {
         try (LineSocket client = connectClient()) {
@@ -46,7 +46,7 @@
         try (LineSocket client = connectClient()) {
             client.send("PING\r\n");
             assertEquals("PONG", client.readLine());
-            holdLoopThenRun(() -> frontend.rejectWaitingClients());
+            holdLoopThenRun(() -> frontend.rejectOpeningClients());
             client.send(OPEN_COMMAND);
             releaseLoopAndAwaitDecision();
             assertServed(client);
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Reading shows the end of the stream whether a reset followed or not; but the kernel accepts a write only where none
-     * did.
+     * Asserts that the connection was closed without a reset. Reading yields the end of stream in either case, but the
+     * kernel accepts a write only if no reset was received.
      */
     private void assertClosedWithoutReset(LineSocket client) throws Exception {
         CountDownLatch closed = new CountDownLatch(1);
@@ -73,7 +73,7 @@
         client.send("and still no reset\r\n");
     }
 
-    /** To close over unread bytes would send a reset, and BUSY could be lost with it. */
+    /** Closing with unread bytes would send a reset, and the client could lose its BUSY. */
     @ParameterizedTest
     @ValueSource(strings = {"", "OPEN 9b", "frob\r\n"})
     void evictedClientReadsResponseAndEndOfStreamDespiteUnreadBytes(String unread) throws Exception {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** The same for a client that goes on sending after its last line. */
+    /** A client that continues to send after its last line is also closed without a reset. */
     @Test
     void evictedAnsweredClientSeesEndOfStreamDespiteUnreadBytes() throws Exception {
         try (LineSocket client = connectClient()) {
@@ -126,7 +126,7 @@
         try (LineSocket client = connectClient()) {
             client.send("frob\r\n");
             assertEquals("ERR", client.readLine());
-            // Held until the timeout has expired, so that it is handled next, with the bytes already there.
+            // Held until the linger timeout has expired, so that it is handled next, while the bytes are unread.
             holdLoopThenRun(() -> {
                 long untilNs = System.nanoTime() + lingerMs * 1_000_000;
                 while (System.nanoTime() < untilNs) {
@@ -139,14 +139,14 @@
         }
     }
 
-    /** The last line was the response to whatever the client sends after it, which is read and dropped. */
+    /** Input after the last line is read and discarded, even an open command. */
     @Test
     void doesNotForwardRequestSentAfterFinalResponse() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send("PING\r\n");
             assertEquals("PONG", client.readLine());
             holdLoopThenRun(() -> {
-                frontend.rejectWaitingClients();
+                frontend.rejectOpeningClients();
                 assertFalse(frontend.unservedConnections().opening().iterator().hasNext());
             });
             releaseLoopAndAwaitDecision();
--- a/node/src/test/java/tulipshed/lineprotocol/HealthCheckConnectionsTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/HealthCheckConnectionsTest.java
@@ -24,7 +24,7 @@
 import tulipshed.logging.NodeLog;
 import tulipshed.testing.DelegatingBalancer;
 
-/** Health checks on loopback sockets, between the real core and an endpoint that the test plays line by line. */
+/** Health checks over loopback sockets, with the real core and an endpoint whose lines the test sends. */
 class HealthCheckConnectionsTest extends LineProtocolFixture {
     private record HealthCheckResult(String endpointId, Outcome outcome, LoadReport report) {}
 
@@ -53,7 +53,7 @@
         };
     }
 
-    /** The decision module starts a health check, in an event batch of its own. */
+    /** Has the decision module start a health check, in a separate event batch. */
     private void startHealthCheck() {
         loop.execute(() -> {
             actions.startHealthCheck("s-1");
@@ -127,7 +127,7 @@
         assertEquals(Outcome.CONNECT_FAILED, nextResult().outcome());
     }
 
-    /** This machine cannot begin to connect, which says nothing of the endpoint. */
+    /** This machine cannot begin to connect, which must not count against the endpoint. */
     @Test
     void reportsLocalConnectFailureAsUnused() throws Exception {
         loop.execute(() -> listFirstEndpointAt(UNREACHABLE));
@@ -149,16 +149,16 @@
                 "NO",
                 "LOAD 3"
             })
-    void rejectsMalformedReportWithoutQuotingIt(String answer) throws Exception {
+    void rejectsMalformedReportWithoutQuotingIt(String response) throws Exception {
         startHealthCheck();
         try (LineSocket endpoint = acceptUpstream()) {
             endpoint.readLine();
-            endpoint.send(answer + "\r\n");
+            endpoint.send(response + "\r\n");
             HealthCheckResult result = nextResult();
             assertEquals(Outcome.ERROR, result.outcome());
             assertEquals(LoadReport.NONE, result.report());
         }
-        assertTrue(logLines.stream().noneMatch(logLine -> logLine.contains(answer)), logLines.toString());
+        assertTrue(logLines.stream().noneMatch(logLine -> logLine.contains(response)), logLines.toString());
     }
 
     @Test
@@ -168,7 +168,7 @@
             endpoint.readLine();
             endpoint.send("PONG x0=0.5\r\n");
             nextResult();
-            loop.execute(frontend::listenerClosed);
+            loop.execute(frontend::onListenerClosed);
             assertEquals(-1, endpoint.reader.read());
             startHealthCheck();
             assertEquals(Outcome.UNUSED, nextResult().outcome());
