--- a/node/src/main/java/tulipshed/logging/NodeLog.java
+++ b/node/src/main/java/tulipshed/logging/NodeLog.java
@@ -10,20 +10,21 @@
 import org.jboss.logging.Logger;
 
 /**
- * The log of one node: named loggers with levels whose records become lines of the form {@code LEVEL subject: message}.
+ * The log of one node: named loggers with levels, whose records are written as lines of the form
+ * {@code LEVEL subject: message}.
  *
- * <p>The loggers are those of JBoss Logging, which XNIO brings, over the platform's {@code java.util.logging}. Each log
- * has a logger tree of its own, so that several nodes in one process, as in tests, keep their lines apart. Safe for use
- * by any thread; the sink is called on the thread that logs.
+ * <p>The loggers are those of JBoss Logging, a dependency of XNIO, on top of {@code java.util.logging}. Each log has its
+ * own logger tree, so that the lines of several nodes in one process, as in tests, stay separate. Safe for use by any thread;
+ * the sink is called on the thread that logs.
  */
 public final class NodeLog {
-    private static final AtomicInteger COUNT = new AtomicInteger();
-    /** The platform's level of what is logged by {@link Logger#trace(Object)}. */
+    private static final AtomicInteger INSTANCE_COUNT = new AtomicInteger();
+    /** The {@code java.util.logging} level of {@link Logger#trace(Object)}. */
     private static final Level TRACE_LEVEL = Level.FINER;
 
     private static final NodeLog SILENT = new NodeLog("silent", Level.OFF, line -> {});
 
-    /** Held here, as the platform keeps only weak references to loggers. */
+    /** Strongly referenced here, since {@code java.util.logging} holds loggers by weak references only. */
     private final RootLogger root;
 
     private NodeLog(String name, Level level, Consumer<String> sink) {
@@ -31,25 +32,27 @@
         LogManager.getLogManager().addLogger(root);
     }
 
-    /** A log whose lines, of level INFO and above, go to {@code sink}. */
+    /** A log that writes lines of level INFO and above to {@code sink}. */
     public static NodeLog to(Consumer<String> sink) {
-        return new NodeLog("tulipshed" + COUNT.incrementAndGet(), Level.INFO, sink);
+        return new NodeLog("tulipshed" + INSTANCE_COUNT.incrementAndGet(), Level.INFO, sink);
     }
 
     /**
-     * A log whose lines of all levels go to {@code sink}. Each line ends with the monotonic time at which it was logged, and
-     * after {@code maxTraceLines} of level TRACE no more of them are written.
+     * A log that writes lines of all levels to {@code sink}, but at most {@code maxTraceLines} of level TRACE. Each line ends
+     * with the monotonic time at which it was logged.
      *
      * @param nowMs the monotonic time, in milliseconds
      */
     public static NodeLog tracingTo(Consumer<String> sink, DoubleSupplier nowMs, int maxTraceLines) {
         return new NodeLog(
-                "tulipshed" + COUNT.incrementAndGet(), TRACE_LEVEL, new TraceLimiter(sink, nowMs, maxTraceLines));
+                "tulipshed" + INSTANCE_COUNT.incrementAndGet(),
+                TRACE_LEVEL,
+                new TraceLimiter(sink, nowMs, maxTraceLines));
     }
 
-    /** A log of which only lines of level ERROR go to {@code sink}. */
+    /** A log that writes only lines of level ERROR to {@code sink}. */
     public static NodeLog errorsTo(Consumer<String> sink) {
-        return new NodeLog("tulipshed" + COUNT.incrementAndGet(), Level.SEVERE, sink);
+        return new NodeLog("tulipshed" + INSTANCE_COUNT.incrementAndGet(), Level.SEVERE, sink);
     }
 
     /** A log that writes nothing. */
@@ -58,17 +61,17 @@
     }
 
     /**
-     * The logger for one subject, such as {@code discovery}; the same one at each call.
+     * The logger for one subject, such as {@code discovery}; each call returns the same logger.
      *
-     * @param subject one word without a dot, which opens the message of each line
+     * @param subject one word without a dot, which precedes the message on each line
      */
     public Logger logger(String subject) {
         return Logger.getLogger(root.getName() + '.' + subject);
     }
 
     /**
-     * The root of one tree. It keeps its handler, also when the platform removes all handlers as the virtual machine
-     * begins to shut down: what a node logs while it shuts down must not be lost.
+     * The root of one logger tree. Keeps its handler even when {@code java.util.logging} removes all handlers as the virtual
+     * machine begins to shut down: lines that a node logs during its shutdown must not be lost.
      */
     private static final class RootLogger extends java.util.logging.Logger {
         private final Handler handler;
@@ -86,7 +89,7 @@
         }
     }
 
-    /** Formats records as lines and hands them on. */
+    /** Formats records as lines and passes them to the sink. */
     private static final class LineHandler extends Handler {
         private final Consumer<String> sink;
 
@@ -95,20 +98,20 @@
         }
 
         @Override
-        public void publish(LogRecord logged) {
-            String name = logged.getLoggerName();
+        public void publish(LogRecord logRecord) {
+            String name = logRecord.getLoggerName();
             String subject = name.substring(name.lastIndexOf('.') + 1);
-            sink.accept(logged.getLevel() + " " + subject + ": " + logged.getMessage());
+            sink.accept(logRecord.getLevel() + " " + subject + ": " + logRecord.getMessage());
         }
 
         @Override
         public void flush() {
-            // The sink writes each line as it comes.
+            // The sink is unbuffered.
         }
 
         @Override
         public void close() {
-            // The sink belongs to whoever made the log.
+            // The sink is owned by the creator of the log.
         }
     }
 }
--- a/node/src/main/java/tulipshed/logging/package-info.java
+++ b/node/src/main/java/tulipshed/logging/package-info.java
@@ -1,4 +1,4 @@
-/** The log of a node: one facade with levels and named loggers, written as lines of text. */
+/** The log of a node: a facade with levels and named loggers, whose records are written as lines of text. */
 @NullMarked
 package tulipshed.logging;
 
--- a/node/src/main/java/tulipshed/management/HttpRequestParser.java
+++ b/node/src/main/java/tulipshed/management/HttpRequestParser.java
@@ -4,11 +4,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Parses the head of one HTTP/1.1 request as its bytes arrive. It keeps the method, the path and the present line only.
+ * Parses the head of one HTTP/1.1 request incrementally. Keeps only the method, the path and the current line.
  * Confined to the event-loop thread.
  */
 final class HttpRequestParser {
-    /** A token of HTTP: the name of a method or of a header field. */
+    /** An HTTP token: the name of a method or of a header field. */
     private static final String TOKEN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
 
     private static final Pattern REQUEST_LINE = Pattern.compile(TOKEN + " /[!-~]* HTTP/1\\.[01]");
@@ -20,7 +20,7 @@
     private String method;
     private String path;
 
-    /** Creates a parser that accepts a head of at most this length. */
+    /** Creates a parser that accepts a head of at most {@code maxHeadBytes} bytes. */
     HttpRequestParser(int maxHeadBytes) {
         this.maxHeadBytes = maxHeadBytes;
     }
@@ -29,35 +29,35 @@
      * Consumes bytes up to the end of the head.
      *
      * @return whether the head is complete
-     * @throws MalformedRequestException if it is malformed or too long
+     * @throws MalformedRequestException if the head is malformed or too long
      */
     boolean parse(ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
             if (++headBytes > maxHeadBytes) {
                 throw new MalformedRequestException("a head of more than " + maxHeadBytes + " bytes");
             }
-            char next = (char) (bytes.get() & 0xFF);
-            if (next != '\n') {
-                line.append(next);
-            } else if (endLine()) {
+            char nextChar = (char) (bytes.get() & 0xFF);
+            if (nextChar != '\n') {
+                line.append(nextChar);
+            } else if (processLine()) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The method, null until the request line is complete. */
+    /** The method; null until the request line is complete. */
     String method() {
         return method;
     }
 
-    /** The path without the query, null until the request line is complete. */
+    /** The path without the query; null until the request line is complete. */
     String path() {
         return path;
     }
 
     /** Processes a complete line; returns whether it is the empty line that ends the head. */
-    private boolean endLine() {
+    private boolean processLine() {
         if (line.length() > 0 && line.charAt(line.length() - 1) == '\r') {
             line.setLength(line.length() - 1);
         }
--- a/node/src/main/java/tulipshed/management/HttpResponse.java
+++ b/node/src/main/java/tulipshed/management/HttpResponse.java
@@ -4,9 +4,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A response of HTTP/1.1 after which the connection ends.
+ * An HTTP/1.1 response, after which the server closes the connection.
  *
- * @param extraHeaders further header lines, each with its CR LF
+ * @param extraHeaders additional header lines, each terminated by CR LF
  */
 record HttpResponse(int status, String reason, String contentType, String extraHeaders, byte[] body) {
 
@@ -20,7 +20,7 @@
         return new HttpResponse(200, "OK", "application/json", "", body);
     }
 
-    /** A response that rejects every method but GET. */
+    /** The response to every method other than GET. */
     static HttpResponse methodNotAllowed() {
         return text(405, "Method Not Allowed", "Allow: GET\r\n", "only GET");
     }
@@ -30,7 +30,7 @@
         return new HttpResponse(status, reason, "text/plain", extraHeaders, body);
     }
 
-    /** The response as it is sent. */
+    /** The response as encoded for the wire. */
     byte[] bytes() {
         byte[] head = head().getBytes(StandardCharsets.US_ASCII);
         return ByteBuffer.allocate(head.length + body.length)
--- a/node/src/main/java/tulipshed/management/MalformedRequestException.java
+++ b/node/src/main/java/tulipshed/management/MalformedRequestException.java
@@ -1,6 +1,6 @@
 package tulipshed.management;
 
-/** Bytes that are no request of HTTP/1.1, or a head that is too long. The message is the body of the response. */
+/** Input that is not a valid HTTP/1.1 request or has too long a head. The message becomes the body of the response. */
 final class MalformedRequestException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/tulipshed/management/ManagementServer.java
+++ b/node/src/main/java/tulipshed/management/ManagementServer.java
@@ -15,12 +15,12 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * The HTTP server for operators and their tools, on an address of its own. Its connections are few, short and separate
- * from those of clients: when there are too many, the oldest is closed, first those that have their response. Confined to
- * the event-loop thread.
+ * The HTTP server for operators and their tools, on its own address. Its connections are few, short-lived and counted
+ * separately from those of clients. At the limit the oldest connection is closed, preferably one that already has its
+ * response. Confined to the event-loop thread.
  */
 public final class ManagementServer {
-    /** External paths. */
+    /** The HTTP paths, which are external names. */
     private static final String STATUS_PATH = "/status";
 
     private static final String METRICS_PATH = "/status/metrics";
@@ -29,18 +29,18 @@
     private final Limits limits;
     private final XnioEventLoop loop;
     private final ProxyCore core;
-    private final BooleanSupplier serving;
+    private final BooleanSupplier isServing;
     private final ByteBuffer readBuffer;
-    /** Sessions without a response and those with one, each in the order of their age. */
+    /** Sessions without and with a response, each oldest first. */
     private final Set<ManagementSession> awaitingRequest = new LinkedHashSet<>();
 
     private final Set<ManagementSession> responded = new LinkedHashSet<>();
     private final Acceptor acceptor;
 
     /**
-     * Creates a server that listens at once.
+     * Creates a server and starts listening.
      *
-     * @param serving whether this process accepts clients now
+     * @param isServing whether this process currently accepts clients
      * @throws IOException if the address cannot be bound
      */
     public ManagementServer(
@@ -49,15 +49,15 @@
             Limits limits,
             XnioEventLoop loop,
             ProxyCore core,
-            BooleanSupplier serving)
+            BooleanSupplier isServing)
             throws IOException {
         this.clock = clock;
         this.limits = limits;
         this.loop = loop;
         this.core = core;
-        this.serving = serving;
+        this.isServing = isServing;
         readBuffer = ByteBuffer.allocate(limits.management().headBytes());
-        // Twice as many as are kept, so that a new connection can always be accepted and the oldest be closed for it.
+        // Twice the number kept open, so that a new connection can always be accepted before the oldest is closed.
         acceptor = loop.listen(address, 2 * limits.management().connections(), this::onAccepted);
         loop.schedule(limits.sockets().sweepIntervalMs(), this::closeExpired);
     }
@@ -88,13 +88,13 @@
         candidates.iterator().next().close();
     }
 
-    /** A session has written its response. */
+    /** Records that a session has written its response. */
     void onResponded(ManagementSession session) {
         awaitingRequest.remove(session);
         responded.add(session);
     }
 
-    /** A session is closing its connection. */
+    /** Removes a session that is closing its connection. */
     void onClosed(ManagementSession session) {
         awaitingRequest.remove(session);
         responded.remove(session);
@@ -102,25 +102,25 @@
 
     /** The response to a request. */
     HttpResponse handle(String method, String path) {
-        boolean metrics = path.equals(METRICS_PATH);
-        if (!metrics && !path.equals(STATUS_PATH)) {
+        boolean isMetrics = path.equals(METRICS_PATH);
+        if (!isMetrics && !path.equals(STATUS_PATH)) {
             return HttpResponse.text(404, "Not Found", "there are /status and /status/metrics");
         }
         if (!method.equals("GET")) {
             return HttpResponse.methodNotAllowed();
         }
-        return metrics ? HttpResponse.json(MetricsWriter.json(core)) : status();
+        return isMetrics ? HttpResponse.json(MetricsWriter.json(core)) : status();
     }
 
     private HttpResponse status() {
-        return serving.getAsBoolean()
+        return isServing.getAsBoolean()
                 ? HttpResponse.text(200, "OK", "serves")
                 : HttpResponse.text(503, "Service Unavailable", "does not serve");
     }
 
     private void closeExpired() {
         double nowMs = clock.nowMs();
-        // First those that have their response: one that gets it now has a sweep interval to read it.
+        // Sessions with a response first: one that gets its response in this sweep keeps a sweep interval to read it.
         List.copyOf(responded).stream()
                 .filter(session -> session.isOverdue(nowMs))
                 .forEach(ManagementSession::closeAfterRead);
--- a/node/src/main/java/tulipshed/management/ManagementSession.java
+++ b/node/src/main/java/tulipshed/management/ManagementSession.java
@@ -14,28 +14,28 @@
     private final ByteBuffer readBuffer;
     private final Clock clock;
     private final Limits limits;
-    private final double startedMs;
-    /** NaN until the response is written. */
+    private final double acceptedMs;
+    /** The time of the response; NaN until it is written. */
     private double respondedMs = Double.NaN;
 
     /**
-     * Wraps an accepted connection; {@link #start} begins to read it.
+     * Wraps an accepted connection; nothing is read before {@link #start}.
      *
-     * @param readBuffer the server's buffer, which sessions use in turn
+     * @param readBuffer the server's buffer, shared by all sessions
      */
     ManagementSession(
             ManagementServer server, StreamConnection accepted, Limits limits, ByteBuffer readBuffer, Clock clock) {
         this.server = server;
-        // Not counted by the event loop: these descriptors are reserved, and client connections have no share in them.
+        // Not counted by the event loop: these descriptors are reserved, not taken from those of client connections.
         this.connection = new TcpConnection(accepted, this, () -> {});
         this.parser = new HttpRequestParser(limits.management().headBytes());
         this.readBuffer = readBuffer;
         this.clock = clock;
         this.limits = limits;
-        this.startedMs = clock.nowMs();
+        this.acceptedMs = clock.nowMs();
     }
 
-    /** Begins to read, at once with what has arrived. */
+    /** Starts reading, beginning with input that has already arrived. */
     void start() {
         connection.setReading(true);
         onReadable(connection);
@@ -46,23 +46,23 @@
     }
 
     /**
-     * Whether its time is over, which is counted from its acceptance however often bytes of it arrive; after its response it
-     * stays for a sweep interval at least, or the client might see a reset in place of the response.
+     * Whether the timeout has expired. It starts at the acceptance and is not extended by input. After the response the
+     * session stays open for at least a sweep interval; otherwise the client might see a reset instead of the response.
      */
     boolean isOverdue(double nowMs) {
         boolean mayStillRead = nowMs - respondedMs < limits.sockets().sweepIntervalMs();
-        return nowMs - startedMs > limits.management().requestTimeoutMs() && !mayStillRead;
+        return nowMs - acceptedMs > limits.management().requestTimeoutMs() && !mayStillRead;
     }
 
     @Override
     public void onReadable(TcpConnection from) {
         for (int reads = 0; reads < limits.sockets().maxReadsPerEvent() && !connection.isClosed(); reads++) {
             readBuffer.clear();
-            int count = connection.read(readBuffer);
-            if (count < 0) {
+            int readBytes = connection.read(readBuffer);
+            if (readBytes < 0) {
                 endOfInput();
             }
-            if (count <= 0) {
+            if (readBytes <= 0) {
                 return;
             }
             if (!hasResponded()) {
@@ -89,12 +89,12 @@
         }
     }
 
-    /** The request was not complete in time. */
+    /** Responds to a request that was not complete in time. */
     void onRequestTimeout() {
         respond(HttpResponse.text(408, "Request Timeout", "no whole call in time"));
     }
 
-    /** Closes once what has arrived is read: a close over unread bytes is a reset. */
+    /** Reads the available input, then closes: closing a socket with unread input sends a reset. */
     void closeAfterRead() {
         onReadable(connection);
         close();
@@ -105,7 +105,7 @@
         server.onResponded(this);
         connection.write(response.bytes());
         connection.shutdownOutput();
-        // Further input is read and dropped until the client closes, so that no reset overtakes the response.
+        // Further input is read and discarded until the client closes, so that no reset overtakes the response.
         connection.setReading(true);
     }
 
--- a/node/src/main/java/tulipshed/management/MetricsWriter.java
+++ b/node/src/main/java/tulipshed/management/MetricsWriter.java
@@ -11,15 +11,15 @@
 import tulipshed.proxy.ProxyCore;
 
 /**
- * Writes the metrics of a node as one JSON object, the body of {@code /status/metrics}. The quoted keys are the external
- * names of the metrics; those of the frontends are their keys in {@link NodeMetrics#frontendCounters()}.
+ * Writes the metrics of a node as one JSON object, the body of {@code /status/metrics}. The JSON keys are the external
+ * names of the metrics; those of the frontend counters are the keys of {@link NodeMetrics#frontendCounters()}.
  */
 final class MetricsWriter {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private MetricsWriter() {}
 
-    /** The present metrics in UTF-8. */
+    /** The current metrics as JSON in UTF-8. */
     static byte[] json(ProxyCore core) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator json = FACTORY.createGenerator(out)) {
--- a/node/src/main/java/tulipshed/management/package-info.java
+++ b/node/src/main/java/tulipshed/management/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The management server: status and metrics of the node over HTTP/1.1, on an address of its own. Paths and metric names
+ * The management server: status and metrics of the node over HTTP/1.1, on its own address. Paths and metric names
  * are external names.
  */
 package tulipshed.management;
