--- a/node/src/test/java/tulipshed/lineprotocol/AsyncApiDescriptionTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/AsyncApiDescriptionTest.java
@@ -16,7 +16,7 @@
 import tulipshed.config.NodeConfig;
 import tulipshed.routing.AttributeDeclarations;
 
-/** The AsyncAPI description matches the parsers: its examples are parsed, and its references can be resolved. */
+/** The AsyncAPI description matches the parsers: its examples parse and its references resolve. */
 class AsyncApiDescriptionTest {
     private final Map<String, Object> description;
 
@@ -56,13 +56,15 @@
         for (String file :
                 List.of("../docs/asyncapi.yaml", "../docs/openapi-discovery.yaml", "../docs/openapi-management.yaml")) {
             Object document = new Yaml().load(Files.readString(Path.of(file)));
-            assertTrue(references(document, document) > 0, file);
+            assertTrue(countReferences(document, document) > 0, file);
         }
     }
 
-    private static int references(Object document, Object node) {
+    private static int countReferences(Object document, Object node) {
         if (node instanceof List<?> list) {
-            return list.stream().mapToInt(child -> references(document, child)).sum();
+            return list.stream()
+                    .mapToInt(child -> countReferences(document, child))
+                    .sum();
         }
         if (node instanceof Map<?, ?> map) {
             if (map.get("$ref") instanceof String reference) {
@@ -70,7 +72,7 @@
                 return 1;
             }
             return map.values().stream()
-                    .mapToInt(child -> references(document, child))
+                    .mapToInt(child -> countReferences(document, child))
                     .sum();
         }
         return 0;
--- a/node/src/test/java/tulipshed/lineprotocol/ClientCloseResponseTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ClientCloseResponseTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tulipshed.config.NameIndex;
 
-/** However a client's connection is closed, a complete open command has got its one final response before. */
+/** A client that has sent a complete open command gets exactly one final response, however its connection is closed. */
 class ClientCloseResponseTest extends RaceConditionFixture {
     private static final String CHUNK = "x".repeat(1_022) + "\r\n";
 
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void failsClientThatHalfClosesBehindItsOpenCommand() throws Exception {
+    void failsClientThatHalfClosesAfterItsOpenCommand() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
             client.socket.shutdownOutput();
@@ -71,7 +71,7 @@
         }
     }
 
-    /** With less time than the margin for the response nothing can be forwarded; the response comes all the same. */
+    /** With a timeout below the margin for the response nothing is forwarded, but the client still gets its response. */
     @ParameterizedTest
     @ValueSource(ints = {5, 35})
     void answersRequestWithLittleTimeWithoutAttempt(int timeoutMs) throws Exception {
@@ -82,9 +82,9 @@
         assertNextRequestIsAnotherClients();
     }
 
-    /** The names of the frontend are ahead of the settings of the core, which does not find the class. */
+    /** The frontend has a class index that the core's settings lack, so the core throws when the request arrives. */
     @Test
-    void failsClientWhoseRequestMeetsDefectOfListener() throws Exception {
+    void failsClientWhoseRequestCausesException() throws Exception {
         runOnLoop(() -> {
             NameIndex names = new NameIndex(Map.of("slot-board", 99), Map.of("melnik-terminal", 0));
             frontend.reconfigure(names, false);
@@ -104,16 +104,16 @@
     }
 
     @Test
-    void failsClientWhoseArrivalTheDecisionModuleDoesNotSurvive() throws Exception {
+    void failsClientWhenDecisionModuleThrowsAtRequestArrival() throws Exception {
         beforeRequestArrived = () -> {
             throw new IllegalStateException("planted");
         };
         assertFailedAtDeadline();
     }
 
-    /** The last attempt ends at the same time at which a decision is missed. */
+    /** The end of the last attempt makes the decision module throw, so that no decision follows it. */
     @Test
-    void failsClientWhoseLastAttemptTheDecisionModuleDoesNotSurvive() throws Exception {
+    void failsClientWhenDecisionModuleThrowsAtEndOfLastAttempt() throws Exception {
         beforeAttemptEnded = () -> {
             throw new IllegalStateException("planted");
         };
@@ -127,7 +127,7 @@
         }
     }
 
-    /** The endpoint has ended, and the client ends its sending before it has read all. */
+    /** The endpoint has closed its connection, and the client half-closes before it has read all queued bytes. */
     @Test
     void keepsQueuedBytesForClientThatHalfCloses() throws Exception {
         try (LineSocket client = connectClient()) {
@@ -139,7 +139,7 @@
         }
     }
 
-    /** A descriptor is wanted, and an idle client can give up its own. */
+    /** An idle client is evicted before one that still reads when a descriptor is needed. */
     @Test
     void evictsIdleClientBeforeOneThatStillReads() throws Exception {
         try (LineSocket client = connectClient();
@@ -154,7 +154,10 @@
         }
     }
 
-    /** The endpoint sends lines until the kernel takes no more for a client that does not read, and ends; returns how many. */
+    /**
+     * Sends lines of the endpoint until the kernel accepts no more for the client, which does not read, then ends the
+     * endpoint's output; returns the number of lines.
+     */
     private int queueLinesOfEndedEndpoint(LineSocket client, ClientSession session) throws Exception {
         client.send(OPEN_COMMAND);
         try (LineSocket server = acceptUpstream()) {
--- a/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
@@ -18,22 +18,22 @@
 import tulipshed.limits.Limits;
 import tulipshed.limits.SocketLimits;
 
-/** A client that leaves just as its request is about to be attempted, retried or forwarded. */
+/** A client that disconnects just as its request is about to be attempted, retried or forwarded. */
 class ClientDisconnectRaceTest extends RaceConditionFixture {
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void opensNoConnectionForClientGoneBeforeFirstAttempt(String how) throws Exception {
+    void opensNoConnectionForClientGoneBeforeFirstAttempt(String closeType) throws Exception {
         beforeRequestArrived = this::holdLoop;
         LineSocket client = connectClient();
         client.send(OPEN_COMMAND);
         await(loopHeld);
-        disconnect(client, how);
+        disconnect(client, closeType);
         otherEventHappened.countDown();
         assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
         assertNextRequestIsAnotherClients();
     }
 
-    /** The end of the stream is unread, behind early data, which a client may send. */
+    /** The end of stream is unread and follows early data, which a client may send. */
     @Test
     void detectsEndOfStreamBehindEarlyDataBeforeFirstAttempt() throws Exception {
         beforeRequestArrived = this::holdLoop;
@@ -47,7 +47,7 @@
         assertNextRequestIsAnotherClients();
     }
 
-    /** Each read takes but a piece of the early data, so that the end is many reads away. */
+    /** Each read returns only 16 bytes of the early data, so that many reads precede the end of stream. */
     @Test
     void detectsEndOfStreamBehindManyReadsBeforeFirstAttempt() throws Exception {
         stop();
@@ -82,9 +82,9 @@
                 sockets.acceptRetryDelayMs()));
     }
 
-    /** The decision module is notified of both at once; the attempt that it still decides on must end for it too. */
+    /** Both events reach the decision module in one batch; the attempt that it still starts must be reported as ended. */
     @Test
-    void reportsAttemptAsUnusedWhenClientEndsBehindItsOpenCommand() throws Exception {
+    void reportsAttemptAsUnusedWhenClientClosesAfterItsOpenCommand() throws Exception {
         holdLoopThenRun(() -> {});
         LineSocket client = connectClient();
         client.send(OPEN_COMMAND);
@@ -111,9 +111,9 @@
         }
     }
 
-    /** Regression: the line after which the client's connection broke was counted as an unexpected response. */
+    /** Regression: the line during whose relay the client's connection failed was counted as an unexpected response. */
     @Test
-    void countsNoLineAsMalformedWhenClientBreaks() throws Exception {
+    void countsNoLineAsMalformedWhenClientResets() throws Exception {
         LineSocket client = connectClient();
         ClientSession session = sessionOf(client);
         client.send(OPEN_COMMAND);
@@ -134,7 +134,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void doesNotRetryForClientGoneBetweenAttempts(String how) throws Exception {
+    void doesNotRetryForClientGoneBetweenAttempts(String closeType) throws Exception {
         addSecondEndpoint();
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
@@ -145,7 +145,7 @@
                 beforeAttemptEnded = this::holdLoop;
                 server.send("BUSY\r\n");
                 await(loopHeld);
-                disconnect(client, how);
+                disconnect(client, closeType);
                 otherEventHappened.countDown();
                 assertEquals(Outcome.FULL, outcomes.poll(5, TimeUnit.SECONDS));
                 assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
@@ -155,13 +155,13 @@
                 try (LineSocket server = new LineSocket(acceptAtEitherEndpoint())) {
                     assertTrue(
                             String.valueOf(server.readLine()).startsWith("OPEN 0ther "),
-                            "no attempt for a client that has gone");
+                            "no attempt for a disconnected client");
                 }
             }
         }
     }
 
-    /** Accepts at whichever of the two endpoints is tried first. */
+    /** Accepts a connection at whichever of the two endpoints is tried first. */
     private Socket acceptAtEitherEndpoint() throws IOException {
         for (int i = 0; i < 250; i++) {
             try {
@@ -173,10 +173,10 @@
         throw new IllegalStateException();
     }
 
-    /** The client waits until an endpoint serves, and leaves just as one does. */
+    /** The client waits for an endpoint to start serving, and disconnects just as one does. */
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void doesNotForwardForClientGoneWhileNoEndpointServed(String how) throws Exception {
+    void doesNotForwardForClientGoneWhileNoEndpointServed(String closeType) throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         loop.execute(() -> {
             listFirstEndpoint(EndpointStatus.DRAINING);
@@ -189,29 +189,32 @@
         client.send(OPEN_COMMAND);
         await(arrived);
         holdLoopThenRun(() -> listFirstEndpoint(EndpointStatus.SERVING));
-        disconnect(client, how);
+        disconnect(client, closeType);
         releaseLoopAndAwaitDecision();
         assertNextRequestIsAnotherClients();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void doesNotForwardForClientGoneWhileConnecting(String how) throws Exception {
-        // After the event batch that connects, and before the event loop is notified that the connection is made.
+    void doesNotForwardForClientGoneWhileConnecting(String closeType) throws Exception {
+        // After the event batch that starts connecting, but before the event loop is notified of the connection.
         beforeRequestArrived = () -> loop.execute(this::holdLoop);
         LineSocket client = connectClient();
         client.send(OPEN_COMMAND);
         await(loopHeld);
         try (LineSocket server = acceptUpstream()) {
-            disconnect(client, how);
+            disconnect(client, closeType);
             otherEventHappened.countDown();
             assertNull(server.readLine(), "the endpoint receives nothing");
-            assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS), "the endpoint is not blamed");
+            assertEquals(
+                    Outcome.CANCELLED,
+                    outcomes.poll(5, TimeUnit.SECONDS),
+                    "the outcome does not count against the endpoint");
         }
     }
 
-    private void disconnect(LineSocket client, String how) throws IOException {
-        if (how.equals("RST")) {
+    private void disconnect(LineSocket client, String closeType) throws IOException {
+        if (closeType.equals("RST")) {
             client.socket.setSoLinger(true, 0);
         }
         client.close();
--- a/node/src/test/java/tulipshed/lineprotocol/CrlfDecoderTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/CrlfDecoderTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.Size;
 import tulipshed.testing.InputFuzzer;
 
-/** Lines are decoded alike however the input arrives. */
+/** Decoding of lines does not depend on the fragmentation of the input. */
 class CrlfDecoderTest {
     private static byte[] encoded(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
--- a/node/src/test/java/tulipshed/lineprotocol/EndpointChangeRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/EndpointChangeRaceTest.java
@@ -11,7 +11,7 @@
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.Outcome;
 
-/** An endpoint that changes just as a connection to it is made, used or migrated away from. */
+/** An endpoint that changes state just as a connection to it is made, used or migrated away from. */
 class EndpointChangeRaceTest extends RaceConditionFixture {
     @Test
     void sendsNothingToEndpointThatStartsDrainingWhileConnecting() throws Exception {
@@ -30,15 +30,15 @@
         }
     }
 
-    /** A truncated line is no response. */
+    /** A truncated line does not count as a response. */
     @ParameterizedTest
     @ValueSource(strings = {"U", "UP", "UP r1", "UP r1\r"})
-    void treatsTruncatedResponseAsReset(String cut) throws Exception {
+    void treatsTruncatedResponseAsReset(String truncated) throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND.replace("d=4000", "d=300"));
             try (LineSocket server = acceptUpstream()) {
                 server.readLine();
-                server.send(cut);
+                server.send(truncated);
                 server.socket.shutdownOutput();
                 assertEquals(Outcome.RESET, outcomes.poll(5, TimeUnit.SECONDS));
             }
@@ -60,7 +60,7 @@
         }
     }
 
-    /** The decoder holds a part of the endpoint's line as the client migrates: MOVE comes between two lines. */
+    /** The decoder holds a partial line of the endpoint when the client is migrated; MOVE must not follow a partial line. */
     @Test
     void dropsPartialEndpointLineWhenClientMigrates() throws Exception {
         try (LineSocket client = connectClient()) {
--- a/node/src/test/java/tulipshed/lineprotocol/InactivityDetectorTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/InactivityDetectorTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.limits.Limits;
 
-/** When an endpoint that does not respond counts as unresponsive; the tests supply the time. */
+/** Detection of unresponsive endpoints, with times supplied by the tests. */
 class InactivityDetectorTest {
     private final double timeoutMs = Limits.forDescriptors(384).requests().endpointTimeoutMs();
     private final double sweepIntervalMs = Limits.forDescriptors(384).sockets().sweepIntervalMs();
@@ -32,7 +32,7 @@
         assertTrue(detector.isUnresponsive(timeoutMs + 3));
     }
 
-    /** A node that was suspended checks before it reads: what has arrived meanwhile must be read first. */
+    /** A node that was suspended may check before it reads; input that arrived meanwhile must be read first. */
     @Test
     void responseReadBetweenTwoChecksClearsSuspicion() {
         detector.requestSent(0);
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFixture.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFixture.java
@@ -38,12 +38,12 @@
 import tulipshed.transport.XnioEventLoop;
 
 /**
- * Runs the line-protocol frontend with the real core and decision module between plain sockets on loopback: the tests play
- * the clients and the endpoints.
+ * Runs the line-protocol frontend with the real core and decision module over plain loopback sockets; the tests act as the
+ * clients and the endpoints.
  */
 abstract class LineProtocolFixture {
     static final String OPEN_COMMAND = "OPEN 9b1f k c=slot-board,t=melnik-terminal,d=4000\r\n";
-    /** The broadcast address of the loopback network: the kernel refuses at once to connect, with ENETUNREACH. */
+    /** The broadcast address of the loopback network; the kernel immediately fails a connect to it with ENETUNREACH. */
     static final InetSocketAddress UNREACHABLE = new InetSocketAddress("127.255.255.255", 9);
 
     final BlockingQueue<Double> latencies = new LinkedBlockingQueue<>();
@@ -55,7 +55,7 @@
     ProxyCore core;
     LineProtocolFrontend frontend;
     ServerSocket endpointListener;
-    /** In the endpoint list from {@link #addSecondEndpoint} on. */
+    /** Added to the endpoint list by {@link #addSecondEndpoint}. */
     ServerSocket secondEndpointListener;
     /** Runs on the event loop before the decision module is notified of a new request. */
     volatile Runnable beforeRequestArrived = () -> {};
@@ -65,7 +65,7 @@
 
     private InetSocketAddress nodeAddress;
 
-    /** One end of a connection, read line by line. */
+    /** A socket that is read line by line. */
     static final class LineSocket implements AutoCloseable {
         final Socket socket;
         final BufferedReader reader;
@@ -99,13 +99,13 @@
         start(limits, "", "");
     }
 
-    /** Starts with the sample settings, in which one text is replaced by another. */
+    /** Starts with the sample settings, with one text replaced by another. */
     void start(Limits limits, String replaced, String replacement) throws Exception {
         NodeConfig config = sampleConfig(replaced, replacement);
         loop = new XnioEventLoop(limits);
         endpointListener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         secondEndpointListener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        // An endpoint that is never connected to fails its test rather than block it.
+        // A test fails rather than blocks if its endpoint never gets a connection.
         endpointListener.setSoTimeout(10_000);
         secondEndpointListener.setSoTimeout(10_000);
         BlockingQueue<InetSocketAddress> listening = new LinkedBlockingQueue<>();
@@ -161,30 +161,30 @@
         }
     }
 
-    /** The log of the core; tests that check it override this. */
+    /** The log of the core; overridden by tests that check it. */
     NodeLog coreLog() {
         return NodeLog.silent();
     }
 
-    /** The decision module in use; tests that observe more of it override this. Called on the event loop. */
+    /** The decision module to use; overridden by tests that observe more of it. Called on the event loop. */
     BalancerApi decisionModule(Balancer balancer, BalancerActions actions) {
         return new RecordingModule(balancer);
     }
 
-    /** The entry of the endpoint list for an endpoint that the test plays. */
+    /** The endpoint-list entry of an endpoint that the test acts as. */
     static EndpointListEntry endpointEntry(String id, EndpointStatus status, ServerSocket listener) {
         return new EndpointListEntry(new EndpointInfo(id, status, "decin", 0, "std-2c", 1, 0), (InetSocketAddress)
                 listener.getLocalSocketAddress());
     }
 
-    /** On the event loop: the endpoint list now names the first endpoint as serving at this address. */
+    /** Lists the first endpoint as serving at this address. Called on the event loop. */
     void listFirstEndpointAt(InetSocketAddress address) {
         EndpointInfo info =
                 endpointEntry("s-1", EndpointStatus.SERVING, endpointListener).info();
         core.endpointsChanged(EndpointListKind.CHANGES, List.of(new EndpointListEntry(info, address)));
     }
 
-    /** Adds the second endpoint to the list, serving. */
+    /** Adds the second endpoint to the endpoint list with status SERVING. */
     void addSecondEndpoint() throws Exception {
         CountDownLatch notified = new CountDownLatch(1);
         loop.execute(() -> {
@@ -196,7 +196,7 @@
         await(notified);
     }
 
-    /** Starts anew with the sample settings, in which one text is replaced by another. */
+    /** Restarts with the sample settings, with one text replaced by another. */
     void restart(String replaced, String replacement) throws Exception {
         stop();
         start(Limits.forDescriptors(1024), replaced, replacement);
@@ -209,10 +209,10 @@
         loop.stop();
     }
 
-    /** The decision module; records what it is notified of. */
+    /** The decision module, with its notifications recorded. */
     private final class RecordingModule extends DelegatingBalancer {
-        RecordingModule(BalancerApi to) {
-            super(to);
+        RecordingModule(BalancerApi delegate) {
+            super(delegate);
         }
 
         @Override
@@ -249,7 +249,7 @@
         return new LineSocket(endpointListener.accept());
     }
 
-    /** Waits for a bounded time; for any thread, the event loop's included. */
+    /** Waits for the latch with a bounded timeout; callable from any thread, including the event loop. */
     static void await(CountDownLatch latch) {
         try {
             if (!latch.await(10, TimeUnit.SECONDS)) {
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
@@ -21,7 +21,7 @@
 import tulipshed.limits.Limits;
 import tulipshed.transport.UdpSocket;
 
-/** The line-protocol frontend as its clients and endpoints see it. */
+/** Tests of the line-protocol frontend through the sockets of its clients and endpoints. */
 class LineProtocolFrontendTest extends LineProtocolFixture {
     @Test
     void relaysBothWaysUntilEndpointEndsConnection() throws IOException {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Regression: the value of LOAD was taken for a load where endpoints report latency only. */
+    /** Regression: the value of LOAD was read as a load although the endpoints report latency. */
     @Test
     void readsLoadLineAsLatencyWhenConfigured() throws Exception {
         try (LineSocket client = connectClient()) {
@@ -179,7 +179,7 @@
         }
     }
 
-    /** The endpoint's lines before it closes its connection, and the outcome of the attempt. */
+    /** Parameters: the endpoint's lines before it closes its connection, and the expected outcome of the attempt. */
     @ParameterizedTest
     @CsvSource({
         "'', RESET",
@@ -211,7 +211,7 @@
         }
     }
 
-    /** A machine that fails resets nothing: only the missing responses show it. */
+    /** A failed machine sends no reset, so that only missing responses reveal the failure. */
     @Test
     void migratesClientOfUnresponsiveEndpoint() throws Exception {
         try (LineSocket client = connectClient()) {
@@ -267,16 +267,16 @@
         }
     }
 
-    /** A client that sends nothing, only a part of its command, or only pings must not keep its connection. */
+    /** A client that sends nothing, a partial open command or only pings must not keep its connection. */
     @ParameterizedTest
     @ValueSource(strings = {"", "OPEN 9b", "PING\r\n"})
     void failsClientWithoutOpenCommandWithinThreeSeconds(String input) throws IOException {
-        long sinceNs = System.nanoTime();
+        long startNs = System.nanoTime();
         try (LineSocket client = connectClient()) {
             client.send(input);
             String response = client.readLine();
             assertEquals("ERR", response.equals("PONG") ? client.readLine() : response);
-            assertTrue(System.nanoTime() - sinceNs < 3_000_000_000L);
+            assertTrue(System.nanoTime() - startNs < 3_000_000_000L);
         }
     }
 
@@ -299,7 +299,7 @@
             assertEquals("ERR", client.readLine());
             assertNull(client.readLine());
         }
-        // An endpoint saw one line of the client's at most, and the one attempt that was decided on has ended.
+        // An endpoint received at most one line of the client, and the one attempt that was started has ended.
         endpointListener.setSoTimeout(300);
         try (LineSocket server = acceptUpstream()) {
             String first = server.readLine();
@@ -309,7 +309,7 @@
         }
     }
 
-    /** A value of 60 MB: the error comes at once, and the event loop serves others meanwhile. */
+    /** For a value of 60 MB the failure is sent immediately, and the event loop serves other clients meanwhile. */
     @Test
     void failsUnterminatedLineImmediately() throws Exception {
         try (LineSocket client = connectClient();
@@ -318,7 +318,7 @@
                 try {
                     client.send("OPEN 1 k c=" + "x".repeat(60_000_000));
                 } catch (IOException closed) {
-                    // The node need not take all of it.
+                    // The node may close the connection before it has received everything.
                     return;
                 }
             });
@@ -330,7 +330,7 @@
         }
     }
 
-    /** Hundreds of malformed lines must neither fill the log nor be quoted in it. */
+    /** Many malformed lines must neither fill the log nor be quoted in it. */
     @Test
     void logsNumberOfMalformedClientsWithoutQuotingThem() throws Exception {
         for (int i = 0; i < 50; i++) {
@@ -346,19 +346,19 @@
         assertTrue(logLines.stream().noneMatch(l -> l.contains("forged")), logLines.toString());
     }
 
-    /** A shortage of descriptors must not be taken for an unreachable endpoint. */
+    /** A shortage of descriptors must not be reported as an unreachable endpoint. */
     @Test
-    void rejectsWithoutBlamingEndpointWhenDescriptorsRunOut() throws Exception {
+    void rejectsAndReportsAttemptAsUnusedWhenDescriptorsRunOut() throws Exception {
         stop();
         start(Limits.forDescriptors(40));
-        List<UdpSocket> ports = new ArrayList<>();
+        List<UdpSocket> udpSockets = new ArrayList<>();
         try (LineSocket client = connectClient()) {
             client.send("PING\r\n");
             assertEquals("PONG", client.readLine());
             loop.execute(() -> {
                 while (loop.hasCapacityForUpstream()) {
                     try {
-                        ports.add(loop.bindUdp(
+                        udpSockets.add(loop.bindUdp(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                 ByteBuffer.allocate(8),
                                 (from, datagram) -> {}));
@@ -371,6 +371,6 @@
             assertTrue(client.readLine().matches("BUSY [0-9]+"));
             assertEquals(Outcome.UNUSED, outcomes.poll(5, TimeUnit.SECONDS));
         }
-        loop.execute(() -> ports.forEach(UdpSocket::close));
+        loop.execute(() -> udpSockets.forEach(UdpSocket::close));
     }
 }
--- a/node/src/test/java/tulipshed/lineprotocol/LoadReportParserTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LoadReportParserTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.decision.api.LoadReport;
 
-/** Load reports are parsed, or rejected as malformed. */
+/** Parsing of load reports and rejection of malformed ones. */
 class LoadReportParserTest {
     @Test
     void skipsUnknownFieldsAndLeavesMissingOnesUnknown() {
--- a/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
@@ -17,12 +17,12 @@
 import tulipshed.limits.LineProtocolLimits;
 import tulipshed.transport.ConnectFailures;
 
-/** Connections that this machine cannot even begin to make, which says nothing of the endpoint. */
+/** Connections that this machine cannot begin to make, which must not count against the endpoint. */
 class LocalConnectFailureTest extends RaceConditionFixture {
     @Test
     void dialsAgainForTheSameAttempt() throws Exception {
         runOnLoop(() -> listFirstEndpointAt(UNREACHABLE));
-        // Between the first failure and the next dial.
+        // Runs between the first failure and the next dial.
         beforeRequestArrived = () -> loop.execute(this::listFirstEndpointAtListener);
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void rejectsAfterBoundedDialsAndHoldsNothingAgainstEndpoint() throws Exception {
+    void rejectsAfterLastRedialAndKeepsEndpointEligible() throws Exception {
         runOnLoop(() -> listFirstEndpointAt(UNREACHABLE));
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void doesNotDialAgainForClientThatHasGone() throws Exception {
+    void doesNotDialAgainForDisconnectedClient() throws Exception {
         runOnLoop(() -> listFirstEndpointAt(UNREACHABLE));
         beforeRequestArrived = () -> loop.execute(() -> {
             listFirstEndpointAtListener();
@@ -72,7 +72,7 @@
         assertEquals(OptionalDouble.empty(), backoff.nextDelayMs(1_000));
         RedialBackoff late = new RedialBackoff(limits);
         assertEquals(OptionalDouble.of(0), late.nextDelayMs(2));
-        assertEquals(OptionalDouble.empty(), late.nextDelayMs(2), "no time is left for it");
+        assertEquals(OptionalDouble.empty(), late.nextDelayMs(2), "no time is left for a redial");
     }
 
     @ParameterizedTest
@@ -85,7 +85,7 @@
                 "Cannot assign requested address",
                 "Network is unreachable"
             })
-    void tellsLocalFailuresFromThoseOfEndpoints(String reason) {
+    void distinguishesLocalFailuresFromRemoteOnes(String reason) {
         assertTrue(ConnectFailures.isLocal(new IOException(reason)));
         assertFalse(ConnectFailures.isLocal(new IOException()));
         for (String remote : List.of("Connection refused", "No route to host", "Connection timed out")) {
--- a/node/src/test/java/tulipshed/lineprotocol/OpenCommandParserTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/OpenCommandParserTest.java
@@ -14,7 +14,7 @@
 import tulipshed.routing.AttributeDeclarations;
 import tulipshed.testing.InputFuzzer;
 
-/** Open commands are parsed, or rejected as malformed. */
+/** Parsing of open commands and rejection of malformed ones. */
 class OpenCommandParserTest {
     private static final String OPEN_COMMAND =
             "OPEN 9b1f03aa5c7e2d41 7f3a c=chat,t=acme,d=2000,g=5c0f,again=1,zz=9\r\n";
@@ -31,7 +31,7 @@
     void parsesOrRejectsCorruptedOpenCommand(@ForAll long seed) {
         byte[] line = InputFuzzer.corrupt(encoded(OPEN_COMMAND), seed);
         try {
-            // What is accepted must be forwarded byte for byte but for its timeout.
+            // An accepted command must be forwarded byte for byte except for its timeout.
             OpenCommand command = new OpenCommandParser(names(), AttributeDeclarations.NONE, 60_000).parse(line);
             String forwarded =
                     new String(command.forwardedLine(command.attributes().timeoutMs()), StandardCharsets.ISO_8859_1);
@@ -51,13 +51,13 @@
         assertEquals(
                 OPEN_COMMAND.replace("d=2000", "d=1234"),
                 new String(command.forwardedLine(1234.9), StandardCharsets.ISO_8859_1));
-        // A timeout of 0 would mean to the endpoint that the client has gone.
+        // An endpoint takes a timeout of 0 to mean that the client has disconnected.
         assertEquals(
                 OPEN_COMMAND.replace("d=2000", "d=1"),
                 new String(command.forwardedLine(0.2), StandardCharsets.ISO_8859_1));
     }
 
-    /** Regression: an adopted connection may name its lifetime, which is far longer than any response takes. */
+    /** Regression: an adopted connection may state its lifetime as the timeout, which far exceeds any response time. */
     @Test
     void acceptsAnyTimeoutForAdoptedConnection() {
         String line = "OPEN 1 k c=chat,t=acme,d=86400000,at=s-1\r\n";
--- a/node/src/test/java/tulipshed/lineprotocol/RaceConditionFixture.java
+++ b/node/src/test/java/tulipshed/lineprotocol/RaceConditionFixture.java
@@ -13,8 +13,8 @@
 import tulipshed.decision.api.EndpointStatus;
 
 /**
- * Forces the order of two concurrent events on real sockets: the event loop is held at the decisive point until the other
- * event has happened too. docs/crossings.md lists all such pairs.
+ * Forces the order of two concurrent events on real sockets: the event loop is blocked at the critical point until the other
+ * event has also happened. docs/crossings.md lists all such pairs.
  */
 abstract class RaceConditionFixture extends LineProtocolFixture {
     static final String OTHER_OPEN_COMMAND = OPEN_COMMAND.replace("9b1f", "0ther");
@@ -22,7 +22,7 @@
     final CountDownLatch otherEventHappened = new CountDownLatch(1);
     final CompletableFuture<Void> decisionMade = new CompletableFuture<>();
 
-    /** On the event loop: blocks it until the test reports that the other event has happened. */
+    /** Blocks the event loop until the test signals that the other event has happened. Called on the event loop. */
     void holdLoop() {
         beforeRequestArrived = () -> {};
         beforeAttemptEnded = () -> {};
@@ -30,7 +30,7 @@
         await(otherEventHappened);
     }
 
-    /** Blocks the event loop in a task of its own, which then runs the decision before any further event. */
+    /** Blocks the event loop in a separate task, which then runs {@code decision} before any further event. */
     void holdLoopThenRun(Runnable decision) {
         loop.execute(() -> {
             holdLoop();
@@ -44,25 +44,25 @@
         await(loopHeld);
     }
 
-    /** Releases the event loop as the other event has happened; returns once the decision has run, and throws what it threw. */
+    /** Releases the event loop after the other event has happened; waits for the decision and rethrows its exception. */
     void releaseLoopAndAwaitDecision() throws Exception {
         otherEventHappened.countDown();
         decisionMade.get(10, TimeUnit.SECONDS);
     }
 
-    /** On the event loop: the endpoint list now names the first endpoint with this status. */
+    /** Lists the first endpoint with this status. Called on the event loop. */
     final void listFirstEndpoint(EndpointStatus status) {
         core.endpointsChanged(EndpointListKind.CHANGES, List.of(endpointEntry("s-1", status, endpointListener)));
     }
 
-    /** The node's side of a client that is connected and has sent no open command. */
+    /** The node's session of a connected client that has not sent an open command. */
     final ClientSession sessionOf(LineSocket client) throws Exception {
         client.send("PING\r\n");
         assertEquals("PONG", client.readLine());
         return onLoop(() -> frontend.unservedConnections().opening().get(0));
     }
 
-    /** Returns once the task has run on the event loop, and throws what it threw. */
+    /** Runs the task on the event loop, waits for it and rethrows its exception. */
     final void runOnLoop(Runnable task) throws Exception {
         onLoop(() -> {
             task.run();
@@ -70,7 +70,7 @@
         });
     }
 
-    /** What the query yields on the event loop. */
+    /** Evaluates the query on the event loop and returns its result. */
     final <T> T onLoop(Supplier<T> query) throws Exception {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(() -> {
@@ -83,14 +83,14 @@
         return result.get(10, TimeUnit.SECONDS);
     }
 
-    /** The next request that reaches an endpoint is another client's: none was sent for the client that has gone. */
+    /** Asserts that the next request at the endpoint is another client's, so none was sent for the disconnected client. */
     void assertNextRequestIsAnotherClients() throws IOException {
         try (LineSocket other = connectClient()) {
             other.send(OTHER_OPEN_COMMAND);
             try (LineSocket server = acceptUpstream()) {
                 assertTrue(
                         String.valueOf(server.readLine()).startsWith("OPEN 0ther "),
-                        "no attempt for a client that has gone");
+                        "no attempt for a disconnected client");
             }
         }
     }
--- a/node/src/test/java/tulipshed/logging/NodeLogTraceTest.java
+++ b/node/src/test/java/tulipshed/logging/NodeLogTraceTest.java
@@ -7,7 +7,7 @@
 import org.jboss.logging.Logger;
 import org.junit.jupiter.api.Test;
 
-/** The lines of level TRACE, which are off unless a node is started with them. */
+/** Lines of level TRACE, which are disabled unless the node is started with a trace limit. */
 class NodeLogTraceTest {
     private final List<String> lines = new ArrayList<>();
 
--- a/node/src/test/java/tulipshed/management/HttpRequestParserTest.java
+++ b/node/src/test/java/tulipshed/management/HttpRequestParserTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.testing.InputFuzzer;
 
-/** Tests of the request parser with fragmented, corrupted and endless input. */
+/** Tests of the request parser with fragmented, corrupted and oversized input. */
 class HttpRequestParserTest {
     private static final byte[] REQUEST = ascii("GET /status?x=1 HTTP/1.1\r\nHost: 127.0.0.1:1\r\nAccept: */*\r\n\r\n");
 
--- a/node/src/test/java/tulipshed/management/ManagementServerTest.java
+++ b/node/src/test/java/tulipshed/management/ManagementServerTest.java
@@ -27,7 +27,7 @@
 import tulipshed.time.SystemClock;
 import tulipshed.transport.XnioEventLoop;
 
-/** Tests of the management server with plain sockets on loopback. */
+/** Tests of the management server over plain loopback sockets. */
 class ManagementServerTest {
     private volatile boolean serving = true;
     private XnioEventLoop loop;
@@ -114,7 +114,7 @@
         return new java.io.File("/proc/self/fd").list().length;
     }
 
-    /** Connections that never complete a request must not use up those that complete ones need. */
+    /** Connections that never complete a request must not exhaust the limit for those that do. */
     @Test
     void incompleteRequestsDoNotDelayCompleteOnesAndTimeOut() throws IOException {
         long descriptorsBefore = openDescriptors();
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Its time is counted from its acceptance. After the response the server goes on reading for a moment: a close over bytes
-     * that are under way is a reset, which may overtake the response.
+     * The timeout starts at the acceptance and is not extended by input. After the response the server continues to read for
+     * a short time: closing with input in flight would send a reset, which may overtake the response.
      */
     @Test
     void clientThatSendsOneByteAtATimeGetsItsTimeoutAndNoReset() throws Exception {
@@ -161,10 +161,10 @@
         }
     }
 
-    /** A client that breaks gives its descriptor and its place back at once: else others would be evicted for it. */
+    /** A reset connection must free its descriptor and its slot immediately; otherwise others would be evicted for it. */
     @ParameterizedTest
     @ValueSource(strings = {"GET /status/metrics HTTP/1.1\r\n\r\n", "GET /sta"})
-    void clientsThatResetGiveTheirPlacesBackAndOthersAreServed(String request) throws IOException {
+    void resetConnectionsAreFreedImmediatelyAndOthersAreServed(String request) throws IOException {
         try (Socket slow = connect("GET /sta")) {
             exchange("GET /status/metrics HTTP/1.1\r\n\r\n");
             long descriptorsBefore = openDescriptors();
