--- a/node/src/test/java/tulipshed/lineprotocol/ClientCloseResponseTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ClientCloseResponseTest.java
@@ -63,8 +63,8 @@
     void answersFirstOfTwoOpenCommandsOnOneConnectionAtShutdown() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND + OTHER_OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
                 loop.execute(() -> core.rejectAllPending());
                 assertOneResponse(client, "BUSY|ERR");
             }
@@ -160,8 +160,8 @@
      */
     private int queueLinesOfEndedEndpoint(LineSocket client, ClientSession session) throws Exception {
         client.send(OPEN_COMMAND);
-        try (LineSocket server = acceptUpstream()) {
-            server.send("UP r1\r\n");
+        try (LineSocket endpoint = acceptUpstream()) {
+            endpoint.send("UP r1\r\n");
             assertEquals("UP r1", client.readLine());
             return onLoop(() -> {
                 int sentLines = 0;
--- a/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
@@ -99,14 +99,14 @@
         LineSocket client = connectClient();
         ClientSession session = sessionOf(client);
         client.send(OPEN_COMMAND);
-        try (LineSocket server = acceptUpstream()) {
-            server.readLine();
+        try (LineSocket endpoint = acceptUpstream()) {
+            endpoint.readLine();
             client.send("M 1 early\r\n");
             holdLoopThenRun(() -> session.upstream().onReadable(null));
             client.close();
-            server.send("UP r1\r\n");
+            endpoint.send("UP r1\r\n");
             releaseLoopAndAwaitDecision();
-            assertNull(server.readLine());
+            assertNull(endpoint.readLine());
             assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
         }
     }
@@ -117,14 +117,14 @@
         LineSocket client = connectClient();
         ClientSession session = sessionOf(client);
         client.send(OPEN_COMMAND);
-        try (LineSocket server = acceptUpstream()) {
-            server.send("UP r1\r\n");
+        try (LineSocket endpoint = acceptUpstream()) {
+            endpoint.send("UP r1\r\n");
             assertEquals("UP r1", client.readLine());
             holdLoopThenRun(() -> {
                 session.upstream().onReadable(null);
                 frontend.context().upstreamErrors().flush(Double.MAX_VALUE);
             });
-            server.send("LOAD 1\r\nLOAD 2\r\n");
+            endpoint.send("LOAD 1\r\nLOAD 2\r\n");
             disconnect(client, "RST");
             releaseLoopAndAwaitDecision();
             assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
@@ -140,10 +140,10 @@
             client.send(OPEN_COMMAND);
             secondEndpointListener.setSoTimeout(20);
             endpointListener.setSoTimeout(20);
-            try (LineSocket server = new LineSocket(acceptAtEitherEndpoint())) {
-                server.readLine();
+            try (LineSocket endpoint = new LineSocket(acceptAtEitherEndpoint())) {
+                endpoint.readLine();
                 beforeAttemptEnded = this::holdLoop;
-                server.send("BUSY\r\n");
+                endpoint.send("BUSY\r\n");
                 await(loopHeld);
                 disconnect(client, closeType);
                 otherEventHappened.countDown();
@@ -152,9 +152,9 @@
             }
             try (LineSocket other = connectClient()) {
                 other.send(OTHER_OPEN_COMMAND);
-                try (LineSocket server = new LineSocket(acceptAtEitherEndpoint())) {
+                try (LineSocket endpoint = new LineSocket(acceptAtEitherEndpoint())) {
                     assertTrue(
-                            String.valueOf(server.readLine()).startsWith("OPEN 0ther "),
+                            String.valueOf(endpoint.readLine()).startsWith("OPEN 0ther "),
                             "no attempt for a disconnected client");
                 }
             }
@@ -202,10 +202,10 @@
         LineSocket client = connectClient();
         client.send(OPEN_COMMAND);
         await(loopHeld);
-        try (LineSocket server = acceptUpstream()) {
+        try (LineSocket endpoint = acceptUpstream()) {
             disconnect(client, closeType);
             otherEventHappened.countDown();
-            assertNull(server.readLine(), "the endpoint receives nothing");
+            assertNull(endpoint.readLine(), "the endpoint receives nothing");
             assertEquals(
                     Outcome.CANCELLED,
                     outcomes.poll(5, TimeUnit.SECONDS),
--- a/node/src/test/java/tulipshed/lineprotocol/ConnectionCloseRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ConnectionCloseRaceTest.java
@@ -54,9 +54,9 @@
     }
 
     private void assertServed(LineSocket client) throws IOException {
-        try (LineSocket server = acceptUpstream()) {
-            server.readLine();
-            server.send("UP r1\r\n");
+        try (LineSocket endpoint = acceptUpstream()) {
+            endpoint.readLine();
+            endpoint.send("UP r1\r\n");
             assertEquals("UP r1", client.readLine());
         }
     }
--- a/node/src/test/java/tulipshed/lineprotocol/EndpointChangeRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/EndpointChangeRaceTest.java
@@ -22,9 +22,9 @@
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
             await(loopHeld);
-            try (LineSocket server = acceptUpstream()) {
+            try (LineSocket endpoint = acceptUpstream()) {
                 otherEventHappened.countDown();
-                assertNull(server.readLine(), "the endpoint receives nothing");
+                assertNull(endpoint.readLine(), "the endpoint receives nothing");
             }
             assertEquals(Outcome.CONNECT_FAILED, outcomes.poll(5, TimeUnit.SECONDS));
         }
@@ -36,10 +36,10 @@
     void treatsTruncatedResponseAsReset(String truncated) throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND.replace("d=4000", "d=300"));
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send(truncated);
-                server.socket.shutdownOutput();
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send(truncated);
+                endpoint.socket.shutdownOutput();
                 assertEquals(Outcome.RESET, outcomes.poll(5, TimeUnit.SECONDS));
             }
             assertTrue(client.readLine().startsWith("BUSY"), "nothing of the response reaches the client");
@@ -50,9 +50,9 @@
     void ignoresSecondResponseAfterRejection() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND.replace("d=4000", "d=300"));
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send("BUSY\r\nUP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send("BUSY\r\nUP r1\r\n");
                 assertEquals(Outcome.FULL, outcomes.poll(5, TimeUnit.SECONDS));
             }
             assertTrue(client.readLine().matches("BUSY [0-9]+"));
@@ -65,12 +65,12 @@
     void dropsPartialEndpointLineWhenClientMigrates() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send("UP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send("UP r1\r\n");
                 assertEquals("UP r1", client.readLine());
                 holdLoopThenRun(() -> core.migrateOldest());
-                server.send("M 1 who");
+                endpoint.send("M 1 who");
                 releaseLoopAndAwaitDecision();
                 assertEquals("MOVE", client.readLine());
                 assertNull(client.readLine());
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
@@ -30,15 +30,15 @@
             assertEquals("PONG", client.readLine());
             client.send(OPEN_COMMAND.substring(0, 20));
             client.send(OPEN_COMMAND.substring(20));
-            try (LineSocket server = acceptUpstream()) {
-                String line = server.readLine();
+            try (LineSocket endpoint = acceptUpstream()) {
+                String line = endpoint.readLine();
                 assertTrue(line.matches("OPEN 9b1f k c=slot-board,t=melnik-terminal,d=[0-9]+"), line);
-                server.send("UP r1\r\n");
+                endpoint.send("UP r1\r\n");
                 assertEquals("UP r1", client.readLine());
                 client.send("M 1 x\r\n");
-                assertEquals("M 1 x", server.readLine());
-                server.send("M 1 x\r\nBYE\r\n");
-                server.socket.shutdownOutput();
+                assertEquals("M 1 x", endpoint.readLine());
+                endpoint.send("M 1 x\r\nBYE\r\n");
+                endpoint.socket.shutdownOutput();
                 assertEquals("M 1 x", client.readLine());
                 assertEquals("BYE", client.readLine());
                 assertNull(client.readLine());
@@ -46,13 +46,13 @@
         }
     }
 
-    /** Regression: the value of LOAD was read as a load although the endpoints report latency. */
+    /** Regression: the value of LOAD was read as a load although the endpoints report only latency. */
     @Test
     void readsLoadLineAsLatencyWhenConfigured() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send("UP r1\r\nLOAD 61.5\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send("UP r1\r\nLOAD 61.5\r\n");
                 assertEquals("UP r1", client.readLine());
                 assertEquals("LOAD 61.5", client.readLine());
                 assertEquals(61.5, latencies.poll(5, TimeUnit.SECONDS));
@@ -67,15 +67,15 @@
         restart("\"TellsLoad\": false", "\"TellsLoad\": true");
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send("UP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send("UP r1\r\n");
                 assertEquals("UP r1", client.readLine());
                 for (String malformed : List.of("NaN", "-1", "Infinity", "1e300", "", "x", "1 2", "7".repeat(400))) {
-                    server.send("LOAD " + malformed + "\r\n");
+                    endpoint.send("LOAD " + malformed + "\r\n");
                     assertEquals(
                             ("LOAD " + malformed).strip(), client.readLine().strip());
                 }
-                server.send("LOAD\r\nLOAD 1200.5\r\n");
+                endpoint.send("LOAD\r\nLOAD 1200.5\r\n");
                 assertEquals(1200.5, loads.poll(5, TimeUnit.SECONDS));
                 assertTrue(loads.isEmpty() && latencies.isEmpty());
             }
@@ -102,9 +102,9 @@
         restart("\"How\": \"off\"", "\"How\": \"inline\"");
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send(input.replace("|", "\r\n") + "\r\n");
-                server.socket.shutdownOutput();
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send(input.replace("|", "\r\n") + "\r\n");
+                endpoint.socket.shutdownOutput();
                 assertEquals(outcome, outcomes.poll(5, TimeUnit.SECONDS));
                 LoadReport report = loadReports.poll(5, TimeUnit.SECONDS);
                 assertEquals(queue, report.queue());
@@ -117,8 +117,8 @@
     void ignoresInlineLoadReportWhenNotConfigured() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send("BUSY queue=9\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send("BUSY queue=9\r\n");
                 assertEquals(LoadReport.NONE, loadReports.poll(5, TimeUnit.SECONDS));
             }
         }
@@ -139,11 +139,11 @@
     void propagatesEndpointResetToClient() throws IOException {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            LineSocket server = acceptUpstream();
-            server.send("UP r1\r\n");
+            LineSocket endpoint = acceptUpstream();
+            endpoint.send("UP r1\r\n");
             assertEquals("UP r1", client.readLine());
-            server.socket.setSoLinger(true, 0);
-            server.close();
+            endpoint.socket.setSoLinger(true, 0);
+            endpoint.close();
             assertThrows(IOException.class, client::readLine);
         }
     }
@@ -157,11 +157,11 @@
         }
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send("UP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send("UP r1\r\n");
                 client.readLine();
-                for (LineSocket[] direction : new LineSocket[][] {{client, server}, {server, client}}) {
+                for (LineSocket[] direction : new LineSocket[][] {{client, endpoint}, {endpoint, client}}) {
                     Thread sender = new Thread(() -> {
                         try {
                             direction[0].send(text.toString());
@@ -194,9 +194,9 @@
     void mapsEndpointResponsesToOutcomes(String lines, Outcome outcome) throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send(lines.isEmpty() ? "" : lines.replace(";", "\r\n") + "\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send(lines.isEmpty() ? "" : lines.replace(";", "\r\n") + "\r\n");
             }
             assertEquals(outcome, outcomes.poll(5, TimeUnit.SECONDS));
         }
@@ -216,8 +216,8 @@
     void migratesClientOfUnresponsiveEndpoint() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send("UP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send("UP r1\r\n");
                 assertEquals("UP r1", client.readLine());
                 client.send("M 1 x\r\n");
                 assertEquals("MOVE", client.readLine());
@@ -231,9 +231,9 @@
     void sendsRetryDelayToClientRejectedEverywhere() throws IOException {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND.replace("d=4000", "d=300"));
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send("BUSY\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send("BUSY\r\n");
                 assertTrue(client.readLine().matches("BUSY [0-9]+"));
             }
         }
@@ -244,25 +244,25 @@
     void rejectsIdOfOpenRequest() throws IOException {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send("UP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send("UP r1\r\n");
                 assertEquals("UP r1", client.readLine());
                 try (LineSocket duplicate = connectClient()) {
                     duplicate.send(OPEN_COMMAND.replace(" k ", " other "));
                     assertEquals("ERR", duplicate.readLine());
                 }
                 client.send("M 1 x\r\n");
-                server.readLine();
-                assertEquals("M 1 x", server.readLine(), "the first one stays established");
-                server.send("BYE\r\n");
+                endpoint.readLine();
+                assertEquals("M 1 x", endpoint.readLine(), "the first one stays established");
+                endpoint.send("BYE\r\n");
             }
             assertEquals("BYE", client.readLine());
             assertNull(client.readLine());
         }
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                assertTrue(server.readLine().startsWith("OPEN"), "available again once its request has ended");
+            try (LineSocket endpoint = acceptUpstream()) {
+                assertTrue(endpoint.readLine().startsWith("OPEN"), "available again once its request has ended");
             }
         }
     }
@@ -301,9 +301,9 @@
         }
         // An endpoint received at most one line of the client, and the one attempt that was started has ended.
         endpointListener.setSoTimeout(300);
-        try (LineSocket server = acceptUpstream()) {
-            String first = server.readLine();
-            assertTrue(first == null || server.readLine() == null);
+        try (LineSocket endpoint = acceptUpstream()) {
+            String first = endpoint.readLine();
+            assertTrue(first == null || endpoint.readLine() == null);
         } catch (java.net.SocketTimeoutException none) {
             assertEquals(List.of(Outcome.UNUSED), List.copyOf(outcomes));
         }
@@ -330,7 +330,7 @@
         }
     }
 
-    /** Many malformed lines must neither fill the log nor be quoted in it. */
+    /** Hundreds of malformed lines must neither fill the log nor be quoted in it. */
     @Test
     void logsNumberOfMalformedClientsWithoutQuotingThem() throws Exception {
         for (int i = 0; i < 50; i++) {
--- a/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
@@ -26,8 +26,8 @@
         beforeRequestArrived = () -> loop.execute(this::listFirstEndpointAtListener);
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send("UP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send("UP r1\r\n");
                 assertEquals("UP r1", client.readLine());
                 assertTrue(outcomes.isEmpty(), outcomes.toString());
             }
--- a/node/src/test/java/tulipshed/lineprotocol/RaceConditionFixture.java
+++ b/node/src/test/java/tulipshed/lineprotocol/RaceConditionFixture.java
@@ -87,9 +87,9 @@
     void assertNextRequestIsAnotherClients() throws IOException {
         try (LineSocket other = connectClient()) {
             other.send(OTHER_OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
+            try (LineSocket endpoint = acceptUpstream()) {
                 assertTrue(
-                        String.valueOf(server.readLine()).startsWith("OPEN 0ther "),
+                        String.valueOf(endpoint.readLine()).startsWith("OPEN 0ther "),
                         "no attempt for a disconnected client");
             }
         }
