--- a/node/src/main/java/tulipshed/cli/GracefulShutdown.java
+++ b/node/src/main/java/tulipshed/cli/GracefulShutdown.java
@@ -59,7 +59,7 @@
         hotRestart.markLeaving();
         core.setQuotaShare(hotRestart.quotaShare());
         if (!handedOver) {
-            components.frontend().startLeaving();
+            components.frontend().startShutdown();
         }
         components.clientListener().startDraining();
         log.info("shutting down" + (handedOver ? ", handing over to another process, " : ", ") + core.establishedCount()
@@ -90,7 +90,7 @@
         @Override
         public void stopAccepting() {
             components.clientListener().drainAndClose();
-            components.frontend().listenerClosed();
+            components.frontend().onListenerClosed();
             components.quic().startDraining();
         }
 
@@ -106,7 +106,7 @@
 
         @Override
         public void rejectWaiting() {
-            components.frontend().rejectWaitingClients();
+            components.frontend().rejectOpeningClients();
         }
 
         @Override
