--- a/node/src/main/java/tulipshed/limits/DiscoveryLimits.java
+++ b/node/src/main/java/tulipshed/limits/DiscoveryLimits.java
@@ -8,14 +8,15 @@
  * @param connectTimeoutMs the timeout for establishing a connection
  * @param watchWaitMs how long the service holds a watch request (long poll) until the list changes
  * @param watchTimeoutMs the time after that wait at which a missing response counts as a failure; the failure and the
- *     next request must fit into 6 s
+ *     next request must fit into 6 s, in which a node must receive a change of the list after any failed request
+ *     (see EndpointWatchTimeoutTest)
  * @param responseTimeoutMs the timeout for the rest of a response after its first byte
- * @param agentWaitMs how long an agent, which receives lists by push, holds a request; the requests cost nothing, and a
- *     short wait detects an unresponsive agent early
+ * @param agentWaitMs how long an agent, which receives lists by push, holds a request; the agent runs on the
+ *     node's machine, so the requests cost nothing, and a short wait detects an unresponsive agent early
  * @param agentTimeoutMs the time after that wait at which a missing response of an agent counts as a failure
  * @param agentRetryDelayMs the delay after a failed request to an agent
- * @param agentPollIntervalMs the time between two requests to an agent that responds immediately without a change;
- *     the watch would end at 200 ms or more
+ * @param agentPollIntervalMs the delay after a response without a change from an agent, or from a service that did not hold
+ *     the request; must be below 200 ms, at which the watch would end
  * @param startTimeoutMs how long a starting process waits for the list before it uses the cached list
  */
 public record DiscoveryLimits(
--- a/node/src/main/java/tulipshed/limits/Limits.java
+++ b/node/src/main/java/tulipshed/limits/Limits.java
@@ -55,15 +55,18 @@
                 sockets, lineProtocol, discovery, requests, shutdown, management, changed, healthChecks, peers, warmup);
     }
 
-    /** The number of descriptors that connections may have in use in total for another client connection to be accepted. */
+    /**
+     * The maximum total number of descriptors in use by client and upstream connections, including those that a new client
+     * connection needs, for that client connection to be accepted.
+     */
     public int connectionDescriptors() {
         return Math.max(2, sockets.descriptors() - sockets.reservedDescriptors() - managementDescriptors());
     }
 
     /**
-     * The number of descriptors that connections may have in use in total for an attempt to open its upstream connection. It
-     * is higher than {@link #connectionDescriptors}, so that accepted clients do not deprive each other of upstream
-     * connections.
+     * The maximum total number of descriptors in use by client and upstream connections, including the one that an attempt is
+     * about to open, for its upstream connection to be opened. It is higher than {@link #connectionDescriptors}, so that
+     * accepted clients do not deprive each other of upstream connections.
      */
     public int attemptDescriptors() {
         return Math.max(2, sockets.descriptors() - sockets.reservedDescriptors() / 2 - managementDescriptors());
--- a/node/src/main/java/tulipshed/limits/QuicLimits.java
+++ b/node/src/main/java/tulipshed/limits/QuicLimits.java
@@ -16,9 +16,10 @@
  * @param maxPendingClientHellos the maximum number of connections with an incomplete ClientHello; each buffers its first
  *     datagrams and the received bytes of the ClientHello
  * @param maxPathsPerConnection the maximum number of open network paths per client
- * @param pathIdleTimeoutMs the time after which the slot of an idle path on the upstream socket is released, unless it is the
- *     latest path of the client
- * @param upstreamSocketReuseDelayMs the time until a released slot on an upstream socket is assigned again
+ * @param pathIdleTimeoutMs the time after which an idle path, unless it is the latest path of the client, releases its slot on
+ *     the upstream socket: an upstream socket has one slot per endpoint, for the datagrams of one path
+ * @param upstreamSocketReuseDelayMs the time until a released slot is assigned again, if another socket may be opened, as the
+ *     endpoint may still send datagrams to the earlier path
  * @param maxReadsPerEvent the maximum number of datagrams read from a socket before other sockets are served
  * @param maxUnknownDatagrams the maximum number of datagrams with an unknown connection ID that are queued until those of
  *     known connections are forwarded
--- a/node/src/main/java/tulipshed/limits/ShutdownLimits.java
+++ b/node/src/main/java/tulipshed/limits/ShutdownLimits.java
@@ -15,7 +15,8 @@
  *     signal
  * @param lingerMs the time that clients have to close connections that end without a request
  * @param responseLingerMs the time that clients have to close the connections that get their final response last
- * @param minLingerMs the lower bound of that time, which applies with the shortest deadlines
+ * @param minLingerMs the minimum time from the end of accepting connections to the closing of all connections, which shortens
+ *     the time of accepting if deadlines are very short
  * @param maxSharedIds the maximum number of connection IDs that a process publishes to the other process of its node
  */
 public record ShutdownLimits(
--- a/node/src/main/java/tulipshed/limits/WarmupLimits.java
+++ b/node/src/main/java/tulipshed/limits/WarmupLimits.java
@@ -1,7 +1,8 @@
 package tulipshed.limits;
 
 /**
- * Limits of the warm-up, the exchanges that a process runs with itself before it accepts clients.
+ * Limits of the warm-up: before a process accepts clients, it runs exchanges through a frontend, a core and a decision module
+ * of its own, over connections in memory (see {@link tulipshed.warmup}).
  *
  * @param burstExchanges the number of exchanges per burst
  * @param targetMs the maximum duration of a burst that counts as in time: a fifth of the 40 ms available to the shortest
--- a/node/src/main/java/tulipshed/proxy/AttemptManager.java
+++ b/node/src/main/java/tulipshed/proxy/AttemptManager.java
@@ -39,7 +39,8 @@
     }
 
     /**
-     * Starts the next attempt of a request, as the decision module decided.
+     * Starts the next attempt of a request, as the decision module decided. Reports the attempt to it as UNUSED if it may not
+     * start, and as CONNECT_FAILED if the endpoint is not available. No effect if the request is no longer in the table.
      *
      * @param timeoutMs the time until the attempt must be established; 0 for the time left to the deadline, less the
      *     response margin
@@ -57,7 +58,7 @@
             return;
         }
         Attempt attempt = new Attempt(request, endpoint, request.attemptCount(), nowMs, establishByMs);
-        request.openAttempt(attempt);
+        request.setOpenAttempt(attempt);
         if (!endpoint.isAvailable()) {
             ended(attempt, Outcome.CONNECT_FAILED, LoadReport.NONE);
             return;
@@ -88,12 +89,12 @@
     }
 
     /**
-     * Creates the attempt of an adopted connection, which must be established by {@code establishByMs}; the caller opens it.
-     * There is no connect timeout, as the endpoint may still be starting.
+     * Creates and registers the attempt of an adopted connection; the caller passes it to the connector. The attempt must be
+     * established by {@code establishByMs}; it has no separate connect timeout, as the endpoint may still be starting.
      */
     Attempt createAdopted(Request request, Endpoint endpoint, double nowMs, double establishByMs) {
         Attempt attempt = new Attempt(request, endpoint, 0, nowMs, establishByMs);
-        request.openAttempt(attempt);
+        request.setOpenAttempt(attempt);
         attempt.setTimers(events.schedule(attempt.establishByMs(), () -> establishmentTimedOut(attempt)), null);
         return attempt;
     }
@@ -133,9 +134,9 @@
         attempt.markConnected();
         attempt.markEstablished(clock.nowMs());
         if (!request.isAdopted()) {
-            long tookUs = Clock.toMicros(attempt.establishedMs() - attempt.startedMs());
+            long setupTimeUs = Clock.toMicros(attempt.establishedMs() - attempt.startedMs());
             events.add((balancer, nowMs, nowUs) ->
-                    balancer.attemptEstablished(nowUs, request.id(), attempt.number(), tookUs));
+                    balancer.attemptEstablished(nowUs, request.id(), attempt.number(), setupTimeUs));
         }
         return true;
     }
@@ -147,7 +148,7 @@
         }
         attempt.markEnded();
         Request request = attempt.request();
-        request.closeAttempt();
+        request.clearOpenAttempt();
         if (!outcome.neverExecuted) {
             request.recordExecution(attempt.startedMs());
         }
@@ -155,7 +156,8 @@
             responses.complete(request);
             established.remove(request);
         } else if (request.isAdopted() && request.isPending()) {
-            // The decision module regards an adopted connection as established and decides on no response for it.
+            // The decision module counts an adopted connection as established and makes no decision on its final
+            // response.
             responses.fail(request);
         }
         events.add((balancer, nowMs, nowUs) -> {
--- a/node/src/main/java/tulipshed/proxy/ConnectionAdopter.java
+++ b/node/src/main/java/tulipshed/proxy/ConnectionAdopter.java
@@ -43,7 +43,10 @@
         this.attempts = attempts;
     }
 
-    /** Resumes a connection at the endpoint with that id, as soon as the address of the endpoint is known. */
+    /**
+     * Resumes a connection at the endpoint with that id, as soon as the address of the endpoint is known. Fails the request if
+     * the address does not become known in time.
+     */
     void adopt(Request request, String endpointId) {
         routing.classify(request);
         responses.startTracking(request);
@@ -59,7 +62,7 @@
         }
         if (endpoint != null && endpoint.address() != null) {
             open(request, endpoint, nowMs, arrivedMs + limits.adoptionTimeoutMs());
-        } else if (nowMs < arrivedMs + endpointTimeoutMs()) {
+        } else if (nowMs < arrivedMs + endpointWaitMs()) {
             awaitingEndpoint.add(request);
             events.schedule(nowMs + limits.unknownEndpointPollMs(), () -> resume(request, endpointId, arrivedMs));
         } else {
@@ -73,7 +76,7 @@
         awaitingEndpoint.clear();
     }
 
-    private double endpointTimeoutMs() {
+    private double endpointWaitMs() {
         return endpoints.isListReceived() ? limits.unlistedEndpointTimeoutMs() : limits.adoptionTimeoutMs();
     }
 
--- a/node/src/main/java/tulipshed/proxy/EndpointDrainer.java
+++ b/node/src/main/java/tulipshed/proxy/EndpointDrainer.java
@@ -8,7 +8,7 @@
  * that their clients do not all reconnect at the same time. Confined to the event-loop thread.
  */
 final class EndpointDrainer {
-    /** The fraction of the drain grace period over which attempts are ended; the rest is a reserve for slow ones. */
+    /** The fraction of the drain grace period over which attempts are ended; the rest is a margin for slow attempts. */
     private static final double DRAIN_SPREAD_FRACTION = 0.6;
 
     private final CoreContext context;
--- a/node/src/main/java/tulipshed/proxy/EndpointRegistry.java
+++ b/node/src/main/java/tulipshed/proxy/EndpointRegistry.java
@@ -11,14 +11,14 @@
 import tulipshed.decision.api.EndpointListKind;
 
 /**
- * The endpoints that the list has contained, including removed ones to which connections may still be open. Confined to the
- * event-loop thread.
+ * The endpoints that a list has contained or a decision has named, including removed ones to which connections may still be
+ * open. Confined to the event-loop thread.
  */
 final class EndpointRegistry {
     /** The number of listed and removed endpoints that may always be retained, however short the list is. */
     private static final int MIN_RETAINED = 64;
 
-    /** The maximum ratio of retained endpoints, listed and removed, to listed ones. */
+    /** The number of endpoints, listed and removed, retained per listed endpoint; applied when the bound is recomputed. */
     private static final int MAX_RETAINED_PER_LISTED = 2;
 
     /** All retained endpoints, oldest first. */
@@ -65,7 +65,7 @@
                 .forEach(Endpoint::markRemoved);
     }
 
-    /** The endpoint with that id, null if no list has contained it or it has been evicted. */
+    /** The endpoint with that id, null if no list has contained it and no decision has named it, or it has been evicted. */
     Endpoint find(String id) {
         return endpointsById.get(id);
     }
--- a/node/src/main/java/tulipshed/proxy/EventBatch.java
+++ b/node/src/main/java/tulipshed/proxy/EventBatch.java
@@ -8,9 +8,9 @@
 import tulipshed.time.Clock;
 
 /**
- * Collects events and delivers them to the decision module in one batch; then runs the deferred actions, including the
- * decisions made during the batch. A decision therefore never takes effect before an event that had already occurred.
- * Confined to the event-loop thread.
+ * Collects events and delivers them to the decision module in one batch, after running the expired timers; then runs the
+ * deferred actions, including the decisions made during the batch. A decision therefore never takes effect before an event
+ * that had already occurred. Confined to the event-loop thread.
  */
 final class EventBatch {
     private final Clock clock;
@@ -48,6 +48,7 @@
 
     /**
      * Defers the action until the events of the batch have been delivered; one deferred by an action runs in the next batch.
+     * Does not schedule a batch.
      */
     void defer(Runnable action) {
         deferredActions.add(action);
@@ -100,7 +101,7 @@
         try {
             StackTraceElement[] trace = failure.getStackTrace();
             log.error("event handler failed: " + failure + " at " + (trace.length > 0 ? trace[0] : "unknown location"));
-        } catch (Error outOfMemory) {
+        } catch (Error loggingFailure) {
             // There is no memory left for the log line; the rest of the batch still runs.
         }
     }
--- a/node/src/main/java/tulipshed/proxy/FinalResponses.java
+++ b/node/src/main/java/tulipshed/proxy/FinalResponses.java
@@ -1,6 +1,9 @@
 package tulipshed.proxy;
 
-/** Sends each client its single final response, and counts it. Confined to the event-loop thread. */
+/**
+ * Records and counts the outcome of each request, and sends rejections and failures to clients. Confined to the event-loop
+ * thread.
+ */
 final class FinalResponses {
     private final ActiveSettings settings;
     private final NodeMetrics metrics;
--- a/node/src/main/java/tulipshed/proxy/NodeMetrics.java
+++ b/node/src/main/java/tulipshed/proxy/NodeMetrics.java
@@ -6,7 +6,10 @@
 import java.util.function.LongSupplier;
 import tulipshed.decision.api.RequestClass;
 
-/** Counters of one node since its start. Confined to the event-loop thread. */
+/**
+ * Metrics of this process: counters since its start, and the number of active requests as a gauge. Confined to the event-loop
+ * thread.
+ */
 public final class NodeMetrics {
     private final Map<String, ResponseCounts> responses = new LinkedHashMap<>();
     private final Map<String, LongSupplier> frontendCounters = new LinkedHashMap<>();
--- a/node/src/main/java/tulipshed/proxy/PeerMessages.java
+++ b/node/src/main/java/tulipshed/proxy/PeerMessages.java
@@ -1,7 +1,7 @@
 package tulipshed.proxy;
 
 /**
- * Carries the datagrams of the decision module to and from the other nodes of the tier. Confined to the event-loop thread.
+ * Passes datagrams between the decision module and the other nodes of the tier. Confined to the event-loop thread.
  */
 final class PeerMessages implements PeerSender {
     private final ActiveSettings settings;
--- a/node/src/main/java/tulipshed/proxy/PeerSender.java
+++ b/node/src/main/java/tulipshed/proxy/PeerSender.java
@@ -3,8 +3,7 @@
 import tulipshed.decision.api.BalancerActions;
 
 /**
- * Sends datagrams to the other nodes of the tier; delivery is not guaranteed and may be late. Called on the event-loop thread
- * only.
+ * Sends datagrams to the other nodes of the tier; they may be lost or arrive late. Called on the event-loop thread only.
  */
 public interface PeerSender {
     /**
--- a/node/src/main/java/tulipshed/proxy/ProxyCore.java
+++ b/node/src/main/java/tulipshed/proxy/ProxyCore.java
@@ -15,9 +15,10 @@
  * The protocol-independent core of the proxy, between protocol frontends, endpoints and the decision module.
  *
  * <p>Frontends, connectors and discovery report events here. The events of one batch are delivered to the decision module
- * together, and its decisions are then carried out in order. Independently of the decisions, the core guarantees one final
- * response per request and at most one open attempt, forwards nothing to an endpoint that is not serving, and bounds every
- * wait. Confined to the event-loop thread.
+ * together, and its decisions are then carried out in order. Independently of the decisions, the core guarantees exactly
+ * one final response per request, unless its client disconnects first, and at most one open attempt; it forwards no new
+ * request to an endpoint that is not serving, while adopted connections may resume at a draining or removed one; and it
+ * bounds every wait. Confined to the event-loop thread.
  */
 public final class ProxyCore {
     private final CoreComponents components;
@@ -93,7 +94,7 @@
 
     // ---- Events of frontends and connectors ----
 
-    /** Reports the arrival of a request, which gets exactly one final response. */
+    /** Reports the arrival of a request, which gets exactly one final response unless its client disconnects first. */
     public void requestArrived(Request request) {
         components.requests.arrived(request);
     }
@@ -104,9 +105,18 @@
     }
 
     /**
-     * Whether the first byte of the attempt may be sent; called once its connection is up. Returns false if the endpoint
-     * started draining or was removed while connecting, or if the attempt timed out or the deduplication window of a retry
-     * passed meanwhile. In the latter two cases the attempt ends as UNUSED, which does not count against the endpoint.
+     * Whether the first byte of the attempt may be sent; called once its connection is up. Returns false
+     *
+     * <ul>
+     *   <li>if the attempt timed out or the deduplication window of a retry passed while connecting. The core then ends the
+     *       attempt as UNUSED, which does not count against the endpoint;
+     *   <li>if the attempt has already ended, or the request is no longer pending;
+     *   <li>if the endpoint started draining or was removed while connecting. An adopted connection may still resume, unless
+     *       its connector requires attempts to leave a draining endpoint.
+     * </ul>
+     *
+     * <p>Except in the first case, the attempt is recorded as connected even if the result is false, and the caller reports
+     * its end with {@link #attemptEnded}, which has no effect if it has already ended.
      */
     public boolean mayForward(Attempt attempt) {
         return components.attempts.mayForward(attempt);
@@ -189,7 +199,10 @@
         return components.migrator.migrateOldest();
     }
 
-    /** Sends all pending requests their final response before the node exits: a rejection only if a retry is harmless. */
+    /**
+     * Sends the client of every pending request its final response before the node exits: a rejection if a retry is harmless,
+     * otherwise a failure.
+     */
     public void rejectAllPending() {
         components.requests.rejectAllPending();
         components.adopter.failAllWaiting();
@@ -197,7 +210,7 @@
 
     // ---- Queries ----
 
-    /** The counters of this node. */
+    /** The metrics of this process since its start. */
     public NodeMetrics metrics() {
         return components.metrics;
     }
@@ -237,7 +250,7 @@
         return components.routing.hasRoutes();
     }
 
-    /** The number of routes that do not use their preferred pool. */
+    /** The number of routes of which at least one branch does not use its preferred pool. */
     public int spilledRoutes() {
         return components.routing.spilledRouteCount();
     }
--- a/node/src/main/java/tulipshed/proxy/Request.java
+++ b/node/src/main/java/tulipshed/proxy/Request.java
@@ -227,13 +227,13 @@
     }
 
     /** Sets and counts the open attempt. */
-    void openAttempt(Attempt opened) {
+    void setOpenAttempt(Attempt opened) {
         attempt = opened;
         attemptCount++;
     }
 
     /** Clears the open attempt. */
-    void closeAttempt() {
+    void clearOpenAttempt() {
         attempt = null;
     }
 
--- a/node/src/main/java/tulipshed/proxy/RequestLifecycle.java
+++ b/node/src/main/java/tulipshed/proxy/RequestLifecycle.java
@@ -36,7 +36,7 @@
         this.attempts = attempts;
     }
 
-    /** Accepts a new request, which gets exactly one final response. */
+    /** Accepts a new request, which gets exactly one final response unless its client disconnects first. */
     void arrived(Request request) {
         routing.classify(request);
         responses.startTracking(request);
@@ -127,7 +127,7 @@
         }
     }
 
-    /** Sends every pending request its final response: a rejection if a retry is harmless, otherwise a failure. */
+    /** Sends the client of every pending request its final response: a rejection if a retry is harmless, otherwise a failure. */
     void rejectAllPending() {
         for (Request request : List.copyOf(table.all())) {
             if (request.isPending()) {
--- a/node/src/main/java/tulipshed/proxy/RequestRouting.java
+++ b/node/src/main/java/tulipshed/proxy/RequestRouting.java
@@ -26,7 +26,10 @@
     private BalancerSettings settings;
     /** Null if there are no rules. */
     private Router router;
-    /** The pool in use by route name, for routes that do not use their preferred pool. */
+    /**
+     * The pool in use by route name, for routes that do not use their preferred pool; for a split route, the pool of its last
+     * branch that does not use its preferred pool.
+     */
     private Map<String, String> spilloverPools = Map.of();
 
     RequestRouting(BalancerSettings settings, NodeLog log) {
@@ -130,6 +133,7 @@
         rerouteRequests(balancer, nowUs, requests);
     }
 
+    /** Logs the changes; of a split route, only the last branch that does not use its preferred pool is considered. */
     private void logSpillover(Map<String, String> changed) {
         changed.forEach((route, pool) -> {
             if (!pool.equals(spilloverPools.get(route))) {
@@ -163,7 +167,7 @@
         return router != null && router.hasRoutes();
     }
 
-    /** The number of routes that do not use their preferred pool. */
+    /** The number of routes of which at least one branch does not use its preferred pool. */
     int spilledRouteCount() {
         return spilloverPools.size();
     }
--- a/node/src/main/java/tulipshed/proxy/RouteMonitor.java
+++ b/node/src/main/java/tulipshed/proxy/RouteMonitor.java
@@ -4,7 +4,8 @@
 
 /**
  * Re-evaluates pools and routes when the endpoint list changes, and also at regular intervals, as the eligibility and the age
- * of endpoints change without a change of the list. Confined to the event-loop thread.
+ * of endpoints change without a change of the list. Does neither if there are no routes and no pool depends on the age of
+ * endpoints. Confined to the event-loop thread.
  */
 final class RouteMonitor {
     private final CoreContext context;
@@ -31,7 +32,10 @@
         schedulePoll();
     }
 
-    /** Re-evaluates pools and routes after a change of the endpoint list. */
+    /**
+     * Re-evaluates pools and routes after a change of the endpoint list, if there are routes or a pool depends on the age of
+     * endpoints.
+     */
     void endpointsChanged() {
         if (routing.needsPolling()) {
             evaluate();
@@ -43,8 +47,9 @@
             return;
         }
         pollScheduled = true;
-        double pollMs = context.clock().nowMs() + context.limits().requests().routePollMs();
-        context.events().schedule(pollMs, () -> {
+        double nextPollMs =
+                context.clock().nowMs() + context.limits().requests().routePollMs();
+        context.events().schedule(nextPollMs, () -> {
             pollScheduled = false;
             evaluate();
             schedulePoll();
--- a/node/src/main/java/tulipshed/routing/PoolMembership.java
+++ b/node/src/main/java/tulipshed/routing/PoolMembership.java
@@ -12,8 +12,8 @@
 import tulipshed.expression.Program;
 
 /**
- * The endpoints of each pool. Evaluated when the endpoint list changes, and also between changes if a condition reads the age
- * of an endpoint.
+ * The endpoints of each pool. Evaluated when the rules are set and, if there are routes or a condition reads the age of an
+ * endpoint, also when the endpoint list changes and at intervals.
  */
 public final class PoolMembership {
     private final EndpointSchema schema;
--- a/node/src/main/java/tulipshed/routing/RequestAttributes.java
+++ b/node/src/main/java/tulipshed/routing/RequestAttributes.java
@@ -1,7 +1,7 @@
 package tulipshed.routing;
 
 /**
- * The attributes of a request on arrival, with class and tenant by their names in the settings.
+ * The attributes of a request that rules read, with class and tenant by their names in the settings.
  *
  * @param className the name of its class
  * @param tenant the name of its tenant, null if there is none
@@ -24,7 +24,7 @@
         boolean reconnecting,
         RequestOrigin origin) {
 
-    /** Returns the class, tenant and group that the request has on arrival. */
+    /** Returns the class, tenant and group of these attributes, for a request that no rule classifies. */
     RequestClassification unclassified() {
         return new RequestClassification(className, tenant, group);
     }
--- a/node/src/main/java/tulipshed/routing/RequestSchema.java
+++ b/node/src/main/java/tulipshed/routing/RequestSchema.java
@@ -125,7 +125,10 @@
         }
     }
 
-    /** Whether the strings of a request have the maximum lengths that expressions rely on; frontends check them on arrival. */
+    /**
+     * Whether none of the class, key, tenant and group of the request exceeds its maximum length, on which expressions rely;
+     * frontends check the strings on arrival.
+     */
     boolean fits(RequestAttributes request) {
         return request.className().length() <= requestClass.maxLength()
                 && request.key().length() <= key.maxLength()
--- a/node/src/main/java/tulipshed/routing/Router.java
+++ b/node/src/main/java/tulipshed/routing/Router.java
@@ -67,7 +67,10 @@
         return routes == null || !schema.fits(request) ? null : routes.poolFor(request);
     }
 
-    /** Returns the rules that apply to a request that has not been classified. */
+    /**
+     * Returns the rules that apply to a request that has not been classified. Unlike {@link #classify}, it does not check
+     * whether the strings of the request fit.
+     */
     public MatchedRules matchedRules(RequestAttributes request) {
         RequestAttributes classified = request.withClassification(classify(request));
         return new MatchedRules(
@@ -110,7 +113,10 @@
         return routes.reevaluate(readiness);
     }
 
-    /** Returns the pool in use by route name, for routes that do not use their preferred pool. */
+    /**
+     * Returns the pool in use by route name, for routes that do not use their preferred pool; for a split route, the pool of
+     * its last branch that does not use its preferred pool.
+     */
     public Map<String, String> spilloverPools() {
         return routes == null ? Map.of() : routes.spilloverPools();
     }
--- a/node/src/main/java/tulipshed/routing/Routes.java
+++ b/node/src/main/java/tulipshed/routing/Routes.java
@@ -60,7 +60,10 @@
         return changed;
     }
 
-    /** Returns the pool in use by route name, for routes that do not use their preferred pool. */
+    /**
+     * Returns the pool in use by route name, for routes that do not use their preferred pool; for a split route, the pool of
+     * its last branch that does not use its preferred pool.
+     */
     Map<String, String> spilloverPools() {
         Map<String, String> poolByRoute = new TreeMap<>();
         for (Route route : routes) {
--- a/node/src/main/java/tulipshed/time/Clock.java
+++ b/node/src/main/java/tulipshed/time/Clock.java
@@ -2,8 +2,8 @@
 
 /**
  * A source of monotonic time, for measuring durations: fractional milliseconds since an origin that has no meaning outside
- * this clock. For the time of day see {@link WallClock}. The decision module uses integral microseconds, settings and the
- * simulator use seconds; the static methods convert between these units.
+ * this clock. For the time of day see {@link WallClock}. The decision module and its settings use integral microseconds, the
+ * settings file and the messages of the simulator use seconds; the static methods convert between these units.
  */
 public interface Clock {
     /** The number of microseconds per second. */
--- a/node/src/main/java/tulipshed/time/SystemClock.java
+++ b/node/src/main/java/tulipshed/time/SystemClock.java
@@ -6,8 +6,8 @@
  */
 public final class SystemClock implements Clock {
     /**
-     * The time of a new clock in milliseconds, about eleven days. It keeps times shortly before the start above 0, which the
-     * decision module interprets as long ago.
+     * The time of a new clock in milliseconds, about eleven days. It keeps times shortly before the start above 0, as the
+     * decision module interprets a time of 0 as long ago.
      */
     static final double ORIGIN_MS = 1e9;
 
--- a/node/src/test/java/tulipshed/proxy/ActiveSettingsTest.java
+++ b/node/src/test/java/tulipshed/proxy/ActiveSettingsTest.java
@@ -38,14 +38,14 @@
         assertEquals(
                 List.of("endpoints CHANGES", "adopted s-9", "open s-9"),
                 fixture.takeRecorded(),
-                "its class has been removed");
+                "resumes although its class has been removed");
         fixture.core.attemptEstablished(fixture.attempts.get(1));
         assertEquals("2 0 0", fixture.responseCounts("slot-board"), "the response still counts for the removed class");
         assertEquals(3000, fixture.core.longestDeadlineMs());
     }
 
     @Test
-    void capsRetryDelayAtThatOfTheSettings() {
+    void capsRetryAfterAtMaximumOfSettings() {
         BalancerSettings settings = NodeJsonSettings.nodeSettings();
         double maxRetryAfterMs = settings.limits().maxRetryAfterUs() / 1000.0;
         ActiveSettings active = new ActiveSettings(settings);
--- a/node/src/test/java/tulipshed/proxy/AttemptManagerTest.java
+++ b/node/src/test/java/tulipshed/proxy/AttemptManagerTest.java
@@ -42,7 +42,10 @@
         Attempt attempt = fixture.startAttempt(2000);
         fixture.clock.advance(1961);
         assertFalse(fixture.core.mayForward(attempt));
-        assertEquals("ended 0 UNUSED", fixture.takeRecorded().get(0), "before the missing decision is detected");
+        assertEquals(
+                "ended 0 UNUSED",
+                fixture.takeRecorded().get(0),
+                "the attempt ends before the missing decision is detected");
     }
 
     /** The retry is decided within the deduplication window, but its connection is up only after the window. */
--- a/node/src/test/java/tulipshed/proxy/ConnectionAdopterTest.java
+++ b/node/src/test/java/tulipshed/proxy/ConnectionAdopterTest.java
@@ -54,7 +54,7 @@
         assertEquals(List.of("client: fail"), fixture.takeRecorded());
     }
 
-    /** Otherwise the process would exit without a final response to the request. */
+    /** Guards against an exit of the process without a final response to a request whose endpoint is still awaited. */
     @Test
     void shutdownFailsAdoptionThatWaitsForItsEndpoint() {
         Request waiting = fixture.adoptConnection("s-9");
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void adoptionFailsAtOnceWhenConnectionIsUnknown() {
+    void adoptionFailsWhenEndpointResetsAttempt() {
         fixture.adoptConnection("s-1");
         fixture.takeRecorded();
         fixture.core.attemptEnded(fixture.attempts.get(0), Outcome.RESET);
--- a/node/src/test/java/tulipshed/proxy/ProxyCoreFixture.java
+++ b/node/src/test/java/tulipshed/proxy/ProxyCoreFixture.java
@@ -15,11 +15,12 @@
 
 /**
  * A core with a clock and an event loop that the test controls. The fixture is also the client and the connector of all
- * requests. The test makes the decisions of the decision module; all actions of the core are recorded in order.
+ * requests. The test makes the decisions of the decision module. The events delivered to the decision module, the actions of
+ * the core and its log lines are recorded in order.
  */
 final class ProxyCoreFixture implements EventLoop, ClientConnection, UpstreamConnector {
     final ManualClock clock = new ManualClock(1_000_000);
-    /** The actions and log lines of the core, in order. */
+    /** The events delivered to the decision module, the actions of the core and its log lines, in order. */
     final List<String> recorded = new ArrayList<>();
     /** The attempts that the core opened, in order. */
     final List<Attempt> attempts = new ArrayList<>();
--- a/node/src/test/java/tulipshed/proxy/RecordingBalancer.java
+++ b/node/src/test/java/tulipshed/proxy/RecordingBalancer.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void attemptEstablished(long nowUs, long requestId, int attempt, long tookUs) {
+    public void attemptEstablished(long nowUs, long requestId, int attempt, long setupTimeUs) {
         recorded.add("established " + attempt);
     }
 
--- a/node/src/test/java/tulipshed/proxy/ReplicatedConnectionsTest.java
+++ b/node/src/test/java/tulipshed/proxy/ReplicatedConnectionsTest.java
@@ -10,7 +10,7 @@
 class ReplicatedConnectionsTest {
     private final ProxyCoreFixture fixture = new ProxyCoreFixture();
 
-    /** Otherwise the new process would distribute clients as if the endpoints had no load from the old process. */
+    /** Without the replicas, the new process would distribute clients as if the endpoints had no load from the old process. */
     @Test
     void replicatesConnectionsOfHotRestartPeer() {
         RecordingHotRestartPeer peer = new RecordingHotRestartPeer();
--- a/node/src/test/java/tulipshed/proxy/RequestLifecycleTest.java
+++ b/node/src/test/java/tulipshed/proxy/RequestLifecycleTest.java
@@ -43,7 +43,7 @@
         assertFalse(fixture.core.attemptEstablished(attempt));
     }
 
-    /** Otherwise the decision module would count the attempt at its endpoint forever. */
+    /** Without the report, the decision module would count the attempt at its endpoint forever. */
     @Test
     void reportsAttemptAsUnusedWhenClientDisconnectedBeforeItsStart() {
         Request request = fixture.requestArrives(2000);
@@ -93,7 +93,7 @@
                 fixture.takeRecorded());
     }
 
-    /** BUSY promises that a retry is harmless, but an open attempt may have executed. */
+    /** A rejection promises that a retry is harmless, but an attempt that was forwarded may have been executed. */
     @Test
     void shutdownFailsNonIdempotentRequestThatMayHaveExecuted() {
         for (ProxyCoreFixture fixture : List.of(ProxyCoreFixture.nonIdempotent(), ProxyCoreFixture.withKeyPerZone())) {
--- a/node/src/test/java/tulipshed/proxy/RequestTableTest.java
+++ b/node/src/test/java/tulipshed/proxy/RequestTableTest.java
@@ -26,11 +26,11 @@
     void keepsCompletedRequestWhileItsAttemptIsOpen() {
         Request request = fixture.newRequest(2000, false);
         table.register(request);
-        request.openAttempt(new Attempt(request, new Endpoint("s-1"), 0, 0, 2000));
+        request.setOpenAttempt(new Attempt(request, new Endpoint("s-1"), 0, 0, 2000));
         request.complete();
         table.removeIfFinished(request);
         assertSame(request, table.find(1));
-        request.closeAttempt();
+        request.clearOpenAttempt();
         table.removeIfFinished(request);
         assertNull(table.find(1));
     }
--- a/node/src/test/java/tulipshed/routing/RouterTest.java
+++ b/node/src/test/java/tulipshed/routing/RouterTest.java
@@ -75,15 +75,17 @@
         router.reevaluateSpillover(pool -> pool.equals("a") ? 10 : 2);
         for (int i = 0; i < 200; i++) {
             ready = Math.max(0, Math.min(10, ready + random.nextInt(5) - 2));
-            int now = ready;
-            boolean changed = router.reevaluateSpillover(pool -> pool.equals("a") ? now : 2);
+            int readyNow = ready;
+            boolean changed = router.reevaluateSpillover(pool -> pool.equals("a") ? readyNow : 2);
             String before = expected;
             expected = ready < 3 ? "b" : ready >= 6 ? "a" : expected;
             assertEquals(expected, router.poolFor(requestWithKey("k")), "with " + ready + " of 10 ready");
             assertEquals(!before.equals(expected), changed);
             changes += changed ? 1 : 0;
         }
-        assertTrue(changes <= 200 / 4, "at least 4 of 10 endpoints must change to change the pool back: " + changes);
+        // To change the pool back, the ready count must change by at least 4. The bound is on the number of changes: on
+        // average, at most every fourth evaluation changes the pool.
+        assertTrue(changes <= 200 / 4, "changes of the pool in 200 evaluations: " + changes);
     }
 
     @Test
