--- a/node/src/main/java/tulipshed/lineprotocol/ClientCloser.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientCloser.java
@@ -41,12 +41,12 @@
         connection.setReading(!session.isInputEnded());
         context.eventLoop().schedule(context.limits().sockets().lingerTimeoutMs(), this::onLingerTimeout);
         if (session.isInputEnded()) {
-            closeOnceWritten();
+            closeIfWritten();
         }
     }
 
     /** Closes the connection if no bytes are queued for the client; called once the client has ended its output. */
-    void closeOnceWritten() {
+    void closeIfWritten() {
         if (connection.queuedBytes() == 0) {
             close();
         }
@@ -63,6 +63,6 @@
         registration.releaseId();
         frontend.unservedConnections().remove(session);
         connection.close();
-        registration.release();
+        registration.releaseSlot();
     }
 }
--- a/node/src/main/java/tulipshed/lineprotocol/ClientRegistration.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientRegistration.java
@@ -33,7 +33,7 @@
     }
 
     /** Releases the client slot; further calls do nothing. */
-    void release() {
+    void releaseSlot() {
         if (!isReleased) {
             isReleased = true;
             frontend.clientClosed();
--- a/node/src/main/java/tulipshed/lineprotocol/ClientRequest.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientRequest.java
@@ -31,9 +31,9 @@
     void start(OpenCommand command, RequestOrigin origin) {
         openCommand = command;
         Request newRequest = new Request(
-                responder, this, command.attributes(), origin, context.clock().nowMs(), command.isAdopted());
+                responder, this, command.parameters(), origin, context.clock().nowMs(), command.isAdopted());
         if (command.isAdopted()) {
-            context.core().adoptConnection(newRequest, command.adoptedFrom());
+            context.core().adoptConnection(newRequest, command.adoptedEndpointId());
         } else {
             context.core().requestArrived(newRequest);
         }
@@ -45,12 +45,12 @@
         return request != null;
     }
 
-    /** Notifies the core that the client has disconnected. */
+    /** Cancels the request; the core treats the client as disconnected. */
     void cancel() {
         context.core().clientDisconnected(request);
     }
 
-    /** The connection of the latest attempt; null before the first attempt and after the latest one was abandoned. */
+    /** The connection of the latest attempt; null before the first attempt and after the core abandoned the latest one. */
     UpstreamConnection upstream() {
         return upstream;
     }
--- a/node/src/main/java/tulipshed/lineprotocol/ClientResponder.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientResponder.java
@@ -37,12 +37,15 @@
     public void migrate() {
         if (session.state() == ClientState.RELAYING) {
             session.upstream().abandon();
-            // Only complete lines are queued for the client, so this one cannot split another.
+            // Partial lines stay in the decoder, so this line splits no other, unless that one exceeds the line limit.
             sendLastLine(WireMessages.MIGRATE);
         }
     }
 
-    /** Sends the last line, then closes the connection once the client has read it or the linger timeout has expired. */
+    /**
+     * Sends the last line, then closes the connection once the client has ended its output or the linger timeout has
+     * expired.
+     */
     private void sendLastLine(byte[] line) {
         if (session.state() != ClientState.CLOSING) {
             closer.beginClosing();
--- a/node/src/main/java/tulipshed/lineprotocol/ClientSession.java
+++ b/node/src/main/java/tulipshed/lineprotocol/ClientSession.java
@@ -5,8 +5,9 @@
 
 /**
  * The state machine of one client connection, from its acceptance to its end: dispatches the events of the client, of its
- * endpoint and of timeouts to the objects that handle them. Input that has already arrived is read before the client is
- * rejected, failed or evicted. Confined to the event-loop thread.
+ * endpoint and of timeouts to the objects that handle them. Input that has already arrived is read before a client that is
+ * still opening times out, is rejected or is evicted; {@link #rejectForOverload} and the core's rejections and failures read
+ * nothing first. Confined to the event-loop thread.
  */
 final class ClientSession implements TcpConnection.Listener {
     private final LineProtocolFrontend frontend;
@@ -56,7 +57,7 @@
         return isInputEnded;
     }
 
-    /** The connection of the latest attempt; null before the first attempt and after the latest one was abandoned. */
+    /** The connection of the latest attempt; null before the first attempt and after the core abandoned the latest one. */
     UpstreamConnection upstream() {
         return request.upstream();
     }
@@ -146,7 +147,7 @@
                 responder.fail();
             }
             case RELAYING -> upstream().relay().onClientEndOfStream();
-            case CLOSING -> closer.closeOnceWritten();
+            case CLOSING -> closer.closeIfWritten();
             default -> closer.close();
         }
     }
@@ -186,12 +187,15 @@
         }
     }
 
-    /** Rejects the client for lack of capacity, regardless of the input already received. */
+    /** Rejects the client for lack of capacity, without reading its input first. */
     void rejectForOverload() {
         responder.reject(frontend.overloadRetryAfterMs());
     }
 
-    /** Closes the connection to free its descriptor for another client, unless an open command of its own has arrived. */
+    /**
+     * Closes an unserved connection to free its descriptor for another client or an upstream connection; keeps it if its open
+     * command has arrived in the meantime.
+     */
     void evict() {
         rejectIfOpening();
         if (state == ClientState.CLOSING) {
--- a/node/src/main/java/tulipshed/lineprotocol/CrlfDecoder.java
+++ b/node/src/main/java/tulipshed/lineprotocol/CrlfDecoder.java
@@ -29,7 +29,8 @@
             }
             byte next = in.get();
             partialLine[partialBytes++] = next;
-            // That a carriage return precedes the line feed is checked by the parsers.
+            // Only the parsers of client lines check for a carriage return; EndpointMessage.parse accepts a bare line
+            // feed.
             if (next == '\n') {
                 return takePartialLine();
             }
--- a/node/src/main/java/tulipshed/lineprotocol/EndpointReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/EndpointReader.java
@@ -51,7 +51,8 @@
                     upstream.end(Outcome.ERROR);
                     return;
                 }
-                // The line exceeds the limit; it is forwarded as it is, since the relay does not interpret such lines.
+                // The line exceeds the limit: the bytes read so far are forwarded without being interpreted, and the
+                // rest is decoded as a line of its own.
                 client.sendFromEndpoint(decoder.takePartialLine());
             }
         }
--- a/node/src/main/java/tulipshed/lineprotocol/FrontendContext.java
+++ b/node/src/main/java/tulipshed/lineprotocol/FrontendContext.java
@@ -12,8 +12,8 @@
  * Services and state shared by all connections of one frontend.
  *
  * @param readBuffer the buffer of whichever connection is reading; its content is not kept between events
- * @param clientErrors counts clients that are rejected for malformed input
- * @param upstreamErrors counts malformed lines of endpoints
+ * @param clientErrors counts clients that are failed for violating the protocol
+ * @param upstreamErrors counts malformed or unexpected lines of endpoints
  * @param defects counts connections that were ended because of a defect of this program
  * @param upstreamLog the logger for traffic between the node and its endpoints
  */
--- a/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/HealthCheckConnection.java
@@ -89,7 +89,7 @@
         connection.setReading(true);
     }
 
-    /** Notifies the core of the result of the check in progress and keeps the connection. */
+    /** Ends the check, if one is in progress, and notifies the core of its result; does not close the connection. */
     private void complete(Outcome outcome, LoadReport report) {
         if (isChecking) {
             isChecking = false;
--- a/node/src/main/java/tulipshed/lineprotocol/LoadReportParser.java
+++ b/node/src/main/java/tulipshed/lineprotocol/LoadReportParser.java
@@ -5,8 +5,8 @@
 import tulipshed.decision.api.LoadReport;
 
 /**
- * Parses the load report at the end of an endpoint's response: {@code inflight=7,queue=2,util=0.61}. A field may have its
- * name from the protocol page or from the settings; unknown fields are skipped.
+ * Parses the load report at the end of an endpoint's response: {@code inflight=7,queue=2,util=0.61}. Some fields have
+ * two accepted names; unknown fields are skipped.
  */
 final class LoadReportParser {
     private static final int MAX_FIELDS = 32; // in one report, known or not
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommand.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommand.java
@@ -12,8 +12,8 @@
  * @param id the ID chosen by the client, unique among the open requests of the node
  * @param timeoutStart index of the first character of the timeout in the line
  * @param timeoutEnd index after the last character of the timeout
- * @param attributes the parameters of the request
- * @param adoptedFrom ID of the endpoint to which an adopted connection was established; null for a new connection
+ * @param parameters the parameters of the request
+ * @param adoptedEndpointId ID of the endpoint to which an adopted connection was established; null for a new connection
  * @param declaredAttributes the additional attributes that the operators' file declares
  */
 record OpenCommand(
@@ -21,8 +21,8 @@
         String id,
         int timeoutStart,
         int timeoutEnd,
-        RequestParameters attributes,
-        String adoptedFrom,
+        RequestParameters parameters,
+        String adoptedEndpointId,
         AdditionalAttributes declaredAttributes) {
 
     /** An endpoint takes a timeout of 0 to mean that the client has disconnected. */
@@ -30,7 +30,7 @@
 
     /** Whether this node adopts a connection that was established before. */
     boolean isAdopted() {
-        return adoptedFrom != null;
+        return adoptedEndpointId != null;
     }
 
     /** The line forwarded to an endpoint, with {@code timeoutMs} rounded down to whole milliseconds, 1 at least. */
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommandBuilder.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommandBuilder.java
@@ -16,7 +16,7 @@
     private static final String LOAD_HINT_FIELD = "h";
     private static final String RETRY_FIELD = "r";
     private static final String RECONNECTING_FIELD = "again";
-    private static final String ADOPTED_FROM_FIELD = "at";
+    private static final String ADOPTED_ENDPOINT_FIELD = "at";
 
     private static final String TRUE = "1";
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,15})?");
@@ -36,7 +36,7 @@
     private double loadHintUsPerS;
     private boolean isRetry;
     private boolean isReconnecting;
-    private String adoptedFrom;
+    private String adoptedEndpointId;
     private final AdditionalAttributes.Builder declaredAttributes = AdditionalAttributes.builder();
 
     /** Creates a builder for the command with this line, ID and key. */
@@ -66,7 +66,7 @@
             case LOAD_HINT_FIELD -> loadHintUsPerS = parseNumber(value);
             case RETRY_FIELD -> isRetry = value.equals(TRUE);
             case RECONNECTING_FIELD -> isReconnecting = value.equals(TRUE);
-            case ADOPTED_FROM_FIELD -> adoptedFrom = value;
+            case ADOPTED_ENDPOINT_FIELD -> adoptedEndpointId = value;
             default -> setDeclaredField(name, value);
         }
     }
@@ -90,9 +90,10 @@
     OpenCommand build() {
         requireComplete();
         requireWithinLimits();
-        RequestParameters attributes = new RequestParameters(
+        RequestParameters parameters = new RequestParameters(
                 classIndex, tenantIndex, key, group, timeoutMs, loadHintUsPerS, isRetry, isReconnecting);
-        return new OpenCommand(line, id, timeoutStart, timeoutEnd, attributes, adoptedFrom, declaredAttributes.build());
+        return new OpenCommand(
+                line, id, timeoutStart, timeoutEnd, parameters, adoptedEndpointId, declaredAttributes.build());
     }
 
     private void requireComplete() {
@@ -100,7 +101,7 @@
             throw new MalformedLineException("no class or no timeout");
         }
         // An adopted connection may state its lifetime as the timeout, since it awaits no response.
-        if (timeoutMs > parser.maxTimeoutMs() && adoptedFrom == null) {
+        if (timeoutMs > parser.maxTimeoutMs() && adoptedEndpointId == null) {
             throw new MalformedLineException("a timeout that is too long");
         }
         if (tenantIndex < 0 && !parser.names().tenantNames().isEmpty()) {
--- a/node/src/main/java/tulipshed/lineprotocol/OpenCommandParser.java
+++ b/node/src/main/java/tulipshed/lineprotocol/OpenCommandParser.java
@@ -24,7 +24,8 @@
     /**
      * Parses one complete line with its terminator.
      *
-     * @throws MalformedLineException if the line is not an open command, or a class or tenant is not in the settings
+     * @throws MalformedLineException if the line is malformed, or a field is missing, invalid (such as a class or tenant that
+     *     is not in the settings) or over its limit
      */
     OpenCommand parse(byte[] encoded) {
         String line = new String(encoded, StandardCharsets.ISO_8859_1);
--- a/node/src/main/java/tulipshed/lineprotocol/RedialBackoff.java
+++ b/node/src/main/java/tulipshed/lineprotocol/RedialBackoff.java
@@ -10,24 +10,24 @@
  */
 final class RedialBackoff {
     private final int maxRedials;
-    private final double firstPauseMs;
+    private final double minNonzeroDelayMs;
     private int redialCount;
     private double nextDelayMs;
 
     /** Creates the backoff of one attempt. */
     RedialBackoff(LineProtocolLimits limits) {
         maxRedials = limits.maxRedials();
-        firstPauseMs = limits.firstRedialPauseMs();
+        minNonzeroDelayMs = limits.firstRedialPauseMs();
     }
 
-    /** Returns the delay before the next redial; empty if the redials are used up or the attempt has too little time left. */
-    OptionalDouble nextDelayMs(double remainingWaitMs) {
+    /** Counts one redial and returns the delay before it; empty if none is left or the attempt has too little time left. */
+    OptionalDouble takeNextDelayMs(double remainingWaitMs) {
         if (redialCount == maxRedials || nextDelayMs >= remainingWaitMs) {
             return OptionalDouble.empty();
         }
         redialCount++;
         double delayMs = nextDelayMs;
-        nextDelayMs = Math.max(firstPauseMs, 2 * nextDelayMs);
+        nextDelayMs = Math.max(minNonzeroDelayMs, 2 * nextDelayMs);
         return OptionalDouble.of(delayMs);
     }
 }
--- a/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
+++ b/node/src/main/java/tulipshed/lineprotocol/RequestReader.java
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Buffers early data up to its limit; beyond it, as with hundreds of commands sent at once, the client is malformed. */
+    /** Buffers early data; if the limit is exceeded, as with hundreds of commands sent at once, fails the client. */
     private void bufferEarlyData(ByteBuffer in) {
         if (session.state() == ClientState.PENDING && in.hasRemaining() && !earlyData.append(in)) {
             session.cancelMalformed("too much data before the response");
--- a/node/src/main/java/tulipshed/lineprotocol/UnservedConnections.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UnservedConnections.java
@@ -35,7 +35,10 @@
         opening.remove(session);
     }
 
-    /** Adds a session whose last line was sent; its connection stays open until the client has read that line. */
+    /**
+     * Adds a session whose last line was sent; unless evicted, its connection stays open until the client has ended its output
+     * or the linger timeout has expired.
+     */
     void addLingering(ClientSession session) {
         opening.remove(session);
         lingering.add(session);
@@ -47,7 +50,7 @@
         lingering.remove(session);
     }
 
-    /** Evicts one connection; returns false if there is none. */
+    /** Tries to evict the next connection, which is kept if its open command has arrived; returns false if there is none. */
     boolean evictOne() {
         Optional<ClientSession> next = nextToEvict();
         next.ifPresent(ClientSession::evict);
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamConnection.java
@@ -8,7 +8,8 @@
 
 /**
  * The state machine of one attempt's connection to its endpoint: dispatches the events of the endpoint and of the client to
- * the objects that handle them. Notifies the core of its end exactly once. Confined to the event-loop thread.
+ * the objects that handle them. Notifies the core of its end at most once: not if it is abandoned or closed on the core's
+ * behalf. Confined to the event-loop thread.
  */
 final class UpstreamConnection implements TcpConnection.Listener {
     private final LineProtocolFrontend frontend;
@@ -107,13 +108,13 @@
     @Override
     public void onReadable(TcpConnection from) {
         if (state == UpstreamState.AWAITING_RESPONSE) {
-            // A disconnected client must not be established, nor its early data be forwarded.
+            // The request of a disconnected client must not become established, nor may its early data be forwarded.
             client.readAvailableInput();
         }
         StreamReader.read(connection, context.readBuffer(), StreamReader.UNLIMITED_READS, endpointReader);
     }
 
-    /** Handles one complete line, which is a response or follows one. */
+    /** Handles one line: the response to the open command, or a line to relay once the connection is established. */
     void handleLine(byte[] line) {
         EndpointMessage message = EndpointMessage.parse(line);
         OptionalDouble value = reports.processMessage(message);
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamDialer.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamDialer.java
@@ -47,7 +47,7 @@
             return;
         }
         double nowMs = context.clock().nowMs();
-        OptionalDouble delayMs = redialBackoff.nextDelayMs(attempt.remainingWaitMs(nowMs));
+        OptionalDouble delayMs = redialBackoff.takeNextDelayMs(attempt.remainingWaitMs(nowMs));
         if (delayMs.isPresent()) {
             context.eventLoop().schedule(delayMs.getAsDouble(), this::redial);
         } else {
--- a/node/src/main/java/tulipshed/lineprotocol/UpstreamRelay.java
+++ b/node/src/main/java/tulipshed/lineprotocol/UpstreamRelay.java
@@ -34,7 +34,7 @@
 
     /** Records input of the endpoint for the inactivity check. */
     void onEndpointInput() {
-        inactivityDetector.responseReceived();
+        inactivityDetector.onEndpointInput();
     }
 
     /** Forwards a line of the endpoint to the client and the value of a {@code LOAD} line, if present, to the core. */
@@ -55,13 +55,13 @@
 
     /** Forwards bytes of the client to the endpoint. */
     void sendToEndpoint(byte[] bytes) {
-        inactivityDetector.requestSent(context.clock().nowMs());
+        inactivityDetector.onClientInput(context.clock().nowMs());
         upstream.connection().write(bytes);
     }
 
     /** Notifies the core if the endpoint is unresponsive: an endpoint may fail without its connection being closed. */
     void checkInactivity(double nowMs) {
-        if (inactivityDetector.isUnresponsive(nowMs)) {
+        if (inactivityDetector.checkUnresponsive(nowMs)) {
             context.core().endpointUnresponsive(attempt);
         }
     }
--- a/node/src/main/java/tulipshed/logging/NodeLog.java
+++ b/node/src/main/java/tulipshed/logging/NodeLog.java
@@ -50,7 +50,7 @@
                 new TraceLimiter(sink, nowMs, maxTraceLines));
     }
 
-    /** A log that writes only lines of level ERROR to {@code sink}. */
+    /** A log that writes only lines of level ERROR and above to {@code sink}. */
     public static NodeLog errorsTo(Consumer<String> sink) {
         return new NodeLog("tulipshed" + INSTANCE_COUNT.incrementAndGet(), Level.SEVERE, sink);
     }
--- a/node/src/main/java/tulipshed/management/ManagementServer.java
+++ b/node/src/main/java/tulipshed/management/ManagementServer.java
@@ -59,7 +59,7 @@
         readBuffer = ByteBuffer.allocate(limits.management().headBytes());
         // Twice the number kept open, so that a new connection can always be accepted before the oldest is closed.
         acceptor = loop.listen(address, 2 * limits.management().connections(), this::onAccepted);
-        loop.schedule(limits.sockets().sweepIntervalMs(), this::closeExpired);
+        loop.schedule(limits.sockets().sweepIntervalMs(), this::sweep);
     }
 
     /** The address that the server listens on. */
@@ -88,7 +88,7 @@
         candidates.iterator().next().close();
     }
 
-    /** Records that a session has written its response. */
+    /** Records that a session is about to write its response. */
     void onResponded(ManagementSession session) {
         awaitingRequest.remove(session);
         responded.add(session);
@@ -118,7 +118,7 @@
                 : HttpResponse.text(503, "Service Unavailable", "does not serve");
     }
 
-    private void closeExpired() {
+    private void sweep() {
         double nowMs = clock.nowMs();
         // Sessions with a response first: one that gets its response in this sweep keeps a sweep interval to read it.
         List.copyOf(responded).stream()
@@ -127,6 +127,6 @@
         List.copyOf(awaitingRequest).stream()
                 .filter(session -> session.isOverdue(nowMs))
                 .forEach(ManagementSession::onRequestTimeout);
-        loop.schedule(limits.sockets().sweepIntervalMs(), this::closeExpired);
+        loop.schedule(limits.sockets().sweepIntervalMs(), this::sweep);
     }
 }
--- a/node/src/main/java/tulipshed/management/ManagementSession.java
+++ b/node/src/main/java/tulipshed/management/ManagementSession.java
@@ -15,7 +15,7 @@
     private final Clock clock;
     private final Limits limits;
     private final double acceptedMs;
-    /** The time of the response; NaN until it is written. */
+    /** The time of the response, set just before it is written; NaN until then. */
     private double respondedMs = Double.NaN;
 
     /**
@@ -50,8 +50,8 @@
      * session stays open for at least a sweep interval; otherwise the client might see a reset instead of the response.
      */
     boolean isOverdue(double nowMs) {
-        boolean mayStillRead = nowMs - respondedMs < limits.sockets().sweepIntervalMs();
-        return nowMs - acceptedMs > limits.management().requestTimeoutMs() && !mayStillRead;
+        boolean isResponseRecent = nowMs - respondedMs < limits.sockets().sweepIntervalMs();
+        return nowMs - acceptedMs > limits.management().requestTimeoutMs() && !isResponseRecent;
     }
 
     @Override
@@ -60,7 +60,7 @@
             readBuffer.clear();
             int readBytes = connection.read(readBuffer);
             if (readBytes < 0) {
-                endOfInput();
+                onEndOfStream();
             }
             if (readBytes <= 0) {
                 return;
@@ -71,7 +71,7 @@
         }
     }
 
-    private void endOfInput() {
+    private void onEndOfStream() {
         if (!hasResponded() || connection.queuedBytes() == 0) {
             close();
         } else {
--- a/node/src/test/java/tulipshed/lineprotocol/AsyncApiDescriptionTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/AsyncApiDescriptionTest.java
@@ -47,7 +47,7 @@
                     .parse(line.getBytes(StandardCharsets.US_ASCII));
             assertEquals(
                     line,
-                    new String(command.forwardedLine(command.attributes().timeoutMs()), StandardCharsets.US_ASCII));
+                    new String(command.forwardedLine(command.parameters().timeoutMs()), StandardCharsets.US_ASCII));
         }
     }
 
--- a/node/src/test/java/tulipshed/lineprotocol/ClientCloseResponseTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ClientCloseResponseTest.java
@@ -43,7 +43,7 @@
         });
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            releaseLoopAndAwaitDecision();
+            releaseLoopAndAwaitTask();
             assertOneResponse(client, "BUSY [0-9]+");
         }
     }
@@ -79,7 +79,7 @@
             client.send(OPEN_COMMAND.replace("d=4000", "d=" + timeoutMs));
             assertOneResponse(client, "BUSY [0-9]+|ERR");
         }
-        assertNextRequestIsAnotherClients();
+        assertNothingForwardedBeforeNextClient();
     }
 
     /** The frontend has a class index that the core's settings lack, so the core throws when the request arrives. */
--- a/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
@@ -22,7 +22,7 @@
 class ClientDisconnectRaceTest extends RaceConditionFixture {
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void opensNoConnectionForClientGoneBeforeFirstAttempt(String closeType) throws Exception {
+    void opensNoConnectionForDisconnectedClientBeforeFirstAttempt(String closeType) throws Exception {
         beforeRequestArrived = this::holdLoop;
         LineSocket client = connectClient();
         client.send(OPEN_COMMAND);
@@ -30,12 +30,12 @@
         disconnect(client, closeType);
         otherEventHappened.countDown();
         assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
-        assertNextRequestIsAnotherClients();
+        assertNothingForwardedBeforeNextClient();
     }
 
     /** The end of stream is unread and follows early data, which a client may send. */
     @Test
-    void detectsEndOfStreamBehindEarlyDataBeforeFirstAttempt() throws Exception {
+    void detectsEndOfStreamAfterEarlyDataBeforeFirstAttempt() throws Exception {
         beforeRequestArrived = this::holdLoop;
         LineSocket client = connectClient();
         client.send(OPEN_COMMAND);
@@ -44,12 +44,12 @@
         client.close();
         otherEventHappened.countDown();
         assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
-        assertNextRequestIsAnotherClients();
+        assertNothingForwardedBeforeNextClient();
     }
 
     /** Each read returns only 16 bytes of the early data, so that many reads precede the end of stream. */
     @Test
-    void detectsEndOfStreamBehindManyReadsBeforeFirstAttempt() throws Exception {
+    void detectsEndOfStreamAfterManyReadsBeforeFirstAttempt() throws Exception {
         stop();
         start(withReadBytes(16));
         beforeRequestArrived = this::holdLoop;
@@ -60,7 +60,7 @@
         client.close();
         otherEventHappened.countDown();
         assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
-        assertNextRequestIsAnotherClients();
+        assertNothingForwardedBeforeNextClient();
     }
 
     private static Limits withReadBytes(int readBytes) {
@@ -89,13 +89,13 @@
         LineSocket client = connectClient();
         client.send(OPEN_COMMAND);
         client.close();
-        releaseLoopAndAwaitDecision();
+        releaseLoopAndAwaitTask();
         assertEquals(Outcome.UNUSED, outcomes.poll(5, TimeUnit.SECONDS));
-        assertNextRequestIsAnotherClients();
+        assertNothingForwardedBeforeNextClient();
     }
 
     @Test
-    void forwardsNoEarlyDataForClientGoneBeforeResponse() throws Exception {
+    void forwardsNoEarlyDataForDisconnectedClientBeforeResponse() throws Exception {
         LineSocket client = connectClient();
         ClientSession session = sessionOf(client);
         client.send(OPEN_COMMAND);
@@ -105,7 +105,7 @@
             holdLoopThenRun(() -> session.upstream().onReadable(null));
             client.close();
             endpoint.send("UP r1\r\n");
-            releaseLoopAndAwaitDecision();
+            releaseLoopAndAwaitTask();
             assertNull(endpoint.readLine());
             assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
         }
@@ -126,7 +126,7 @@
             });
             endpoint.send("LOAD 1\r\nLOAD 2\r\n");
             disconnect(client, "RST");
-            releaseLoopAndAwaitDecision();
+            releaseLoopAndAwaitTask();
             assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
             assertEquals(List.of(), logLines);
         }
@@ -134,7 +134,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void doesNotRetryForClientGoneBetweenAttempts(String closeType) throws Exception {
+    void doesNotRetryForDisconnectedClientBetweenAttempts(String closeType) throws Exception {
         addSecondEndpoint();
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
@@ -176,7 +176,7 @@
     /** The client waits for an endpoint to start serving, and disconnects just as one does. */
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void doesNotForwardForClientGoneWhileNoEndpointServed(String closeType) throws Exception {
+    void doesNotForwardForDisconnectedClientWhileNoEndpointServed(String closeType) throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         loop.execute(() -> {
             listFirstEndpoint(EndpointStatus.DRAINING);
@@ -190,13 +190,13 @@
         await(arrived);
         holdLoopThenRun(() -> listFirstEndpoint(EndpointStatus.SERVING));
         disconnect(client, closeType);
-        releaseLoopAndAwaitDecision();
-        assertNextRequestIsAnotherClients();
+        releaseLoopAndAwaitTask();
+        assertNothingForwardedBeforeNextClient();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void doesNotForwardForClientGoneWhileConnecting(String closeType) throws Exception {
+    void doesNotForwardForDisconnectedClientWhileConnecting(String closeType) throws Exception {
         // After the event batch that starts connecting, but before the event loop is notified of the connection.
         beforeRequestArrived = () -> loop.execute(this::holdLoop);
         LineSocket client = connectClient();
--- a/node/src/test/java/tulipshed/lineprotocol/ConnectionCloseRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ConnectionCloseRaceTest.java
@@ -24,7 +24,7 @@
             holdLoopThenRun(() ->
                     frontend.unservedConnections().overdue(Double.MAX_VALUE).forEach(ClientSession::onOpenTimeout));
             client.send(OPEN_COMMAND);
-            releaseLoopAndAwaitDecision();
+            releaseLoopAndAwaitTask();
             assertServed(client);
         }
     }
@@ -36,19 +36,19 @@
             assertEquals("PONG", client.readLine());
             holdLoopThenRun(() -> frontend.unservedConnections().evictOne());
             client.send(OPEN_COMMAND);
-            releaseLoopAndAwaitDecision();
+            releaseLoopAndAwaitTask();
             assertServed(client);
         }
     }
 
     @Test
-    void servesOpenCommandThatArrivesAsWaitingClientsAreRejected() throws Exception {
+    void servesOpenCommandThatArrivesAsOpeningClientsAreRejected() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send("PING\r\n");
             assertEquals("PONG", client.readLine());
             holdLoopThenRun(() -> frontend.rejectOpeningClients());
             client.send(OPEN_COMMAND);
-            releaseLoopAndAwaitDecision();
+            releaseLoopAndAwaitTask();
             assertServed(client);
         }
     }
@@ -82,7 +82,7 @@
             assertEquals("PONG", client.readLine());
             holdLoopThenRun(() -> assertTrue(frontend.unservedConnections().evictOne()));
             client.send(unread);
-            releaseLoopAndAwaitDecision();
+            releaseLoopAndAwaitTask();
             String response = client.readLine();
             assertTrue(response.equals("ERR") || response.matches("BUSY [0-9]+"), response);
             assertClosedWithoutReset(client);
@@ -97,7 +97,7 @@
             assertEquals("ERR", client.readLine());
             holdLoopThenRun(() -> assertTrue(frontend.unservedConnections().evictOne()));
             client.send("OPEN and more that nobody wants\r\n");
-            releaseLoopAndAwaitDecision();
+            releaseLoopAndAwaitTask();
             assertClosedWithoutReset(client);
         }
     }
@@ -134,7 +134,7 @@
                 }
             });
             client.send("OPEN and more that nobody wants\r\n");
-            releaseLoopAndAwaitDecision();
+            releaseLoopAndAwaitTask();
             assertClosedWithoutReset(client);
         }
     }
@@ -149,11 +149,11 @@
                 frontend.rejectOpeningClients();
                 assertFalse(frontend.unservedConnections().opening().iterator().hasNext());
             });
-            releaseLoopAndAwaitDecision();
+            releaseLoopAndAwaitTask();
             assertTrue(client.readLine().matches("BUSY [0-9]+"));
             client.send(OPEN_COMMAND);
             assertNull(client.readLine());
         }
-        assertNextRequestIsAnotherClients();
+        assertNothingForwardedBeforeNextClient();
     }
 }
--- a/node/src/test/java/tulipshed/lineprotocol/EndpointChangeRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/EndpointChangeRaceTest.java
@@ -62,7 +62,7 @@
 
     /** The decoder holds a partial line of the endpoint when the client is migrated; MOVE must not follow a partial line. */
     @Test
-    void dropsPartialEndpointLineWhenClientMigrates() throws Exception {
+    void dropsPartialEndpointLineWhenClientIsMigrated() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
             try (LineSocket endpoint = acceptUpstream()) {
@@ -71,7 +71,7 @@
                 assertEquals("UP r1", client.readLine());
                 holdLoopThenRun(() -> core.migrateOldest());
                 endpoint.send("M 1 who");
-                releaseLoopAndAwaitDecision();
+                releaseLoopAndAwaitTask();
                 assertEquals("MOVE", client.readLine());
                 assertNull(client.readLine());
             }
--- a/node/src/test/java/tulipshed/lineprotocol/HealthCheckConnectionsTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/HealthCheckConnectionsTest.java
@@ -149,7 +149,7 @@
                 "NO",
                 "LOAD 3"
             })
-    void rejectsMalformedReportWithoutQuotingIt(String response) throws Exception {
+    void failsHealthCheckOnInvalidResponseWithoutQuotingIt(String response) throws Exception {
         startHealthCheck();
         try (LineSocket endpoint = acceptUpstream()) {
             endpoint.readLine();
--- a/node/src/test/java/tulipshed/lineprotocol/InactivityDetectorTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/InactivityDetectorTest.java
@@ -15,9 +15,9 @@
     /** Regression: when a zone was lost, each of its clients waited 2.5 s more before it was migrated. */
     @Test
     void detectsUnresponsiveEndpointBeforeClientGivesUp() {
-        detector.requestSent(1000);
+        detector.onClientInput(1000);
         double nowMs = 1000;
-        while (!detector.isUnresponsive(nowMs)) {
+        while (!detector.checkUnresponsive(nowMs)) {
             nowMs += sweepIntervalMs;
         }
         assertTrue(nowMs - 1000 > 600, "endpoints may pause for 600 ms");
@@ -26,26 +26,26 @@
 
     @Test
     void furtherRequestsDoNotExtendTimeout() {
-        detector.requestSent(0);
-        detector.isUnresponsive(timeoutMs + 1);
-        detector.requestSent(timeoutMs + 2);
-        assertTrue(detector.isUnresponsive(timeoutMs + 3));
+        detector.onClientInput(0);
+        detector.checkUnresponsive(timeoutMs + 1);
+        detector.onClientInput(timeoutMs + 2);
+        assertTrue(detector.checkUnresponsive(timeoutMs + 3));
     }
 
     /** A node that was suspended may check before it reads; input that arrived meanwhile must be read first. */
     @Test
     void responseReadBetweenTwoChecksClearsSuspicion() {
-        detector.requestSent(0);
-        assertFalse(detector.isUnresponsive(10 * timeoutMs));
-        detector.responseReceived();
-        assertFalse(detector.isUnresponsive(10 * timeoutMs + 1));
-        detector.requestSent(10 * timeoutMs + 2);
-        assertFalse(detector.isUnresponsive(20 * timeoutMs), "the earlier suspicion is cleared");
+        detector.onClientInput(0);
+        assertFalse(detector.checkUnresponsive(10 * timeoutMs));
+        detector.onEndpointInput();
+        assertFalse(detector.checkUnresponsive(10 * timeoutMs + 1));
+        detector.onClientInput(10 * timeoutMs + 2);
+        assertFalse(detector.checkUnresponsive(20 * timeoutMs), "the earlier suspicion is cleared");
     }
 
     @Test
     void expectsNoResponseBeforeFirstRequest() {
-        assertFalse(detector.isUnresponsive(1e9));
-        assertFalse(detector.isUnresponsive(2e9));
+        assertFalse(detector.checkUnresponsive(1e9));
+        assertFalse(detector.checkUnresponsive(2e9));
     }
 }
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFixture.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFixture.java
@@ -168,7 +168,7 @@
 
     /** The decision module to use; overridden by tests that observe more of it. Called on the event loop. */
     BalancerApi decisionModule(Balancer balancer, BalancerActions actions) {
-        return new RecordingModule(balancer);
+        return new RecordingBalancer(balancer);
     }
 
     /** The endpoint-list entry of an endpoint that the test acts as. */
@@ -210,8 +210,8 @@
     }
 
     /** The decision module, with its notifications recorded. */
-    private final class RecordingModule extends DelegatingBalancer {
-        RecordingModule(BalancerApi delegate) {
+    private final class RecordingBalancer extends DelegatingBalancer {
+        RecordingBalancer(BalancerApi delegate) {
             super(delegate);
         }
 
@@ -222,8 +222,8 @@
         }
 
         @Override
-        public void latencyReported(long now, long requestId, double delayMs) {
-            latencies.add(delayMs);
+        public void latencyReported(long now, long requestId, double latencyMs) {
+            latencies.add(latencyMs);
         }
 
         @Override
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
@@ -241,7 +241,7 @@
 
     /** Regression: endpoints were sent the same invalid request six times, and answered ERR to each. */
     @Test
-    void rejectsIdOfOpenRequest() throws IOException {
+    void failsDuplicateIdOfOpenRequest() throws IOException {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
             try (LineSocket endpoint = acceptUpstream()) {
--- a/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LocalConnectFailureTest.java
@@ -59,7 +59,7 @@
         client.close();
         otherEventHappened.countDown();
         assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
-        assertNextRequestIsAnotherClients();
+        assertNothingForwardedBeforeNextClient();
     }
 
     @Test
@@ -67,12 +67,12 @@
         LineProtocolLimits limits = Limits.forDescriptors(1024).lineProtocol();
         RedialBackoff backoff = new RedialBackoff(limits);
         for (double delayMs : List.of(0.0, 2.0, 4.0, 8.0, 16.0)) {
-            assertEquals(OptionalDouble.of(delayMs), backoff.nextDelayMs(1_000));
+            assertEquals(OptionalDouble.of(delayMs), backoff.takeNextDelayMs(1_000));
         }
-        assertEquals(OptionalDouble.empty(), backoff.nextDelayMs(1_000));
+        assertEquals(OptionalDouble.empty(), backoff.takeNextDelayMs(1_000));
         RedialBackoff late = new RedialBackoff(limits);
-        assertEquals(OptionalDouble.of(0), late.nextDelayMs(2));
-        assertEquals(OptionalDouble.empty(), late.nextDelayMs(2), "no time is left for a redial");
+        assertEquals(OptionalDouble.of(0), late.takeNextDelayMs(2));
+        assertEquals(OptionalDouble.empty(), late.takeNextDelayMs(2), "no time is left for a redial");
     }
 
     @ParameterizedTest
--- a/node/src/test/java/tulipshed/lineprotocol/OpenCommandParserTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/OpenCommandParserTest.java
@@ -34,7 +34,7 @@
             // An accepted command must be forwarded byte for byte except for its timeout.
             OpenCommand command = new OpenCommandParser(names(), AttributeDeclarations.NONE, 60_000).parse(line);
             String forwarded =
-                    new String(command.forwardedLine(command.attributes().timeoutMs()), StandardCharsets.ISO_8859_1);
+                    new String(command.forwardedLine(command.parameters().timeoutMs()), StandardCharsets.ISO_8859_1);
             assertEquals(
                     new String(line, StandardCharsets.ISO_8859_1).replaceAll("d=[0-9.]+", ""),
                     forwarded.replaceAll("d=[0-9.]+", ""));
@@ -47,7 +47,7 @@
     void replacesOnlyTimeoutWhenForwarding() {
         OpenCommand command =
                 new OpenCommandParser(names(), AttributeDeclarations.NONE, 60_000).parse(encoded(OPEN_COMMAND));
-        assertEquals(new RequestParameters(0, 3, "7f3a", "5c0f", 2000, 0, false, true), command.attributes());
+        assertEquals(new RequestParameters(0, 3, "7f3a", "5c0f", 2000, 0, false, true), command.parameters());
         assertEquals(
                 OPEN_COMMAND.replace("d=2000", "d=1234"),
                 new String(command.forwardedLine(1234.9), StandardCharsets.ISO_8859_1));
@@ -65,7 +65,7 @@
                 86_400_000,
                 new OpenCommandParser(names(), AttributeDeclarations.NONE, 60_000)
                         .parse(encoded(line))
-                        .attributes()
+                        .parameters()
                         .timeoutMs());
     }
 
--- a/node/src/test/java/tulipshed/lineprotocol/RaceConditionFixture.java
+++ b/node/src/test/java/tulipshed/lineprotocol/RaceConditionFixture.java
@@ -20,7 +20,7 @@
     static final String OTHER_OPEN_COMMAND = OPEN_COMMAND.replace("9b1f", "0ther");
     final CountDownLatch loopHeld = new CountDownLatch(1);
     final CountDownLatch otherEventHappened = new CountDownLatch(1);
-    final CompletableFuture<Void> decisionMade = new CompletableFuture<>();
+    final CompletableFuture<Void> heldTaskDone = new CompletableFuture<>();
 
     /** Blocks the event loop until the test signals that the other event has happened. Called on the event loop. */
     void holdLoop() {
@@ -30,24 +30,24 @@
         await(otherEventHappened);
     }
 
-    /** Blocks the event loop in a separate task, which then runs {@code decision} before any further event. */
-    void holdLoopThenRun(Runnable decision) {
+    /** Blocks the event loop in a separate task, which then runs {@code heldTask} before any further event. */
+    void holdLoopThenRun(Runnable heldTask) {
         loop.execute(() -> {
             holdLoop();
             try {
-                decision.run();
-                decisionMade.complete(null);
+                heldTask.run();
+                heldTaskDone.complete(null);
             } catch (RuntimeException | AssertionError e) {
-                decisionMade.completeExceptionally(e);
+                heldTaskDone.completeExceptionally(e);
             }
         });
         await(loopHeld);
     }
 
-    /** Releases the event loop after the other event has happened; waits for the decision and rethrows its exception. */
-    void releaseLoopAndAwaitDecision() throws Exception {
+    /** Releases the event loop after the other event has happened; waits for the held task and rethrows its exception. */
+    void releaseLoopAndAwaitTask() throws Exception {
         otherEventHappened.countDown();
-        decisionMade.get(10, TimeUnit.SECONDS);
+        heldTaskDone.get(10, TimeUnit.SECONDS);
     }
 
     /** Lists the first endpoint with this status. Called on the event loop. */
@@ -83,8 +83,8 @@
         return result.get(10, TimeUnit.SECONDS);
     }
 
-    /** Asserts that the next request at the endpoint is another client's, so none was sent for the disconnected client. */
-    void assertNextRequestIsAnotherClients() throws IOException {
+    /** Asserts that the next open command forwarded is another client's, so none was forwarded for the disconnected client. */
+    void assertNothingForwardedBeforeNextClient() throws IOException {
         try (LineSocket other = connectClient()) {
             other.send(OTHER_OPEN_COMMAND);
             try (LineSocket endpoint = acceptUpstream()) {
--- a/node/src/test/java/tulipshed/management/HttpRequestParserTest.java
+++ b/node/src/test/java/tulipshed/management/HttpRequestParserTest.java
@@ -14,9 +14,10 @@
 
 /** Tests of the request parser with fragmented, corrupted and oversized input. */
 class HttpRequestParserTest {
-    private static final byte[] REQUEST = ascii("GET /status?x=1 HTTP/1.1\r\nHost: 127.0.0.1:1\r\nAccept: */*\r\n\r\n");
+    private static final byte[] REQUEST =
+            encoded("GET /status?x=1 HTTP/1.1\r\nHost: 127.0.0.1:1\r\nAccept: */*\r\n\r\n");
 
-    private static byte[] ascii(String text) {
+    private static byte[] encoded(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
@@ -44,6 +45,7 @@
     void rejectsHeadLongerThanLimit() {
         HttpRequestParser parser = new HttpRequestParser(64);
         assertThrows(
-                MalformedRequestException.class, () -> parser.parse(ByteBuffer.wrap(ascii("GET /" + "x".repeat(100)))));
+                MalformedRequestException.class,
+                () -> parser.parse(ByteBuffer.wrap(encoded("GET /" + "x".repeat(100)))));
     }
 }
