--- a/node/src/main/java/tulipshed/decision/AdmissionControl.java
+++ b/node/src/main/java/tulipshed/decision/AdmissionControl.java
@@ -5,8 +5,9 @@
 import tulipshed.decision.api.Tenant;
 
 /**
- * Admits new connections by one token bucket per tenant and by load shedding. The refill rate of the buckets falls with
- * the depth of the pool. Confined to the event-loop thread.
+ * Admits new connections by one token bucket per tenant and pool, and by load shedding. The refill rate of the buckets
+ * falls with the depth of the pool: the used share of its pending limits, or the ejected share of its observed
+ * endpoints if that is greater. Confined to the event-loop thread.
  */
 final class AdmissionControl {
     /** Result for an admitted request; any other result is the Retry-After time in microseconds. */
@@ -74,8 +75,9 @@
     }
 
     /**
-     * The depth of a pool: the used share of its pending limits, or the ejected share of its endpoints if that is
-     * greater, as endpoints overloaded by established connections have no pending attempts.
+     * The depth of a pool: the used share of its pending limits, or the ejected share of its observed endpoints if that
+     * is greater, as endpoints overloaded by established connections have no pending attempts. Also clears the expired
+     * ejections of a few random endpoints.
      */
     private double depth(long nowUs, EndpointPool pool) {
         for (int i = 0; i < EJECTION_CHECKS_PER_REQUEST && !pool.ejected.isEmpty(); i++) {
--- a/node/src/main/java/tulipshed/decision/Balancer.java
+++ b/node/src/main/java/tulipshed/decision/Balancer.java
@@ -14,14 +14,15 @@
 import tulipshed.decision.api.RequestClass;
 
 /**
- * Dispatches the events of {@link BalancerApi} to the components of one balancer. A new connection is admitted by its
- * tenant's token bucket, whose refill rate falls with the share of pending attempts, and goes to the less loaded of two
- * random ready endpoints; docs/design.md explains the deviations from that. Confined to the event-loop thread.
+ * Dispatches the events of {@link BalancerApi} to the components of one balancer. A new connection is admitted by the
+ * token bucket of its tenant and pool, whose refill rate falls with the share of pending attempts, and goes to the less
+ * loaded of two random ready endpoints; docs/design.md explains the deviations from that. Confined to the event-loop
+ * thread.
  */
 public final class Balancer implements BalancerApi {
     static final double LOAD_GAIN = 0.1; // weight of a reported load in the average of its class
-    private static final double UNREPORTED_LOAD = 1; // of a connection without a load report
-    private static final double MIN_QUOTA_SHARE = 1e-9; // not 0, so that an infinite rate stays infinite
+    private static final double UNREPORTED_LOAD = 1; // without a report, a hint or an average of the class
+    private static final double MIN_QUOTA_SHARE = 1e-9; // so that an infinite rate times the share is not NaN
     private static final long READY_RETRY_US = 200_000; // delay between searches for a ready endpoint
 
     private final BalancerActions actions;
--- a/node/src/main/java/tulipshed/decision/BalancerParts.java
+++ b/node/src/main/java/tulipshed/decision/BalancerParts.java
@@ -9,7 +9,7 @@
  */
 final class BalancerParts {
     final ActiveSettings settings;
-    final EndpointPools pools = new EndpointPools(GroupAffinity.MEMORY_US);
+    final EndpointPools pools = new EndpointPools(GroupAffinity.ARRIVALS_TIME_CONSTANT_US);
     final RequestTable requests;
     /** Averages of the reported loads by request class, in microseconds of work per second. */
     final MovingAverages averageLoads = new MovingAverages(Balancer.LOAD_GAIN);
--- a/node/src/main/java/tulipshed/decision/ConnectionGroup.java
+++ b/node/src/main/java/tulipshed/decision/ConnectionGroup.java
@@ -22,11 +22,11 @@
      *
      * @param name name of the group, which determines its preferred endpoints
      * @param preferredCount initial capacity for preferred endpoints
-     * @param memoryUs time constant of the arrival count, in microseconds
+     * @param arrivalsTimeConstantUs time constant of the arrival count, in microseconds
      */
-    ConnectionGroup(String name, int preferredCount, double memoryUs) {
+    ConnectionGroup(String name, int preferredCount, double arrivalsTimeConstantUs) {
         hash = Hashing.of(name);
-        arrivals = new DecayingCounter(memoryUs);
+        arrivals = new DecayingCounter(arrivalsTimeConstantUs);
         preferred = new EndpointState[preferredCount];
     }
 
--- a/node/src/main/java/tulipshed/decision/ConnectionReuse.java
+++ b/node/src/main/java/tulipshed/decision/ConnectionReuse.java
@@ -11,7 +11,7 @@
 
     private final ActiveSettings settings;
     private final EndpointEvaluator evaluator;
-    private final ArrayDeque<IdleConnection> newestFirst = new ArrayDeque<>();
+    private final ArrayDeque<IdleConnection> idleNewestFirst = new ArrayDeque<>();
 
     ConnectionReuse(ActiveSettings settings, EndpointEvaluator evaluator) {
         this.settings = settings;
@@ -22,23 +22,23 @@
     void recordEnded(long nowUs, EndpointState endpoint, Outcome outcome, boolean established) {
         boolean reusable = outcome == Outcome.OK || (outcome == Outcome.CANCELLED && established);
         if (settings.current().prices().handshake() > 0 && reusable) {
-            while (!newestFirst.isEmpty() && newestFirst.peekLast().expiresAtUs() <= nowUs) {
-                newestFirst.pollLast();
+            while (!idleNewestFirst.isEmpty() && idleNewestFirst.peekLast().expiresAtUs() <= nowUs) {
+                idleNewestFirst.pollLast();
             }
             long expiresAtUs = nowUs + settings.current().limits().connectionIdleUs();
-            newestFirst.addFirst(new IdleConnection(endpoint, expiresAtUs));
+            idleNewestFirst.addFirst(new IdleConnection(endpoint, expiresAtUs));
         }
     }
 
     /**
-     * Removes the newest idle connection to a usable endpoint and returns the endpoint, or null if there is none.
-     * Endpoints in the same zone come first where crossing zones has a price.
+     * Removes the newest unexpired idle connection to a usable endpoint that is not loaded above the mean, and returns
+     * the endpoint, or null if there is none. Endpoints in the same zone come first where crossing zones has a price.
      */
     EndpointState take(long nowUs, RequestState request) {
-        double meanLoad = MAX_LOAD_FACTOR * request.pool.load / request.pool.nonZeroWeight();
+        double maxLoadPerWeight = MAX_LOAD_FACTOR * request.pool.load / request.pool.nonZeroWeight();
         boolean zoneMatters = settings.current().prices().crossZone() > 0;
         IdleConnection found = null;
-        for (IdleConnection candidate : newestFirst) {
+        for (IdleConnection candidate : idleNewestFirst) {
             EndpointState endpoint = candidate.endpoint();
             boolean isBetter = found == null
                     || (zoneMatters
@@ -47,11 +47,11 @@
             if (isBetter
                     && nowUs < candidate.expiresAtUs()
                     && evaluator.isUsable(nowUs, request, endpoint)
-                    && endpoint.openLoad <= meanLoad * endpoint.weight()) {
+                    && endpoint.openLoad <= maxLoadPerWeight * endpoint.weight()) {
                 found = candidate;
             }
         }
-        newestFirst.removeLastOccurrence(found); // the oldest of equal connections
+        idleNewestFirst.removeLastOccurrence(found); // the oldest of equal connections
         return found == null ? null : found.endpoint();
     }
 }
--- a/node/src/main/java/tulipshed/decision/DepthCurve.java
+++ b/node/src/main/java/tulipshed/decision/DepthCurve.java
@@ -1,8 +1,9 @@
 package tulipshed.decision;
 
 /**
- * Refill rate of the token buckets as a function of the depth of a pool, from 0 to 1: unlimited at low depth, then
- * falling linearly to zero at depth 1.
+ * Refill rate of the token buckets as a function of the depth of a pool: unlimited at low depth, then falling linearly
+ * to zero at depth 1. The depth, from 0 to 1, is the used share of the pending limits or the ejected share of the
+ * observed endpoints, whichever is greater.
  */
 final class DepthCurve {
     private static final int STEPS = 100;
--- a/node/src/main/java/tulipshed/decision/EndpointEvaluator.java
+++ b/node/src/main/java/tulipshed/decision/EndpointEvaluator.java
@@ -30,8 +30,8 @@
             return Double.MAX_VALUE;
         }
         double evenLoad = endpoint.weight() * request.pool.load / request.pool.nonZeroWeight();
-        // An endpoint that is new to this balancer counts as evenly loaded; otherwise all balancers would choose it at
-        // once.
+        // A recently started endpoint to which this balancer has established no connection counts as evenly loaded;
+        // otherwise all balancers would choose it at once.
         double load = endpoint.hasEstablished ? endpoint.openLoad : Math.max(endpoint.openLoad, evenLoad);
         return (load + Math.min(request.load, evenLoad)) / endpoint.weight();
     }
--- a/node/src/main/java/tulipshed/decision/EndpointPool.java
+++ b/node/src/main/java/tulipshed/decision/EndpointPool.java
@@ -21,10 +21,11 @@
     /** Ready endpoints in the balancer's own zone. */
     final IndexedSet<EndpointState> sameZone;
 
+    /** Ready endpoints that are marked as ejected; the mark may outlast the ejection. */
     final IndexedSet<EndpointState> ejected;
-    /** Ready endpoints to which slow start applies. */
+    /** Ready endpoints that are marked as warming; the mark may outlast slow start. */
     final IndexedSet<EndpointState> warming;
-    /** Ready endpoints that are ejected or hold a connection of this balancer. */
+    /** Ready endpoints that are marked as ejected or have an attempt or connection of this balancer. */
     final IndexedSet<EndpointState> observed;
 
     /** Connection groups by name. */
@@ -51,16 +52,16 @@
      * Creates an empty pool.
      *
      * @param id unique number of the pool, from 0 on
-     * @param groupMemoryUs time constant of the group arrival counts, in microseconds
+     * @param arrivalsTimeConstantUs time constant of the group arrival counts, in microseconds
      */
-    EndpointPool(int id, double groupMemoryUs) {
+    EndpointPool(int id, double arrivalsTimeConstantUs) {
         this.id = id;
         ready = new IndexedSet<>(SETS_PER_POOL * id);
         sameZone = new IndexedSet<>(SETS_PER_POOL * id + 1);
         ejected = new IndexedSet<>(SETS_PER_POOL * id + 2);
         warming = new IndexedSet<>(SETS_PER_POOL * id + 3);
         observed = new IndexedSet<>(SETS_PER_POOL * id + 4);
-        groupArrivals = new DecayingCounter(groupMemoryUs);
+        groupArrivals = new DecayingCounter(arrivalsTimeConstantUs);
     }
 
     /** Computes the weight of the ready endpoints from the estimated speeds of the machine types. */
--- a/node/src/main/java/tulipshed/decision/EndpointPools.java
+++ b/node/src/main/java/tulipshed/decision/EndpointPools.java
@@ -12,13 +12,17 @@
     final EndpointPool allEndpoints;
     private final EndpointPool emptyPool;
     private final Map<String, EndpointPool> namedPools = new LinkedHashMap<>();
-    private final double groupMemoryUs;
+    private final double arrivalsTimeConstantUs;
 
-    /** Creates the pool of all endpoints; {@code groupMemoryUs} is the time constant of the group arrival counts. */
-    EndpointPools(double groupMemoryUs) {
-        this.groupMemoryUs = groupMemoryUs;
-        allEndpoints = new EndpointPool(0, groupMemoryUs);
-        emptyPool = new EndpointPool(1, groupMemoryUs);
+    /**
+     * Creates the pool of all endpoints.
+     *
+     * @param arrivalsTimeConstantUs time constant of the group arrival counts, in microseconds
+     */
+    EndpointPools(double arrivalsTimeConstantUs) {
+        this.arrivalsTimeConstantUs = arrivalsTimeConstantUs;
+        allEndpoints = new EndpointPool(0, arrivalsTimeConstantUs);
+        emptyPool = new EndpointPool(1, arrivalsTimeConstantUs);
     }
 
     /** The pool of this name, or an empty pool if it does not exist; for null, the pool of all endpoints. */
@@ -30,8 +34,8 @@
     void replacePools(Map<String, Set<String>> endpointIdsByPool, Collection<EndpointState> endpoints) {
         namedPools.forEach((name, pool) -> pool.endpointIds = endpointIdsByPool.getOrDefault(name, Set.of()));
         endpointIdsByPool.forEach((name, endpointIds) ->
-                namedPools.computeIfAbsent(name, n -> new EndpointPool(lowestUnusedId(), groupMemoryUs)).endpointIds =
-                        endpointIds);
+                namedPools.computeIfAbsent(name, n -> new EndpointPool(lowestUnusedId(), arrivalsTimeConstantUs))
+                        .endpointIds = endpointIds);
         endpoints.forEach(this::assign);
         namedPools.keySet().retainAll(endpointIdsByPool.keySet());
     }
--- a/node/src/main/java/tulipshed/decision/EndpointState.java
+++ b/node/src/main/java/tulipshed/decision/EndpointState.java
@@ -32,9 +32,15 @@
     int pending;
     /** Attempts and connections that have not ended. */
     int open;
-    /** Sum of the loads of the open connections, in microseconds of work per second, or 1 each if not reported. */
+    /**
+     * Sum of the loads of the pending attempts and open connections, in microseconds of work per second. A load that is
+     * not reported is the client's hint, else the average of its class, else 1.
+     */
     double openLoad;
-    /** Whether a connection of this balancer was established since the process started. */
+    /**
+     * Whether a connection of this balancer was established since the process started; also true if the process
+     * started long ago.
+     */
     boolean hasEstablished;
 
     long ejectedUntilUs;
@@ -86,7 +92,10 @@
         return info.startedUs() == 0 ? Long.MAX_VALUE : nowUs - info.startedUs();
     }
 
-    /** Clears the observations of the process, and sets the pending limit. */
+    /**
+     * Clears the ejection, the warming mark, the failures, the latency and whether a connection was established, which
+     * concern a previous process, and sets the pending limit. The reported load and the open connections remain.
+     */
     void resetObservations(int limit) {
         setPendingLimit(limit);
         hasEstablished = info.startedUs() == 0;
@@ -165,12 +174,12 @@
         }
     }
 
-    /** Whether slow start applies. */
+    /** Whether it is marked as warming; the mark may outlast slow start. */
     boolean isWarming() {
         return pools.get(0).warming.has(this);
     }
 
-    /** Records that slow start applies, without credit yet. */
+    /** Marks it as warming, without slow-start credit yet. */
     void markWarming(long nowUs) {
         slowStartCredit = 0;
         slowStartCreditAtUs = nowUs;
@@ -179,7 +188,7 @@
         }
     }
 
-    /** Records that slow start no longer applies. */
+    /** Clears the mark as warming. */
     void clearWarming() {
         for (EndpointPool pool : pools) {
             pool.warming.remove(this);
--- a/node/src/main/java/tulipshed/decision/EndpointUpdater.java
+++ b/node/src/main/java/tulipshed/decision/EndpointUpdater.java
@@ -8,7 +8,10 @@
 record EndpointUpdater(ActiveSettings settings, SlowStart slowStart) {
     static final double MIN_SIZE = 1e-6;
 
-    /** Applies an entry; observations of a previous process are discarded when a new one has started. */
+    /**
+     * Applies an entry; if a new process has started, the ejection, failures, latency and pending limit of the previous
+     * one are discarded.
+     */
     void update(long nowUs, EndpointState endpoint, MachineType machineType, EndpointInfo info) {
         boolean newProcess = endpoint.info == null || endpoint.info.startedUs() != info.startedUs();
         endpoint.info = info;
--- a/node/src/main/java/tulipshed/decision/GroupAffinity.java
+++ b/node/src/main/java/tulipshed/decision/GroupAffinity.java
@@ -13,16 +13,19 @@
         MovingAverages averageLoads,
         SplittableRandom random) {
     /** Time constant of the group arrival counts: about the duration of two connections. */
-    static final double MEMORY_US = 60e6;
+    static final double ARRIVALS_TIME_CONSTANT_US = 60e6;
 
     private static final double PREFERRED_SHARE = 1; // preferred endpoints in proportion to the share of arrivals
     private static final int MIN_PREFERRED = 2; // a choice by load needs two
-    private static final double MAX_LOAD_FACTOR = 2; // of the even load, up to which an endpoint attracts its groups
+    private static final double MAX_LOAD_FACTOR = 2; // of the even load; a holder above it is not chosen
     private static final int MAX_GROUPS = 4096; // number of groups above which unused ones are discarded
     private static final double MIN_ARRIVALS = 0.1; // arrival count below which an unused group is discarded
     private static final double LOG_BOUND = 1 - 1e-9; // -log(u) >= 1 - u; the factor covers the rounding error
 
-    /** The group of a request in its pool, or null if it has none. */
+    /**
+     * Returns the group of a request in its pool, creating it if needed, or null if the request has none. May discard
+     * unused groups.
+     */
     ConnectionGroup groupOf(long nowUs, RequestState request) {
         String name = request.arrival.group();
         if (!settings.current().groupAffinity() || name == null) {
@@ -32,7 +35,7 @@
         if (groups.size() > MAX_GROUPS) {
             groups.values().removeIf(group -> group.holders.isEmpty() && group.arrivals.at(nowUs) < MIN_ARRIVALS);
         }
-        return groups.computeIfAbsent(name, n -> new ConnectionGroup(n, MIN_PREFERRED, MEMORY_US));
+        return groups.computeIfAbsent(name, n -> new ConnectionGroup(n, MIN_PREFERRED, ARRIVALS_TIME_CONSTANT_US));
     }
 
     /** An endpoint that holds connections of the group and has capacity for more, or null. */
@@ -51,7 +54,10 @@
         return group.holders.get(random.nextInt(group.holders.size()));
     }
 
-    /** If latencies are reported but loads are not, an endpoint attracts its groups until it is ejected. */
+    /**
+     * Whether a holder is usable, not ejected, below its pending limit and not above the maximum load. If latencies are
+     * reported but loads are not, the maximum load does not apply, as ejection for high latency bounds the load.
+     */
     private boolean hasGroupCapacity(long nowUs, RequestState request, EndpointState endpoint) {
         return evaluator.isUsable(nowUs, request, endpoint)
                 && nowUs >= endpoint.ejectedUntilUs
@@ -67,7 +73,8 @@
     }
 
     /**
-     * Number of preferred endpoints, by the group's share with Laplace smoothing, as that of a new group must not be 0.
+     * Number of preferred endpoints, at least two: in proportion to the group's share of the arrivals, with Laplace
+     * smoothing, as the share of a new group must not be 0.
      */
     int preferredCount(long nowUs, EndpointPool pool, ConnectionGroup group) {
         double share = (group.arrivals.at(nowUs) + 1) / (pool.groupArrivals.at(nowUs) + pool.groups.size());
--- a/node/src/main/java/tulipshed/decision/HealthCheckComparison.java
+++ b/node/src/main/java/tulipshed/decision/HealthCheckComparison.java
@@ -11,7 +11,9 @@
     static final long WAIT_US = 150_000;
 
     private static final long REPORT_VALID_US = 1_000_000;
-    private static final double MAX_PRICE = 0.01; // of one health check per request
+    /** Price of one health check per request, from which on candidates are not compared. */
+    private static final double MAX_PRICE = 0.01;
+
     private static final int MIN_WAITS_LEFT = 4; // until the deadline, to start a comparison
 
     /** Starts the comparison of two candidates if it is worth its price; returns whether it was started. */
@@ -40,7 +42,11 @@
         return 1;
     }
 
-    /** Returns the less loaded candidate by the reports that arrived, or null if neither is usable any more. */
+    /**
+     * Ends the comparison and returns the candidate with the lower reported load. If a report is missing or too old,
+     * their loads from this balancer are compared. If only one candidate is still usable, returns that one; if neither
+     * is, returns null.
+     */
     EndpointState finish(long nowUs, RequestState request) {
         EndpointState first = request.firstCandidate;
         EndpointState second = request.secondCandidate;
--- a/node/src/main/java/tulipshed/decision/MachineType.java
+++ b/node/src/main/java/tulipshed/decision/MachineType.java
@@ -22,7 +22,7 @@
     private double readySizeAtAdoption;
 
     private double setups;
-    private double setupTime;
+    private double relativeSetupTimeSum;
 
     /** Summed sizes of the ready endpoints of a pool. */
     double readySize(int poolId) {
@@ -37,7 +37,10 @@
         readySizes[poolId] += size;
     }
 
-    /** Counts an adopted connection; machines that become ready later could not have received any. */
+    /**
+     * Counts an adopted connection of this type and records the current sizes of all types, as machines that become
+     * ready later could not have received any.
+     */
     void recordAdoption(Collection<MachineType> all) {
         adoptedConnections++;
         all.forEach(type -> type.readySizeAtAdoption = type.readySizes[0]);
@@ -46,7 +49,7 @@
     /** Records a connection setup; {@code relativeTime} is its duration as a multiple of the average of its class. */
     void recordSetup(double relativeTime) {
         setups++;
-        setupTime += relativeTime;
+        relativeSetupTimeSum += relativeTime;
     }
 
     /**
@@ -59,7 +62,7 @@
 
     /** Connection setups, or 0 if all were shorter than the clock resolution. */
     private double informativeSetups() {
-        return setupTime > 0 ? setups : 0;
+        return relativeSetupTimeSum > 0 ? setups : 0;
     }
 
     /**
@@ -68,23 +71,25 @@
      * @param priorObservations weight of the prior assumption of equal speeds, as a number of observations
      */
     static double estimateSpeeds(Collection<MachineType> all, double priorObservations) {
-        double size = 0;
-        double adopted = 0;
+        double totalReadySize = 0;
+        double totalAdopted = 0;
         double setups = 0;
         double totalSetupTime = 0;
         for (MachineType type : all) {
-            size += type.readySizeAtAdoption;
-            adopted += type.informativeAdoptions();
+            totalReadySize += type.readySizeAtAdoption;
+            totalAdopted += type.informativeAdoptions();
             setups += type.informativeSetups();
-            totalSetupTime += type.setupTime;
+            totalSetupTime += type.relativeSetupTimeSum;
         }
         double highest = 0;
         for (MachineType type : all) {
             double typeAdopted = type.informativeAdoptions();
             double typeSetups = type.informativeSetups();
-            double byAdoptions =
-                    typeAdopted > 0 ? Math.log(typeAdopted / adopted * size / type.readySizeAtAdoption) : 0;
-            double bySetups = typeSetups > 0 ? Math.log(typeSetups / setups * totalSetupTime / type.setupTime) : 0;
+            double byAdoptions = typeAdopted > 0
+                    ? Math.log(typeAdopted / totalAdopted * totalReadySize / type.readySizeAtAdoption)
+                    : 0;
+            double bySetups =
+                    typeSetups > 0 ? Math.log(typeSetups / setups * totalSetupTime / type.relativeSetupTimeSum) : 0;
             double observations = typeAdopted + typeSetups + priorObservations;
             type.speed = Math.exp((typeAdopted * byAdoptions + typeSetups * bySetups) / observations);
             highest = Math.max(highest, type.speed);
--- a/node/src/main/java/tulipshed/decision/OutlierEjection.java
+++ b/node/src/main/java/tulipshed/decision/OutlierEjection.java
@@ -3,16 +3,20 @@
 import java.util.SplittableRandom;
 import tulipshed.decision.api.Outcome;
 
-/** Ejects endpoints that fail, are full or exceed the message latency objective. Confined to the event-loop thread. */
+/**
+ * Ejects endpoints that fail, are full or approach the message latency objective. Confined to the event-loop thread.
+ */
 final class OutlierEjection {
     /** Ejection for high latency; with shorter ejections the load oscillates between endpoints. */
     static final long LATENCY_EJECTION_US = 8_000_000;
-    /** How long a reported latency is current; it is reported once per second. */
+    /** How long a reported latency is current, assuming one report per second. */
     static final long LATENCY_VALID_US = 1_500_000;
 
     private static final long FULL_EJECTION_US = 500_000; // a full queue drains soon
     private static final long FIRST_FAILURE_EJECTION_US = 2_000_000; // doubled with each consecutive ejection
-    private static final int MAX_DOUBLINGS = 3; // at most 16 s; by then discovery has removed a failed endpoint
+    /** Limits an ejection to 16 s before jitter, at most 20 s; by then discovery has removed a failed endpoint. */
+    private static final int MAX_DOUBLINGS = 3;
+
     private static final int MIN_CONSECUTIVE_RESETS = 2; // a single reset is no evidence of a fault
     private static final long FAILURE_WINDOW_US = 5_000_000; // maximum time between consecutive failures
     private static final double EJECTION_SHARE_OF_OBJECTIVE = 0.34; // latency above which an endpoint is ejected
--- a/node/src/main/java/tulipshed/decision/PendingLimit.java
+++ b/node/src/main/java/tulipshed/decision/PendingLimit.java
@@ -7,13 +7,13 @@
     /** Initial limit of an endpoint, without observations. */
     static final int INITIAL = 4;
 
-    private static final int MAX_PENDING = 64; // further consecutive acceptances add no information
+    private static final int MAX_LIMIT = 64; // further acceptances are no evidence for a higher limit
 
     private PendingLimit() {}
 
     /** Raises the limit by one, as the endpoint accepted an attempt. */
     static void increase(EndpointState endpoint) {
-        endpoint.setPendingLimit(Math.min(MAX_PENDING, endpoint.pendingLimit + 1));
+        endpoint.setPendingLimit(Math.min(MAX_LIMIT, endpoint.pendingLimit + 1));
     }
 
     /** Updates the limit by the outcome of an attempt; {@code established} is whether it was established before. */
--- a/node/src/main/java/tulipshed/decision/Placement.java
+++ b/node/src/main/java/tulipshed/decision/Placement.java
@@ -11,11 +11,11 @@
         EndpointEvaluator evaluator,
         GroupAffinity groupAffinity,
         ConnectionReuse connectionReuse,
-        HealthCheckComparison healthChecks,
+        HealthCheckComparison healthCheckComparison,
         MovingAverages averageSetupUs,
         SplittableRandom random) {
     static final double SETUP_TIME_GAIN = 0.1; // weight of a setup time in the average of its class
-    private static final int MAX_DRAWS = 12; // by weight, and of candidates before the sequential search
+    private static final int MAX_DRAWS = 12; // of a candidate before the sequential search, and redraws by weight
     private static final int MAX_SEARCHED = 64; // endpoints tried by the sequential search
     private static final int MAX_WARMING_SEARCHED = 32; // warming endpoints tried per request
     private static final double EQUAL_SPEED_OBSERVATIONS = 4; // weight of the prior assumption of equal machine types
@@ -30,7 +30,7 @@
 
     /** Returns the endpoint for the next attempt, or null if there is none now or health checks are pending. */
     EndpointState choose(long nowUs, RequestState request) {
-        EndpointState compared = request.firstCandidate == null ? null : healthChecks.finish(nowUs, request);
+        EndpointState compared = request.firstCandidate == null ? null : healthCheckComparison.finish(nowUs, request);
         if (compared != null || request.pool.ready.isEmpty()) {
             return compared;
         }
@@ -58,7 +58,7 @@
         if (second == null) {
             return first;
         }
-        if (healthChecks.start(nowUs, request, first, second)) {
+        if (healthCheckComparison.start(nowUs, request, first, second)) {
             return request.pendingHealthChecks > 0 ? null : choose(nowUs, request);
         }
         return EndpointEvaluator.lessLoaded(request, first, second);
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Draws one of the group's preferred endpoints, or by weight without a group. Where crossing zones has a price,
-     * only the first attempt stays in the same zone, as all endpoints of a zone may fail together.
+     * Draws one of the group's preferred endpoints, or by weight without a group. Where crossing zones has a price, the
+     * first attempt is drawn from the same zone first; retries are not, as all endpoints of a zone may fail together.
      */
     private EndpointState drawPreferred(RequestState request, ConnectionGroup group, int preferredCount) {
         EndpointPool pool = request.pool;
--- a/node/src/main/java/tulipshed/decision/RejectionLog.java
+++ b/node/src/main/java/tulipshed/decision/RejectionLog.java
@@ -7,7 +7,7 @@
     private static final long INTERVAL_US = 10_000_000;
 
     private final BalancerActions actions;
-    private long nextUs = Long.MIN_VALUE;
+    private long nextLineUs = Long.MIN_VALUE;
 
     RejectionLog(BalancerActions actions) {
         this.actions = actions;
@@ -15,8 +15,8 @@
 
     /** Logs the state of the pool of a rejected request, unless a line was logged within the interval. */
     void logRejection(long nowUs, EndpointPool pool) {
-        if (nowUs >= nextUs) {
-            nextUs = nowUs + INTERVAL_US;
+        if (nowUs >= nextLineUs) {
+            nextLineUs = nowUs + INTERVAL_US;
             actions.log("rejecting requests: " + pool.ejected.size() + " of " + pool.observed.size()
                     + " known endpoints ejected, " + pool.failing + " failing");
         }
--- a/node/src/main/java/tulipshed/decision/RequestState.java
+++ b/node/src/main/java/tulipshed/decision/RequestState.java
@@ -43,7 +43,8 @@
     /** The endpoint of the first attempt that may have executed; null if none. */
     EndpointInfo executedOn;
 
-    long executedAtUs;
+    /** Start time of the first attempt that may have executed. */
+    long executedAttemptStartedUs;
 
     /** The two endpoints being compared by health checks; null without a comparison. */
     EndpointState firstCandidate;
@@ -51,7 +52,7 @@
     EndpointState secondCandidate;
     /** Health checks of the candidates that have not completed. */
     int pendingHealthChecks;
-    /** Whether health checks were used for the current attempt. */
+    /** Whether candidates for the next attempt were compared by health checks. */
     boolean healthChecked;
 
     RequestState(
@@ -130,7 +131,7 @@
         if (!outcome.neverExecuted && !mayHaveExecuted) {
             mayHaveExecuted = true;
             executedOn = released.info;
-            executedAtUs = attemptStartedUs;
+            executedAttemptStartedUs = attemptStartedUs;
         }
         return released;
     }
--- a/node/src/main/java/tulipshed/decision/RetryPolicy.java
+++ b/node/src/main/java/tulipshed/decision/RetryPolicy.java
@@ -7,7 +7,7 @@
 
 /** Decides whether, where and with which timeout a request is retried, so that its effect never happens twice. */
 record RetryPolicy(ActiveSettings settings, SplittableRandom random) {
-    static final long MIN_ATTEMPT_US = 60_000; // with less time left, a retry is not worth its cost
+    static final long MIN_ATTEMPT_US = 60_000; // an attempt with less time is not worth its cost
     private static final double MIN_JITTER = 0.75;
     private static final double JITTER_RANGE = 0.25;
 
@@ -21,7 +21,7 @@
     private static boolean permitsReexecution(long nowUs, RequestState request) {
         return switch (request.requestClass.idempotency()) {
             case IDEMPOTENT -> true;
-            case WITH_KEY -> nowUs < request.executedAtUs + request.requestClass.deduplicationWindowUs();
+            case WITH_KEY -> nowUs < request.executedAttemptStartedUs + request.requestClass.deduplicationWindowUs();
             case NOT_IDEMPOTENT -> false;
         };
     }
@@ -43,12 +43,18 @@
         };
     }
 
-    /** Whether the request may be rejected, which tells the client that a retry is safe. */
+    /**
+     * Whether the request may be rejected, which tells the client that a retry is safe; with a key only within its
+     * deduplication window.
+     */
     static boolean permitsRejection(RequestState request) {
         return !request.mayHaveExecuted || request.requestClass.isSafeToRetry();
     }
 
-    /** Timeout of the next attempt, in microseconds, which leaves time for another one; 0 for none. */
+    /**
+     * Timeout of the next attempt, in microseconds, which leaves time for another one; 0 for none, if it is the last
+     * attempt or too little time is left for two.
+     */
     long attemptTimeoutUs(long nowUs, RequestState request) {
         long leftUs = request.deadlineUs - nowUs;
         boolean last = request.attempts + 1 >= settings.current().limits().maxAttempts();
--- a/node/src/main/java/tulipshed/decision/SlowStart.java
+++ b/node/src/main/java/tulipshed/decision/SlowStart.java
@@ -4,8 +4,12 @@
 
 /** Limits the connections to recently started endpoints, so that a burst of arrivals cannot overload them. */
 record SlowStart(ActiveSettings settings, EndpointPool allEndpoints) {
-    private static final long WARMING_PERIODS = 2; // slow-start periods with spare capacity
-    /** Credit per slow-start period, as a multiple of the even number of connections times the overload factor. */
+    /** Slow-start periods after its start for which an endpoint is warming and has spare capacity. */
+    private static final long WARMING_PERIODS = 2;
+    /**
+     * Credit per slow-start period at full capacity, as a multiple of the even number of connections times the overload
+     * factor.
+     */
     private static final double FILL_FACTOR = 3;
 
     /** Whether an endpoint started so recently that slow start applies. */
@@ -22,9 +26,9 @@
     }
 
     /**
-     * Whether an endpoint has no credit for this request. Credit accumulates for at most the overload time. A fraction
-     * of a credit is the probability of a connection, so that the total over all balancers does not depend on their
-     * number.
+     * Whether slow start applies to an endpoint and leaves no credit for this request. Credit accumulates for at most
+     * the overload time. A credit below 1 is the probability that the request is permitted, so that the total over all
+     * balancers does not depend on their number.
      */
     boolean isLimitedBySlowStart(long nowUs, RequestState request, EndpointState endpoint) {
         if (!endpoint.isWarming() || !isRecentlyStarted(nowUs, endpoint)) {
--- a/node/src/main/java/tulipshed/decision/api/BalancerApi.java
+++ b/node/src/main/java/tulipshed/decision/api/BalancerApi.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 
 /**
- * Events and actions of the load balancer for long-lived connections.
+ * Events and queries of one balancer for long-lived connections.
  *
- * <p>One instance serves one balancer. Every event carries {@code nowUs}, the time of a monotonic clock in microseconds
- * with an arbitrary origin. Calls must not overlap: an instance is confined to the thread of its event loop. Actions
- * are passed to {@link BalancerActions} before the event method returns. Events that name an unknown request or
- * endpoint are ignored.
+ * <p>Every event carries {@code nowUs}, the time of a monotonic clock in microseconds with an arbitrary origin. Calls
+ * must not overlap: an instance is confined to the thread of its event loop. Actions are passed to
+ * {@link BalancerActions} before the event method returns. Events that name an unknown request or endpoint are ignored,
+ * except that {@link #connectionAdopted} adds an unknown endpoint.
  */
 public interface BalancerApi {
 
@@ -74,12 +74,18 @@
     /** Restricts a request that is not established to another pool, or to none if {@code pool} is null. */
     void requestRerouted(long nowUs, long requestId, String pool);
 
-    /** Returns the number of ready endpoints that are not ejected, in a pool or, for null, in total. */
+    /**
+     * Returns the number of eligible endpoints in a pool or, for null, in total: ready and not ejected, or ejected but
+     * responsive while most endpoints are ejected.
+     */
     int eligibleCount(long nowUs, String pool);
 
     /** Sets this instance's share of the balancer's quotas, from 0 to 1; another process uses the rest. */
     void quotaShareChanged(long nowUs, double quotaShare);
 
-    /** Returns the number of listed endpoints that currently receive no new connections: draining or ejected ones. */
+    /**
+     * Returns the number of listed endpoints that are not eligible: draining, or ejected while the ejection is not
+     * ignored.
+     */
     int ineligibleCount(long nowUs);
 }
--- a/node/src/main/java/tulipshed/decision/api/RequestClass.java
+++ b/node/src/main/java/tulipshed/decision/api/RequestClass.java
@@ -22,7 +22,10 @@
         long deduplicationWindowUs,
         long messageLatencyObjectiveUs) {
 
-    /** Whether a client may retry at any endpoint a request that may have executed: the effect happens only once. */
+    /**
+     * Whether a client may retry at any endpoint a request that may have executed, as the effect happens only once;
+     * with a key only within its deduplication window.
+     */
     public boolean isSafeToRetry() {
         return idempotency == Idempotency.IDEMPOTENT
                 || (idempotency == Idempotency.WITH_KEY && deduplicationScope == DeduplicationScope.ALL);
--- a/node/src/main/java/tulipshed/decision/api/WeightSemantics.java
+++ b/node/src/main/java/tulipshed/decision/api/WeightSemantics.java
@@ -2,7 +2,7 @@
 
 /** Meaning of the weights in the endpoint list. */
 public enum WeightSemantics {
-    /** The weights have no meaning. */
+    /** Not specified; the weights are used as the size. */
     NONE,
     /** Total capacity, which is constant. */
     SIZE,
--- a/node/src/main/java/tulipshed/simadapter/Adapter.java
+++ b/node/src/main/java/tulipshed/simadapter/Adapter.java
@@ -21,10 +21,10 @@
     /** Exit code if the input ended after a complete batch. */
     private static final int EXIT_OK = 0;
 
-    /** Exit code if the input was malformed or could not be read. */
+    /** Exit code if the input was malformed or could not be read, or a reply could not be written. */
     private static final int EXIT_MALFORMED_INPUT = 2;
 
-    /** Exit code if the input was malformed and the error could not be written either. */
+    /** Exit code if the line that reports such an error could not be written either. */
     private static final int EXIT_ERROR_NOT_REPORTED = 3;
 
     private final JsonParser parser;
@@ -51,9 +51,9 @@
     /**
      * Processes all batches.
      *
-     * @param err receives one line if the input is malformed
-     * @return the exit code: 0 at the end of the input, 2 if it is malformed, 3 if it is malformed and writing to
-     *     {@code err} failed
+     * @param err receives one line for exit code 2
+     * @return the exit code: 0 at the end of the input, 2 if it is malformed or cannot be read or a reply cannot be
+     *     written, 3 if writing to {@code err} failed as well
      */
     public static int run(InputStream in, OutputStream out, OutputStream err, Factory factory) {
         try {
@@ -103,7 +103,7 @@
                 throw e;
             } catch (RuntimeException e) {
                 // An exception of the decision module is reported in the reply; the other instances continue.
-                replies.exception(e.toString());
+                replies.writeException(e.toString());
             }
         }
     }
--- a/node/src/main/java/tulipshed/simadapter/AttemptFields.java
+++ b/node/src/main/java/tulipshed/simadapter/AttemptFields.java
@@ -14,7 +14,7 @@
     private int number;
     private long durationUs;
     private boolean concluded;
-    private String verdict;
+    private String outcomeName;
     private LoadReport loadReport = LoadReport.NONE;
 
     /**
@@ -26,7 +26,7 @@
             case "Leg" -> number = (int) JsonTokens.integer(parser, name);
             case "TookS" -> durationUs = JsonTokens.micros(parser, name);
             case "NoMore" -> concluded = parser.getValueAsBoolean();
-            case "Verdict" -> verdict = JsonTokens.string(parser, name);
+            case "Verdict" -> outcomeName = JsonTokens.string(parser, name);
             case "Telemetry" -> loadReport = LoadReportReader.read(parser);
             default -> {
                 return false;
@@ -56,7 +56,7 @@
      * @throws MalformedInputException if it is absent or its external name is unknown
      */
     Outcome outcome() {
-        return switch (String.valueOf(verdict)) {
+        return switch (String.valueOf(outcomeName)) {
             case "delivered" -> Outcome.OK;
             case "app_error" -> Outcome.ERROR;
             case "shed" -> Outcome.FULL;
@@ -65,7 +65,7 @@
             case "dropped" -> Outcome.RESET;
             case "revoked" -> Outcome.CANCELLED;
             case "unused" -> Outcome.UNUSED;
-            default -> throw new MalformedInputException("unknown Verdict: " + verdict);
+            default -> throw new MalformedInputException("unknown Verdict: " + outcomeName);
         };
     }
 
--- a/node/src/main/java/tulipshed/simadapter/ConnectionReportFields.java
+++ b/node/src/main/java/tulipshed/simadapter/ConnectionReportFields.java
@@ -9,12 +9,12 @@
  */
 final class ConnectionReportFields {
     /** External value of {@code Sort} for a load. */
-    private static final int SORT_LOAD = 1;
+    private static final int KIND_LOAD = 1;
 
     /** External value of {@code Sort} for a latency. */
-    private static final int SORT_LATENCY = 2;
+    private static final int KIND_LATENCY = 2;
 
-    private int sort;
+    private int kind;
     private double value;
 
     /**
@@ -22,7 +22,7 @@
      */
     boolean readField(JsonParser parser, String name) throws IOException {
         switch (name) {
-            case "Sort" -> sort = (int) JsonTokens.integer(parser, name);
+            case "Sort" -> kind = (int) JsonTokens.integer(parser, name);
             case "Value" -> value = JsonTokens.number(parser, name);
             default -> {
                 return false;
@@ -33,12 +33,12 @@
 
     /** Whether {@link #value()} is a load, in microseconds of work per second. */
     boolean isLoad() {
-        return sort == SORT_LOAD;
+        return kind == KIND_LOAD;
     }
 
     /** Whether {@link #value()} is a latency, in milliseconds. */
     boolean isLatency() {
-        return sort == SORT_LATENCY;
+        return kind == KIND_LATENCY;
     }
 
     /** Returns the reported value. */
--- a/node/src/main/java/tulipshed/simadapter/EndpointListFields.java
+++ b/node/src/main/java/tulipshed/simadapter/EndpointListFields.java
@@ -9,7 +9,7 @@
 
 /** The fields of a line that carry an endpoint list; {@link #readField} lists their external names. */
 final class EndpointListFields {
-    private String scope;
+    private String kindName;
     private List<EndpointInfo> endpoints = List.of();
 
     /**
@@ -18,7 +18,7 @@
      */
     boolean readField(JsonParser parser, String name) throws IOException {
         switch (name) {
-            case "Scope" -> scope = JsonTokens.string(parser, name);
+            case "Scope" -> kindName = JsonTokens.string(parser, name);
             case "NodesList" -> endpoints = EndpointListReader.read(parser);
             default -> {
                 return false;
@@ -33,12 +33,12 @@
      * @throws MalformedInputException if it is absent or its external name is unknown
      */
     EndpointListKind kind() {
-        return switch (String.valueOf(scope)) {
+        return switch (String.valueOf(kindName)) {
             case "patch" -> EndpointListKind.CHANGES;
             case "whole" -> EndpointListKind.COMPLETE;
             case "stale_copy" -> EndpointListKind.CACHED;
             case "broken" -> EndpointListKind.FAILED;
-            default -> throw new MalformedInputException("unknown Scope: " + scope);
+            default -> throw new MalformedInputException("unknown Scope: " + kindName);
         };
     }
 
--- a/node/src/main/java/tulipshed/simadapter/ReplyWriter.java
+++ b/node/src/main/java/tulipshed/simadapter/ReplyWriter.java
@@ -41,7 +41,7 @@
     }
 
     /** Writes that the instance threw an exception. */
-    void exception(String message) {
+    void writeException(String message) {
         writeLine("Exception", () -> json.writeStringField("Msg", message));
     }
 
--- a/node/src/main/java/tulipshed/simadapter/WireEvent.java
+++ b/node/src/main/java/tulipshed/simadapter/WireEvent.java
@@ -10,8 +10,8 @@
 
 /**
  * One line of the simulator's input. This class, the field groups and the readers of nested values translate the
- * external names to the terms of the decision module. A field that is absent or null has its default value, and unknown
- * fields are skipped. Not modified after it was read.
+ * external names to the terms of the decision module. A field that is absent or null has its default value, or is
+ * rejected on use if it is required; unknown fields are skipped. Not modified after it was read.
  */
 final class WireEvent {
     private static final long NO_FRAME = -1;
@@ -38,7 +38,8 @@
      * Reads one line.
      *
      * @param first the parser's current token, the first of the line
-     * @throws MalformedInputException if the line is not an object, has no {@code cmd}, or a field has the wrong type
+     * @throws MalformedInputException if the line is not a complete object, has no {@code cmd}, or a field has the
+     *     wrong type
      * @throws IOException if the input cannot be read or is not JSON
      */
     static WireEvent read(JsonParser parser, JsonToken first) throws IOException {
--- a/node/src/test/java/tulipshed/decision/EndpointPoolTest.java
+++ b/node/src/test/java/tulipshed/decision/EndpointPoolTest.java
@@ -39,13 +39,14 @@
 
     @Test
     void unusedPoolsChangeNoDecision() {
-        List<String> withoutPools = play(Map.of());
+        List<String> withoutPools = actionsOfRun(Map.of());
         assertTrue(withoutPools.size() > 300);
         assertEquals(
-                withoutPools, play(Map.of("p", Set.of(endpointName(1), endpointName(3), "unknown"), "q", Set.of())));
+                withoutPools,
+                actionsOfRun(Map.of("p", Set.of(endpointName(1), endpointName(3), "unknown"), "q", Set.of())));
     }
 
-    private List<String> play(Map<String, Set<String>> pools) {
+    private List<String> actionsOfRun(Map<String, Set<String>> pools) {
         setup.groupAffinity = true;
         Balancer balancer = setup.balancerWithEndpoints(12);
         balancer.poolsChanged(0, pools);
@@ -110,7 +111,7 @@
     }
 
     @Test
-    void removedPoolRejectsPendingAndKeepsEstablishedRequests() {
+    void removedPoolKeepsEstablishedRequestAndRejectsNewOne() {
         Balancer balancer = setup.balancerWithEndpoints(4);
         balancer.poolsChanged(0, Map.of("p", Set.of(endpointName(0))));
         balancer.requestArrived(1, restricted(1, "p"));
--- a/node/src/test/java/tulipshed/decision/GroupAffinityTest.java
+++ b/node/src/test/java/tulipshed/decision/GroupAffinityTest.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Otherwise holders would attract their groups until they exceed the latency objective, while other endpoints are
-     * idle.
+     * With load reports, the less loaded of two holders is chosen, up to twice the even load; without this bound,
+     * holders would attract their groups until they exceed the latency objective, while other endpoints are idle.
      */
     @Test
     void choosesLessLoadedGroupHolderAndBoundsItByTwiceEvenLoadWithLoadReports() {
--- a/node/src/test/java/tulipshed/decision/ManyEndpointsTest.java
+++ b/node/src/test/java/tulipshed/decision/ManyEndpointsTest.java
@@ -12,9 +12,12 @@
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.Outcome;
 
-/** The cost of queries is independent of the number of endpoints, and their results equal those of a full scan. */
+/**
+ * Counts of eligible and ineligible endpoints visit ejected endpoints only; the counts and the choice of preferred
+ * endpoints equal the results of a full scan.
+ */
 class ManyEndpointsTest {
-    private static final int MANY = 3200;
+    private static final int ENDPOINTS = 3200;
     private static final int EJECTED = 3;
 
     private final BalancerSetup setup = new BalancerSetup();
@@ -22,7 +25,7 @@
     @Test
     void countingEligibleEndpointsVisitsEjectedOnesOnly() throws ReflectiveOperationException {
         Balancer balancer = balancerThatThrowsOnVisitingEndpointsNotEjected();
-        assertEquals(MANY - EJECTED, balancer.eligibleCount(0, null));
+        assertEquals(ENDPOINTS - EJECTED, balancer.eligibleCount(0, null));
     }
 
     @Test
@@ -32,17 +35,18 @@
     }
 
     /**
-     * Endpoints that are not ejected are broken on purpose: querying their readiness throws, and they seem unlisted.
+     * Endpoints that are not ejected have no set indexes and no list entry, so that querying their readiness throws and
+     * they count as unlisted.
      */
     private Balancer balancerThatThrowsOnVisitingEndpointsNotEjected() throws ReflectiveOperationException {
-        Balancer balancer = setup.balancerWithEndpoints(MANY);
+        Balancer balancer = setup.balancerWithEndpoints(ENDPOINTS);
         EndpointPool all = balancer.parts.pools.allEndpoints;
         for (int i = 0; i < EJECTED; i++) {
             balancer.parts.outlierEjection.recordOutcome(0, all.ready.get(i), Outcome.CONNECT_FAILED, 0);
         }
         Field indexBySet = IndexedSet.Item.class.getDeclaredField("indexBySet");
         indexBySet.setAccessible(true);
-        for (int i = EJECTED; i < MANY; i++) {
+        for (int i = EJECTED; i < ENDPOINTS; i++) {
             indexBySet.set(all.ready.get(i), null);
             all.ready.get(i).info = null;
         }
--- a/node/src/test/java/tulipshed/decision/MigrationTest.java
+++ b/node/src/test/java/tulipshed/decision/MigrationTest.java
@@ -23,12 +23,12 @@
             balancer.attemptEstablished(0, id, 0, 1000);
         }
         List<String> attempts = recorder.take();
-        String late = attempts.get(0).split(" ")[2];
+        String slow = attempts.get(0).split(" ")[2];
         balancer.latencyReported(SECOND, 1, 150);
         assertEquals(List.of(), recorder.take());
         for (long id = 101; id <= 110; id++) {
             balancer.requestArrived(SECOND, request(id));
-            assertNotEquals(late, recorder.attemptedEndpoint());
+            assertNotEquals(slow, recorder.attemptedEndpoint());
         }
         balancer.latencyReported(2 * SECOND, 1, 150);
         assertEquals(List.of("migrate 1"), recorder.take());
--- a/node/src/test/java/tulipshed/decision/OutlierEjectionTest.java
+++ b/node/src/test/java/tulipshed/decision/OutlierEjectionTest.java
@@ -19,7 +19,7 @@
 import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.Outcome;
 
-/** Ejection of endpoints that fail or exceed the message latency objective. */
+/** Ejection of endpoints that fail or approach the message latency objective. */
 class OutlierEjectionTest {
     private final BalancerSetup setup = new BalancerSetup();
     private final RecordingActions recorder = setup.recorder;
@@ -42,8 +42,7 @@
     void usesAllEndpointsWhenMostAreEjected() {
         Balancer balancer = setup.balancerWithEndpoints(4);
         for (long id = 1; id <= 40; id++) {
-            // Exempt from admission, as the token buckets would otherwise reject requests while most endpoints are
-            // ejected.
+            // Exempt from admission, so that only placement affects the result.
             balancer.requestArrived(id, new NewRequest(id, 0, 0, "k", null, 2 * SECOND, 0, false, true, false));
             end(balancer, id, id, 0, true, Outcome.TIMEOUT);
         }
@@ -66,9 +65,9 @@
     private boolean isAvoidedAfterTimeout(long timeoutUs) {
         Balancer balancer = setup.balancerWithEndpoints(2);
         balancer.requestArrived(0, request(1, 0, null, timeoutUs));
-        String silent = recorder.attemptedEndpoint();
+        String timedOut = recorder.attemptedEndpoint();
         end(balancer, timeoutUs, 1, 0, true, Outcome.TIMEOUT);
-        return !endpointsOfAttempts(balancer, timeoutUs, 2).contains(silent);
+        return !endpointsOfAttempts(balancer, timeoutUs, 2).contains(timedOut);
     }
 
     /** A few unrelated resets would otherwise eject all endpoints of a small pool at once. */
@@ -85,7 +84,10 @@
         assertFalse(endpointsOfAttempts(balancer, 6 * SECOND, 201).contains(endpointName(0)));
     }
 
-    /** Counted one by one, eight reset connections would eject their endpoint for 16 s. */
+    /**
+     * Connections that one endpoint resets together count as one ejection; counted one by one, eight of them would
+     * eject it for 16 s before jitter.
+     */
     @Test
     void connectionsResetTogetherCauseOneEjection() {
         Balancer balancer = setup.balancerWithEndpoints(4);
--- a/node/src/test/java/tulipshed/decision/PlacementTest.java
+++ b/node/src/test/java/tulipshed/decision/PlacementTest.java
@@ -122,7 +122,10 @@
         assertEquals(endpoint, recorder.attemptedEndpoint());
     }
 
-    /** Of equal idle connections the oldest is reused, so that the newest one keeps its endpoint first. */
+    /**
+     * The endpoint of the latest idle connection is reused as long as it has one: of equal idle connections the oldest
+     * is taken, so that the newest one keeps its endpoint first.
+     */
     @Test
     void reusesEndpointOfLatestIdleConnectionAgainWhileItHasAnother() {
         setup.prices = new Prices(0, 0.1, 0, 0, 0);
--- a/node/src/test/java/tulipshed/decision/PolicyFilesTest.java
+++ b/node/src/test/java/tulipshed/decision/PolicyFilesTest.java
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void onlyPolicyClassesActOnTheirDecisions() {
+    void onlyPolicyClassesCallActions() {
         noClasses()
                 .that(makeNoDecisions())
                 .should()
--- a/node/src/test/java/tulipshed/decision/RandomEventSequenceTest.java
+++ b/node/src/test/java/tulipshed/decision/RandomEventSequenceTest.java
@@ -38,7 +38,7 @@
         final Map<Long, Boolean> established = new HashMap<>();
         final Map<Long, Integer> attempts = new HashMap<>();
         final Map<Long, Boolean> mayHaveExecuted = new HashMap<>();
-        final Set<Long> open = new HashSet<>();
+        final Set<Long> unanswered = new HashSet<>();
         final Set<String> ready = new HashSet<>();
         final List<long[]> timers = new ArrayList<>();
         long now = 1;
@@ -55,7 +55,7 @@
         @Override
         public void startAttempt(long requestId, String endpointId, long timeoutUs) {
             recorder.startAttempt(requestId, endpointId, timeoutUs);
-            assertTrue(open.contains(requestId), "attempt after the final response: " + requestId);
+            assertTrue(unanswered.contains(requestId), "attempt after the final response: " + requestId);
             assertTrue(ready.contains(endpointId), "attempt at an endpoint that is not ready: " + endpointId);
             assertTrue(!outstanding.containsKey(requestId), "concurrent attempts: " + requestId);
             if (setup.idempotency == Idempotency.NOT_IDEMPOTENT) {
@@ -98,7 +98,7 @@
         }
 
         private void recordFinalResponse(long requestId) {
-            if (!open.remove(requestId)) {
+            if (!unanswered.remove(requestId)) {
                 throw new AssertionError("second final response: " + requestId);
             }
         }
@@ -111,7 +111,7 @@
                 case 3 -> changeEndpointList();
                 case 4 -> {
                     Long id = randomRequestWithAttempt();
-                    if (id != null && open.remove(id)) {
+                    if (id != null && unanswered.remove(id)) {
                         balancer.requestCancelled(now, id);
                     }
                 }
@@ -124,7 +124,7 @@
                 }
                 case 6, 7 -> {
                     Long id = randomRequestWithAttempt();
-                    if (id != null && !established.get(id) && open.contains(id)) {
+                    if (id != null && !established.get(id) && unanswered.contains(id)) {
                         established.put(id, true);
                         mayHaveExecuted.put(id, true);
                         balancer.attemptEstablished(now, id, outstanding.get(id), 1 + random.nextInt(50_000));
@@ -149,10 +149,10 @@
 
         private void sendRequest() {
             long id = ++lastId;
-            open.add(id);
-            int requestClass = random.nextInt(2);
+            unanswered.add(id);
+            int tenant = random.nextInt(2);
             String group = setup.groupAffinity ? "g" + random.nextInt(5) : null;
-            balancer.requestArrived(now, request(id, requestClass, group, 2 * SECOND));
+            balancer.requestArrived(now, request(id, tenant, group, 2 * SECOND));
         }
 
         private Long randomRequestWithAttempt() {
@@ -170,8 +170,8 @@
             Outcome[] outcomes = Outcome.values();
             Outcome outcome = established.get(id) ? Outcome.RESET : outcomes[random.nextInt(outcomes.length)];
             int attempt = outstanding.remove(id);
-            boolean concluded = !open.contains(id) || outcome == Outcome.OK || established.get(id);
-            open.removeAll(concluded ? Set.of(id) : Set.of());
+            boolean concluded = !unanswered.contains(id) || outcome == Outcome.OK || established.get(id);
+            unanswered.removeAll(concluded ? Set.of(id) : Set.of());
             if (!outcome.neverExecuted) {
                 mayHaveExecuted.put(id, true);
             }
@@ -212,7 +212,7 @@
             }
             simulation.endAll();
             assertTrue(simulation.lastId > 500);
-            assertEquals(Set.of(), simulation.open, "requests without a final response, seed " + seed);
+            assertEquals(Set.of(), simulation.unanswered, "requests without a final response, seed " + seed);
             assertEquals(0, simulation.balancer.parts.requests.size(), "requests still tracked, seed " + seed);
         }
     }
@@ -220,7 +220,7 @@
     @Test
     void invariantChecksDetectViolations() {
         Simulation simulation = new Simulation(1, Idempotency.NOT_IDEMPOTENT);
-        simulation.open.add(1L);
+        simulation.unanswered.add(1L);
         simulation.ready.add("s");
         simulation.startAttempt(1, "s", 0);
         for (Runnable violation : List.<Runnable>of(
@@ -239,14 +239,14 @@
 
     @Test
     void sameSeedAndEventsGiveSameActionsWhateverTheNames() {
-        List<String> first = play(3, "");
+        List<String> first = actionsOfRun(3, "");
         assertTrue(first.size() > 300);
-        assertEquals(first, play(3, ""));
-        assertEquals(first, play(3, "renamed-"));
-        assertNotEquals(first, play(4, ""));
+        assertEquals(first, actionsOfRun(3, ""));
+        assertEquals(first, actionsOfRun(3, "renamed-"));
+        assertNotEquals(first, actionsOfRun(4, ""));
     }
 
-    private static List<String> play(long seed, String prefix) {
+    private static List<String> actionsOfRun(long seed, String prefix) {
         BalancerSetup setup = new BalancerSetup();
         setup.namePrefix = prefix;
         setup.groupAffinity = true;
--- a/node/src/test/java/tulipshed/decision/RequestLifecycleTest.java
+++ b/node/src/test/java/tulipshed/decision/RequestLifecycleTest.java
@@ -13,7 +13,7 @@
 import tulipshed.decision.api.LoadReport;
 import tulipshed.decision.api.Outcome;
 
-/** Each request receives exactly one final response. */
+/** Requests from arrival to end, with at most one final response: held, cancelled, adopted and unknown ones. */
 class RequestLifecycleTest {
     private final BalancerSetup setup = new BalancerSetup();
     private final RecordingActions recorder = setup.recorder;
@@ -70,7 +70,10 @@
         assertEquals(List.of(), recorder.take());
     }
 
-    /** Stored by index, they would belong to another class or tenant after an earlier one is removed. */
+    /**
+     * Requests keep their class and tenants their token bucket on reconfiguration; stored by index, they would belong
+     * to another class or tenant after an earlier one is removed.
+     */
     @Test
     void reconfigurationKeepsClassOfOpenRequestsAndBucketsOfTenants() {
         setup.idempotency = Idempotency.NOT_IDEMPOTENT;
--- a/node/src/test/java/tulipshed/decision/SlowStartTest.java
+++ b/node/src/test/java/tulipshed/decision/SlowStartTest.java
@@ -67,7 +67,7 @@
             balancer.requestArrived(15 * SECOND, request(1));
             sentByAll += recorder.attemptedEndpoint().equals(endpointName(4)) ? 1 : 0;
         }
-        // By quota the four other endpoints hold 40 connections, so the credit accumulated in two seconds is 18.
+        // By quota the five endpoints hold 40 connections, 8 each, so the credit accumulated in two seconds is 18.
         assertTrue(sentByAll > 8 && sentByAll < 27, "sent by all at once: " + sentByAll);
     }
 
@@ -96,8 +96,9 @@
     }
 
     /**
-     * Otherwise the only endpoint that is not warming would receive nearly all connections and exceed its latency
-     * objective.
+     * A balancer that holds no connections computes the slow-start credit from the quota. Computed from its own
+     * connections, it would be so small that the only endpoint that is not warming would receive nearly all connections
+     * and exceed its latency objective.
      */
     @Test
     void balancerWithoutConnectionsFillsWarmingEndpointsByQuota() {
