--- a/node/src/main/java/tulipshed/warmup/ExchangeKind.java
+++ b/node/src/main/java/tulipshed/warmup/ExchangeKind.java
@@ -1,29 +1,31 @@
 package tulipshed.warmup;
 
-/** How one exchange goes; the key of its open command names it to the endpoint. */
+/** The course of one exchange. The scripted endpoint reads it from the key of the open command. */
 enum ExchangeKind {
-    /** Served; both sides send a line, then the client ends. */
+    /** Served; both sides send a line, then the client ends the connection. */
     SERVED,
     /** Served after a ping. */
     PINGED,
-    /** The first endpoint rejects it, so that it is attempted again. */
+    /** Rejected by the first endpoint, so that it is retried. */
     REJECTED_ONCE,
-    /** The endpoint fails it. */
+    /** Failed by the endpoint. */
     FAILED,
-    /** Served; the endpoint ends first. */
+    /** Served; the endpoint ends the connection first. */
     COMPLETED,
-    /** Served; the endpoint sends the client away. */
+    /** Served; the endpoint migrates the client. */
     MIGRATED,
-    /** The client leaves before its answer. */
+    /** Cancelled by the client before it is answered. */
     CANCELLED,
     /** The open command is malformed. */
     MALFORMED;
 
-    private static final int SERVED_PER_OTHER = 2;
+    private static final int SERVED_PER_OTHER_KIND = 2;
 
-    /** The kind of the exchange of this number: two of three are served, and the others take turns. */
+    /** Returns the kind of the exchange with this number: two of three are SERVED, the other kinds alternate. */
     static ExchangeKind of(int number) {
-        int others = values().length - 1;
-        return number % (SERVED_PER_OTHER + 1) == 0 ? values()[1 + number / (SERVED_PER_OTHER + 1) % others] : SERVED;
+        int otherKinds = values().length - 1;
+        return number % (SERVED_PER_OTHER_KIND + 1) == 0
+                ? values()[1 + number / (SERVED_PER_OTHER_KIND + 1) % otherKinds]
+                : SERVED;
     }
 }
--- a/node/src/main/java/tulipshed/warmup/Exchanges.java
+++ b/node/src/main/java/tulipshed/warmup/Exchanges.java
@@ -20,19 +20,19 @@
 import tulipshed.time.Clock;
 
 /**
- * Exchanges between scripted clients, a frontend with a core and a decision module of its own, and scripted
- * endpoints, under the settings of the node. Nothing of it is the node's: neither log, counters, random numbers, learned
- * state nor descriptors. Confined to one thread.
+ * Exchanges between scripted clients and scripted endpoints through a separate frontend, proxy core and decision module
+ * with the settings of the node. They share no log, counters, random numbers, learned state or descriptors with the
+ * node. Confined to one thread.
  */
 final class Exchanges {
-    /** As many clients as one turn of the loop may bring. */
-    private static final int CLIENTS_AT_ONCE = 8;
+    /** Clients that connect in one iteration of the event loop. */
+    private static final int CLIENTS_PER_ITERATION = 8;
 
-    /** Virtual time between these clients and the next ones, in which tenants have their quota again. */
+    /** Virtual time between two groups of clients, in which the quotas of the tenants refill. */
     private static final double INTERVAL_MS = 1000;
 
-    private static final int ENDPOINTS = 16;
-    private static final int GROUPS = 11;
+    private static final int ENDPOINT_COUNT = 16;
+    private static final int AFFINITY_GROUP_COUNT = 11;
     private static final int PORT = 1; // never connected to
     private static final String PING = "PING\r\n";
 
@@ -53,7 +53,7 @@
     private List<EndpointListEntry> endpoints() {
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), PORT);
         List<EndpointListEntry> entries = new ArrayList<>();
-        for (int number = 0; number < ENDPOINTS; number++) {
+        for (int number = 0; number < ENDPOINT_COUNT; number++) {
             EndpointInfo info =
                     new EndpointInfo("warmup-" + number, EndpointStatus.SERVING, settings.zone(), 0, "", 1, 0);
             entries.add(new EndpointListEntry(info, address));
@@ -61,12 +61,12 @@
         return entries;
     }
 
-    /** Plays this many exchanges; returns how many of them were answered. */
-    int play(int exchanges) {
+    /** Runs this many exchanges; returns the number of answered ones. */
+    int run(int exchanges) {
         List<ScriptedClient> clients = new ArrayList<>();
         for (int i = 0; i < exchanges; i++) {
             clients.add(connectClient(exchangeCount++));
-            if (clients.size() % CLIENTS_AT_ONCE == 0) {
+            if (clients.size() % CLIENTS_PER_ITERATION == 0) {
                 loop.advance(INTERVAL_MS);
             }
         }
@@ -98,15 +98,16 @@
                                 .get(number % settings.tenants().size())
                                 .name();
         return "OPEN " + Integer.toHexString(number) + " " + kind + " c=" + requestClass.name() + tenant + ",d="
-                + Math.round(Clock.toMillis(requestClass.deadlineUs())) + ",g=" + number % GROUPS + "\r\n";
+                + Math.round(Clock.toMillis(requestClass.deadlineUs())) + ",g=" + number % AFFINITY_GROUP_COUNT
+                + "\r\n";
     }
 
-    /** The core that the exchanges go through. */
+    /** Returns the core that serves the exchanges. */
     ProxyCore core() {
         return core;
     }
 
-    /** Connections that are open, of clients and to endpoints. */
+    /** Returns the number of open client and upstream connections. */
     int openConnections() {
         return loop.openConnections();
     }
--- a/node/src/main/java/tulipshed/warmup/InMemoryConnection.java
+++ b/node/src/main/java/tulipshed/warmup/InMemoryConnection.java
@@ -10,8 +10,8 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * A connection in memory between the node and a {@link RemoteEnd}. Readiness is notified as a task of the loop, for as long as
- * there is something to read. Confined to the thread of the loop.
+ * An in-memory connection between the node and a {@link RemoteEnd}. Tasks of the event loop notify the node as long as
+ * input is readable. Confined to the thread of the loop.
  */
 final class InMemoryConnection extends StreamConnection {
     private static final SocketAddress ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -22,7 +22,7 @@
     private boolean isInputEnded;
     private boolean isEndRead;
     private boolean isReading;
-    private boolean isNotificationDue;
+    private boolean isNotificationScheduled;
     private boolean isOutputEnded;
 
     InMemoryConnection(InMemoryEventLoop loop, RemoteEnd remote) {
@@ -41,7 +41,7 @@
         notifyIfReadable();
     }
 
-    /** Ends the sending to the node. */
+    /** Ends the input of the node. */
     void endSending() {
         isInputEnded = true;
         notifyIfReadable();
@@ -50,17 +50,17 @@
     // ---- The node's end ----
 
     /** Sets whether the node is notified of input. */
-    void setReading(boolean on) {
-        isReading = on;
+    void setReading(boolean enabled) {
+        isReading = enabled;
         notifyIfReadable();
     }
 
-    /** Whether the node is notified of input. */
+    /** Returns whether the node is notified of input. */
     boolean isReading() {
         return isReading;
     }
 
-    /** Reads what one write of the remote end left; 0 if there is nothing now, -1 at the end of input. */
+    /** Reads bytes of at most one write of the remote end; returns their number, 0 if none are available, -1 at the end of input. */
     int read(ByteBuffer into) {
         ByteBuffer next = input.peek();
         if (next == null) {
@@ -76,14 +76,14 @@
         return bytes;
     }
 
-    /** Passes all bytes on to the remote end. */
+    /** Passes all bytes to the remote end; returns their number. */
     int write(ByteBuffer bytes) {
         int count = bytes.remaining();
         remote.onBytes(this, bytes);
         return count;
     }
 
-    /** Ends the sending of the node. */
+    /** Ends the output of the node. */
     void endOutput() {
         if (!isOutputEnded) {
             isOutputEnded = true;
@@ -108,8 +108,8 @@
     }
 
     private void notifyIfReadable() {
-        if (isReadable() && !isNotificationDue) {
-            isNotificationDue = true;
+        if (isReadable() && !isNotificationScheduled) {
+            isNotificationScheduled = true;
             loop.execute(this::notifyReadable);
         }
     }
@@ -119,7 +119,7 @@
     }
 
     private void notifyReadable() {
-        isNotificationDue = false;
+        isNotificationScheduled = false;
         if (isReadable()) {
             ConduitStreamSourceChannel source = getSourceChannel();
             ChannelListeners.invokeChannelListener(source, source.getReadListener());
--- a/node/src/main/java/tulipshed/warmup/InMemoryEventLoop.java
+++ b/node/src/main/java/tulipshed/warmup/InMemoryEventLoop.java
@@ -12,8 +12,8 @@
 import tulipshed.transport.TcpConnection;
 
 /**
- * An event loop in virtual time, whose connections are in memory and lead to one {@link RemoteEnd}. Runs on the thread that
- * calls {@link #advance}.
+ * An event loop in virtual time with in-memory connections to one {@link RemoteEnd}. Runs on the thread that calls
+ * {@link #advance}.
  */
 final class InMemoryEventLoop implements ConnectionLoop, Clock {
     private final RemoteEnd endpoint;
@@ -24,7 +24,7 @@
     private long timerCount;
     private int openConnections;
 
-    /** A task that is due at a moment; of one moment, the earlier scheduled one is first. */
+    /** A task that is due at a time; tasks due at the same time run in the order in which they were scheduled. */
     private record Timer(double atMs, long number, Runnable task) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
@@ -33,14 +33,14 @@
         }
     }
 
-    /** A loop at time 0; every connection that the node opens leads to this endpoint. */
+    /** Creates a loop at time 0 that connects every upstream connection of the node to this endpoint. */
     InMemoryEventLoop(RemoteEnd endpoint) {
         this.endpoint = endpoint;
     }
 
-    /** Runs all tasks, and the timers of the next {@code spanMs} milliseconds. */
-    void advance(double spanMs) {
-        double untilMs = nowMs + spanMs;
+    /** Runs all tasks and the timers of the next {@code durationMs} milliseconds. */
+    void advance(double durationMs) {
+        double untilMs = nowMs + durationMs;
         runTasks();
         while (!timers.isEmpty() && timers.peek().atMs() <= untilMs) {
             Timer next = timers.poll();
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Connections that are open. */
+    /** Returns the number of open connections. */
     int openConnections() {
         return openConnections;
     }
@@ -110,7 +110,7 @@
         return pending;
     }
 
-    /** A connection to the endpoint, which is established in the loop's next turn. */
+    /** A connection to the endpoint that is established in the next iteration of the loop. */
     private final class PendingConnect implements PendingConnection, Runnable {
         private final Consumer<StreamConnection> onEstablished;
         private boolean isAbandoned;
--- a/node/src/main/java/tulipshed/warmup/InMemorySink.java
+++ b/node/src/main/java/tulipshed/warmup/InMemorySink.java
@@ -9,7 +9,7 @@
 import org.xnio.conduits.StreamSinkConduit;
 import org.xnio.conduits.WriteReadyHandler;
 
-/** What the node writes to a connection in memory, which takes all at once. Operations that it does not use are not supported. */
+/** The output of the node on an in-memory connection; writes never block. Operations that the node does not use are unsupported. */
 final class InMemorySink implements StreamSinkConduit {
     private final InMemoryConnection connection;
     private boolean isShutDown;
@@ -46,7 +46,7 @@
 
     @Override
     public void suspendWrites() {
-        // Nothing ever waits to be written.
+        // Every write completes at once, so there is nothing to wait for.
     }
 
     @Override
@@ -56,7 +56,7 @@
 
     @Override
     public void setWriteReadyHandler(WriteReadyHandler handler) {
-        // Nothing ever waits to be written.
+        // Every write completes at once, so there is nothing to wait for.
     }
 
     @Override
--- a/node/src/main/java/tulipshed/warmup/InMemorySource.java
+++ b/node/src/main/java/tulipshed/warmup/InMemorySource.java
@@ -9,7 +9,7 @@
 import org.xnio.conduits.ReadReadyHandler;
 import org.xnio.conduits.StreamSourceConduit;
 
-/** What the node reads of a connection in memory. Operations that the node does not use are not supported. */
+/** The input of the node on an in-memory connection. Operations that the node does not use are unsupported. */
 final class InMemorySource implements StreamSourceConduit {
     private final InMemoryConnection connection;
     private boolean isShutDown;
@@ -50,7 +50,7 @@
 
     @Override
     public void setReadReadyHandler(ReadReadyHandler handler) {
-        // The connection notifies the listener of its source channel itself.
+        // The connection calls the read listener of its source channel directly.
     }
 
     @Override
--- a/node/src/main/java/tulipshed/warmup/RemoteEnd.java
+++ b/node/src/main/java/tulipshed/warmup/RemoteEnd.java
@@ -2,11 +2,11 @@
 
 import java.nio.ByteBuffer;
 
-/** The end of a connection in memory that is not the node's. */
+/** The remote end of an in-memory connection of the node. */
 interface RemoteEnd {
-    /** Takes what the node has written at once; the buffer is consumed. */
+    /** Receives the bytes of one write of the node and consumes the buffer. */
     void onBytes(InMemoryConnection connection, ByteBuffer bytes);
 
-    /** The node has ended its sending, or closed the connection. */
+    /** Called when the node has ended its output or closed the connection. */
     void onEnd(InMemoryConnection connection);
 }
--- a/node/src/main/java/tulipshed/warmup/ScriptedClient.java
+++ b/node/src/main/java/tulipshed/warmup/ScriptedClient.java
@@ -3,19 +3,19 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Plays one client: sends one line once it is served, and ends after the reply or a final answer. */
+/** A client that sends one line once it is served and ends the connection after the reply or a final response. */
 final class ScriptedClient implements RemoteEnd {
-    /** The word of a client's own lines. */
-    static final String MESSAGE_WORD = "M";
+    /** The command that precedes a message of the client. */
+    static final String MESSAGE_COMMAND = "M";
 
-    private static final byte[] MESSAGE = (MESSAGE_WORD + " 1\r\n").getBytes(StandardCharsets.US_ASCII);
-    private static final String ESTABLISHED_WORD = "UP";
-    private static final String PONG_WORD = "PONG";
-    private static final String LOAD_WORD = "LOAD";
+    private static final byte[] MESSAGE = (MESSAGE_COMMAND + " 1\r\n").getBytes(StandardCharsets.US_ASCII);
+    private static final String ESTABLISHED_COMMAND = "UP";
+    private static final String PONG_COMMAND = "PONG";
+    private static final String LOAD_COMMAND = "LOAD";
 
     private boolean isAnswered;
 
-    /** Whether the node has answered the open command, in whatever way. */
+    /** Returns whether the node has answered the open command, by accepting or by rejecting it. */
     boolean isAnswered() {
         return isAnswered;
     }
@@ -23,11 +23,11 @@
     @Override
     public void onBytes(InMemoryConnection connection, ByteBuffer bytes) {
         String lines = StandardCharsets.US_ASCII.decode(bytes).toString();
-        if (lines.startsWith(PONG_WORD) || lines.startsWith(LOAD_WORD)) {
+        if (lines.startsWith(PONG_COMMAND) || lines.startsWith(LOAD_COMMAND)) {
             return;
         }
         isAnswered = true;
-        if (lines.startsWith(ESTABLISHED_WORD)) {
+        if (lines.startsWith(ESTABLISHED_COMMAND)) {
             connection.send(MESSAGE);
         } else {
             connection.endSending();
--- a/node/src/main/java/tulipshed/warmup/ScriptedEndpoint.java
+++ b/node/src/main/java/tulipshed/warmup/ScriptedEndpoint.java
@@ -5,7 +5,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Plays all endpoints: answers each open command as its key says, and returns lines. */
+/** The remote end of all endpoints: answers each open command as its key specifies and echoes message lines. */
 final class ScriptedEndpoint implements RemoteEnd {
     private static final byte[] ESTABLISHED = encode("UP 5be2a07c\r\n");
     private static final byte[] REJECTED = encode("BUSY\r\n");
@@ -15,11 +15,11 @@
     private static final byte[] LOAD_REPORT = encode("LOAD 20\r\n");
     private static final byte[] HEALTH_CHECK_FORBIDDEN = encode("NO\r\n");
 
-    private static final String OPEN_WORD = "OPEN";
-    private static final int ID_WORD = 1;
-    private static final int KEY_WORD = 2;
+    private static final String OPEN_COMMAND = "OPEN";
+    private static final int ID_FIELD = 1;
+    private static final int KEY_FIELD = 2;
 
-    /** The requests that were rejected once. */
+    /** IDs of the requests that were rejected once. */
     private final Set<String> rejectedIds = new HashSet<>();
 
     private static byte[] encode(String text) {
@@ -29,10 +29,10 @@
     @Override
     public void onBytes(InMemoryConnection connection, ByteBuffer bytes) {
         String line = StandardCharsets.US_ASCII.decode(bytes).toString();
-        String[] words = line.split(" ", -1);
-        if (words[0].equals(OPEN_WORD)) {
-            answer(connection, words[ID_WORD], ExchangeKind.valueOf(words[KEY_WORD]));
-        } else if (words[0].equals(ScriptedClient.MESSAGE_WORD)) {
+        String[] fields = line.split(" ", -1);
+        if (fields[0].equals(OPEN_COMMAND)) {
+            answer(connection, fields[ID_FIELD], ExchangeKind.valueOf(fields[KEY_FIELD]));
+        } else if (fields[0].equals(ScriptedClient.MESSAGE_COMMAND)) {
             connection.send(LOAD_REPORT);
             connection.send(encode(line));
         } else {
@@ -44,13 +44,13 @@
         switch (kind) {
             case REJECTED_ONCE -> connection.send(rejectedIds.add(id) ? REJECTED : ESTABLISHED);
             case FAILED -> connection.send(FAILED);
-            case COMPLETED -> endWith(connection, COMPLETED);
-            case MIGRATED -> endWith(connection, MIGRATED);
+            case COMPLETED -> sendAndEnd(connection, COMPLETED);
+            case MIGRATED -> sendAndEnd(connection, MIGRATED);
             default -> connection.send(ESTABLISHED);
         }
     }
 
-    private static void endWith(InMemoryConnection connection, byte[] lines) {
+    private static void sendAndEnd(InMemoryConnection connection, byte[] lines) {
         connection.send(lines);
         connection.endSending();
     }
--- a/node/src/main/java/tulipshed/warmup/Warmup.java
+++ b/node/src/main/java/tulipshed/warmup/Warmup.java
@@ -9,9 +9,9 @@
 import tulipshed.time.Clock;
 
 /**
- * Plays bursts of exchanges until some in a row are answered in time, or until the time for it is over. So a process is ready
- * once its code is compiled and it gets the processor that a burst of clients needs. Confined to the thread that runs it, and
- * shares no state with the node.
+ * Runs bursts of exchanges until several consecutive ones complete in time or a timeout expires. A process is thus ready
+ * only when its code is compiled and it gets the CPU time that a burst of clients needs. Confined to the thread that runs
+ * it; shares no state with the node.
  */
 public final class Warmup {
     private final WarmupLimits limits;
@@ -20,7 +20,7 @@
     private final Runnable burst;
 
     /**
-     * A warm-up of a node with this configuration.
+     * Creates a warm-up of a node with this configuration.
      *
      * @param clock measures how long the bursts take
      */
@@ -28,7 +28,7 @@
         this(limits.warmup(), clock, Warmup::park, burstOf(new Exchanges(config, limits), limits.warmup()));
     }
 
-    /** A warm-up that plays this burst, and waits between two bursts with {@code pauseMs}. */
+    /** Creates a warm-up that runs this burst repeatedly and calls {@code pauseMs} to wait after a burst in time. */
     Warmup(WarmupLimits limits, Clock clock, DoubleConsumer pauseMs, Runnable burst) {
         this.limits = limits;
         this.clock = clock;
@@ -37,19 +37,19 @@
     }
 
     private static Runnable burstOf(Exchanges exchanges, WarmupLimits limits) {
-        return () -> exchanges.play(limits.burstExchanges());
+        return () -> exchanges.run(limits.burstExchanges());
     }
 
     private static void park(double ms) {
         LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(Clock.toMicros(ms)));
     }
 
-    /** Runs the warm-up; returns whether its bursts were answered in time in the end. */
+    /** Runs the warm-up; returns whether enough consecutive bursts completed in time before the timeout. */
     public boolean run() {
         double deadlineMs = clock.nowMs() + limits.timeoutMs();
         int burstsInTime = 0;
         while (burstsInTime < limits.burstsInTime() && clock.nowMs() < deadlineMs) {
-            if (playBurstMs() <= limits.targetMs()) {
+            if (runBurstMs() <= limits.targetMs()) {
                 burstsInTime++;
                 pauseMs.accept(limits.pauseMs());
             } else {
@@ -59,8 +59,8 @@
         return burstsInTime >= limits.burstsInTime();
     }
 
-    /** Plays one burst; returns how long it took. */
-    private double playBurstMs() {
+    /** Runs one burst; returns its duration in milliseconds. */
+    private double runBurstMs() {
         double startMs = clock.nowMs();
         burst.run();
         return clock.nowMs() - startMs;
--- a/node/src/main/java/tulipshed/warmup/package-info.java
+++ b/node/src/main/java/tulipshed/warmup/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The warm-up of a process that has just started: before it accepts clients, it serves exchanges of its own through a
- * frontend, a core and a decision module that are discarded afterwards, over connections in memory and in virtual time. So
- * the virtual machine has linked and compiled what a request needs before the first client comes.
+ * The warm-up of a newly started process: before it accepts clients, it serves synthetic exchanges through a separate
+ * frontend, proxy core and decision module, which are discarded afterwards, over in-memory connections and in virtual
+ * time. The virtual machine has thus linked and compiled the request path before the first client connects.
  */
 package tulipshed.warmup;
--- a/node/src/test/java/tulipshed/PackagesTest.java
+++ b/node/src/test/java/tulipshed/PackagesTest.java
@@ -18,12 +18,12 @@
             .importPackages("tulipshed");
 
     @Test
-    void noneImportsInACircle() {
+    void packagesHaveNoCyclicDependencies() {
         slices().matching("tulipshed.(*)..").should().beFreeOfCycles().check(classes);
     }
 
     @Test
-    void theCoreKnowsNoWire() {
+    void coreAndDecisionModuleDoNotDependOnInputOrOutput() {
         noClasses()
                 .that()
                 .resideInAnyPackage("tulipshed.proxy..", "tulipshed.decision..")
@@ -41,7 +41,7 @@
                 .check(classes);
     }
 
-    /** Addresses are bytes there: nothing is looked up or opened. */
+    /** Rules treat addresses as bytes; they resolve no names and open no files or sockets. */
     @Test
     void rulesDoNoInputOrOutput() {
         noClasses()
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void theModuleKnowsNothingElse() {
+    void decisionModuleDoesNotDependOnTheNode() {
         noClasses()
                 .that()
                 .resideInAPackage("tulipshed.decision..")
@@ -70,9 +70,9 @@
                 .check(classes);
     }
 
-    /** No wall clock but that one, which is a type of its own, so that none is taken for the monotonic clock. */
+    /** The wall clock has a type of its own, so that it cannot be mistaken for the monotonic clock. */
     @Test
-    void theWallClockIsReadInOnePlace() {
+    void onlySystemWallClockReadsTheWallClock() {
         noClasses()
                 .that()
                 .doNotHaveFullyQualifiedName("tulipshed.time.SystemWallClock")
@@ -80,16 +80,16 @@
                 .callMethod(System.class, "currentTimeMillis")
                 .orShould()
                 .dependOnClassesThat(DescribedPredicate.describe(
-                        "tell the time of day",
+                        "represent calendar time",
                         c -> (c.getPackageName().startsWith("java.time") && !c.isEquivalentTo(Duration.class))
                                 || c.isEquivalentTo(Date.class)
                                 || c.isAssignableTo(Calendar.class)))
                 .check(classes);
     }
 
-    /** What decides, keeps deadlines or measures spans must not see a clock that may step. */
+    /** Decisions, deadlines and measured durations must not depend on a clock that can be stepped. */
     @Test
-    void noDecisionRestsOnAWallClock() {
+    void decisionsDoNotDependOnTheWallClock() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
--- a/node/src/test/java/tulipshed/testing/LoopbackSockets.java
+++ b/node/src/test/java/tulipshed/testing/LoopbackSockets.java
@@ -16,14 +16,14 @@
 
     private LoopbackSockets() {}
 
-    /** Returns a TCP port that nobody listens on at the moment of the call. */
+    /** Returns a TCP port that has no listener at the moment of the call. */
     public static int freeTcpPort() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return free.getLocalPort();
         }
     }
 
-    /** Returns a UDP port that nobody has bound at the moment of the call. */
+    /** Returns a UDP port that is not bound at the moment of the call. */
     public static int freeUdpPort() throws IOException {
         try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             return free.getLocalPort();
@@ -62,7 +62,7 @@
         return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
     }
 
-    /** Writes ASCII text as it is, without a line end of its own. */
+    /** Writes ASCII text unchanged, without adding a line end. */
     public static void send(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
--- a/node/src/test/java/tulipshed/testing/NodeConfigFile.java
+++ b/node/src/test/java/tulipshed/testing/NodeConfigFile.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 
 /**
- * A node's configuration for a test: the one of {@code src/test/resources/node.json}, with the test's ports and
- * settings. For one thread.
+ * A node configuration for a test, derived from {@code src/test/resources/node.json} with the ports and settings of the
+ * test. Confined to one thread.
  */
 public final class NodeConfigFile {
     private static final Path TEMPLATE = Path.of("src/test/resources/node.json");
@@ -22,7 +22,7 @@
         this.json = json;
     }
 
-    /** Returns the configuration as the template has it. */
+    /** Returns the unchanged configuration of the template. */
     public static NodeConfigFile fromTemplate() throws IOException {
         return new NodeConfigFile(Files.readString(TEMPLATE));
     }
@@ -42,14 +42,14 @@
         return replace(DISCOVERY_PORT, ":" + port);
     }
 
-    /** Replaces a text of the file, which has to contain it. */
+    /** Replaces every occurrence of a text that the file must contain. */
     public NodeConfigFile replace(String text, String replacement) {
         assertTrue(json.contains(text), text);
         json = json.replace(text, replacement);
         return this;
     }
 
-    /** Replaces whatever matches a regular expression. */
+    /** Replaces every match of a regular expression. */
     public NodeConfigFile replaceAll(String regex, String replacement) {
         json = json.replaceAll(regex, replacement);
         return this;
--- a/node/src/test/java/tulipshed/testing/NodeProcess.java
+++ b/node/src/test/java/tulipshed/testing/NodeProcess.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 
 /**
- * A node that runs in a process of its own, with its log.
+ * A node in a separate process, with its log.
  *
  * <p>The process is started by the constructor and killed by {@link #close}. Its standard output and standard error are
  * read as one log by a daemon thread; all other members are for one test thread.
@@ -110,7 +110,7 @@
         assertEquals(0, kill.waitFor());
     }
 
-    /** Waits for the process to exit; returns false when it still runs after so many seconds. */
+    /** Waits for the process to exit; returns false if it still runs after this many seconds. */
     public boolean awaitExit(int seconds) throws InterruptedException {
         return process.waitFor(seconds, TimeUnit.SECONDS);
     }
--- a/node/src/test/java/tulipshed/warmup/ExchangesTest.java
+++ b/node/src/test/java/tulipshed/warmup/ExchangesTest.java
@@ -15,33 +15,33 @@
 
 @Timeout(30)
 class ExchangesTest {
-    private static final int COUNT = 120;
+    private static final int EXCHANGE_COUNT = 120;
 
     private final Exchanges exchanges = new Exchanges(
             NodeConfig.load(Map.of("PROXY_CONFIG", "src/test/resources/node.json")), Limits.forDescriptors(1024));
 
     @Test
-    void everyExchangeIsAnsweredButThoseOfClientsThatLeave() {
-        long leaving = IntStream.range(0, COUNT)
+    void everyExchangeIsAnsweredUnlessCancelled() {
+        long cancelled = IntStream.range(0, EXCHANGE_COUNT)
                 .filter(number -> ExchangeKind.of(number) == ExchangeKind.CANCELLED)
                 .count();
-        assertTrue(exchanges.play(COUNT) >= COUNT - leaving);
+        assertTrue(exchanges.run(EXCHANGE_COUNT) >= EXCHANGE_COUNT - cancelled);
     }
 
     @Test
-    void requestsTakeTheWholePathAndAllConnectionsEnd() {
-        exchanges.play(COUNT);
-        exchanges.play(COUNT);
+    void requestsAreForwardedAndAllConnectionsEnd() {
+        exchanges.run(EXCHANGE_COUNT);
+        exchanges.run(EXCHANGE_COUNT);
         NodeMetrics metrics = exchanges.core().metrics();
-        assertTrue(metrics.forwardedAttempts() > COUNT, () -> "forwarded: " + metrics.forwardedAttempts());
+        assertTrue(metrics.forwardedAttempts() > EXCHANGE_COUNT, () -> "forwarded: " + metrics.forwardedAttempts());
         assertEquals(0, exchanges.core().establishedCount());
         assertEquals(0, exchanges.openConnections());
     }
 
     @Test
-    void everyKindHasItsTurn() {
+    void everyExchangeKindOccurs() {
         Set<ExchangeKind> kinds = new HashSet<>();
-        for (int number = 0; number < COUNT; number++) {
+        for (int number = 0; number < EXCHANGE_COUNT; number++) {
             kinds.add(ExchangeKind.of(number));
         }
         assertEquals(Set.of(ExchangeKind.values()), kinds);
--- a/node/src/test/java/tulipshed/warmup/WarmupTest.java
+++ b/node/src/test/java/tulipshed/warmup/WarmupTest.java
@@ -18,13 +18,13 @@
     private double nowMs;
     private int bursts;
 
-    /** Runs a warm-up whose bursts take these times; the last one repeats. */
+    /** Runs a warm-up whose bursts take these durations in milliseconds; the last one repeats. */
     private boolean runWithBursts(double... burstsMs) {
-        Iterator<Double> times = Arrays.stream(burstsMs).iterator();
-        double[] tookMs = {0};
+        Iterator<Double> durations = Arrays.stream(burstsMs).iterator();
+        double[] burstMs = {0};
         Runnable burst = () -> {
-            tookMs[0] = times.hasNext() ? times.next() : tookMs[0];
-            nowMs += tookMs[0];
+            burstMs[0] = durations.hasNext() ? durations.next() : burstMs[0];
+            nowMs += burstMs[0];
             bursts++;
         };
         return new Warmup(LIMITS, () -> nowMs, this::pause, burst).run();
@@ -43,13 +43,13 @@
     }
 
     @Test
-    void countsBurstsInARow() {
+    void countsOnlyConsecutiveBurstsInTime() {
         assertTrue(runWithBursts(10, 10, 21, 10));
         assertEquals(6, bursts);
     }
 
     @Test
-    void endsAtItsTimeoutWhereBurstsStayLate() {
+    void endsAtTheTimeoutWhenNoBurstIsInTime() {
         assertFalse(runWithBursts(30));
         assertEquals(7, bursts);
         assertEquals(210, nowMs);
