--- a/node/src/main/java/tulipshed/warmup/ExchangeKind.java
+++ b/node/src/main/java/tulipshed/warmup/ExchangeKind.java
@@ -19,13 +19,13 @@
     /** The open command is malformed. */
     MALFORMED;
 
-    private static final int SERVED_PER_OTHER_KIND = 2;
+    private static final int SERVED_PER_OTHER_EXCHANGE = 2;
 
     /** Returns the kind of the exchange with this number: two of three are SERVED, the other kinds alternate. */
     static ExchangeKind of(int number) {
         int otherKinds = values().length - 1;
-        return number % (SERVED_PER_OTHER_KIND + 1) == 0
-                ? values()[1 + number / (SERVED_PER_OTHER_KIND + 1) % otherKinds]
+        return number % (SERVED_PER_OTHER_EXCHANGE + 1) == 0
+                ? values()[1 + number / (SERVED_PER_OTHER_EXCHANGE + 1) % otherKinds]
                 : SERVED;
     }
 }
--- a/node/src/main/java/tulipshed/warmup/Exchanges.java
+++ b/node/src/main/java/tulipshed/warmup/Exchanges.java
@@ -62,7 +62,7 @@
     }
 
     /** Runs this many exchanges; returns the number of answered ones. */
-    int run(int exchanges) {
+    int runExchanges(int exchanges) {
         List<ScriptedClient> clients = new ArrayList<>();
         for (int i = 0; i < exchanges; i++) {
             clients.add(connectClient(exchangeCount++));
--- a/node/src/main/java/tulipshed/warmup/InMemoryConnection.java
+++ b/node/src/main/java/tulipshed/warmup/InMemoryConnection.java
@@ -60,7 +60,11 @@
         return isReading;
     }
 
-    /** Reads bytes of at most one write of the remote end; returns their number, 0 if none are available, -1 at the end of input. */
+    /**
+     * Reads bytes of at most one write of the remote end.
+     *
+     * @return the number of bytes, 0 if none are available, or -1 at the end of input
+     */
     int read(ByteBuffer into) {
         ByteBuffer next = input.peek();
         if (next == null) {
--- a/node/src/main/java/tulipshed/warmup/InMemorySink.java
+++ b/node/src/main/java/tulipshed/warmup/InMemorySink.java
@@ -9,7 +9,10 @@
 import org.xnio.conduits.StreamSinkConduit;
 import org.xnio.conduits.WriteReadyHandler;
 
-/** The output of the node on an in-memory connection; writes never block. Operations that the node does not use are unsupported. */
+/**
+ * The output of the node on an in-memory connection; every write completes at once. Operations that the node does not
+ * use are unsupported.
+ */
 final class InMemorySink implements StreamSinkConduit {
     private final InMemoryConnection connection;
     private boolean isShutDown;
--- a/node/src/main/java/tulipshed/warmup/Warmup.java
+++ b/node/src/main/java/tulipshed/warmup/Warmup.java
@@ -37,7 +37,7 @@
     }
 
     private static Runnable burstOf(Exchanges exchanges, WarmupLimits limits) {
-        return () -> exchanges.run(limits.burstExchanges());
+        return () -> exchanges.runExchanges(limits.burstExchanges());
     }
 
     private static void park(double ms) {
--- a/node/src/test/java/tulipshed/warmup/ExchangesTest.java
+++ b/node/src/test/java/tulipshed/warmup/ExchangesTest.java
@@ -25,13 +25,13 @@
         long cancelled = IntStream.range(0, EXCHANGE_COUNT)
                 .filter(number -> ExchangeKind.of(number) == ExchangeKind.CANCELLED)
                 .count();
-        assertTrue(exchanges.run(EXCHANGE_COUNT) >= EXCHANGE_COUNT - cancelled);
+        assertTrue(exchanges.runExchanges(EXCHANGE_COUNT) >= EXCHANGE_COUNT - cancelled);
     }
 
     @Test
     void requestsAreForwardedAndAllConnectionsEnd() {
-        exchanges.run(EXCHANGE_COUNT);
-        exchanges.run(EXCHANGE_COUNT);
+        exchanges.runExchanges(EXCHANGE_COUNT);
+        exchanges.runExchanges(EXCHANGE_COUNT);
         NodeMetrics metrics = exchanges.core().metrics();
         assertTrue(metrics.forwardedAttempts() > EXCHANGE_COUNT, () -> "forwarded: " + metrics.forwardedAttempts());
         assertEquals(0, exchanges.core().establishedCount());
