--- a/node/src/test/java/tulipshed/PackagesTest.java
+++ b/node/src/test/java/tulipshed/PackagesTest.java
@@ -70,7 +70,10 @@
                 .check(classes);
     }
 
-    /** Only {@code SystemWallClock} reads the wall clock, so that it cannot be mistaken for the monotonic clock. */
+    /**
+     * Only {@code SystemWallClock} reads the wall clock; it is a type of its own, so that it cannot be mistaken for the
+     * monotonic clock.
+     */
     @Test
     void onlySystemWallClockReadsTheWallClock() {
         noClasses()
