--- a/node/src/main/java/tulipshed/discovery/CallFailure.java
+++ b/node/src/main/java/tulipshed/discovery/CallFailure.java
@@ -53,7 +53,7 @@
         return new CallFailure(Reason.MALFORMED_LIST, cause.getMessage());
     }
 
-    /** Whether the connection was established, but the response was late or incomplete. */
+    /** Whether the response did not begin or was not complete within its timeout. */
     boolean isResponseTimeout() {
         return reason == Reason.RESPONSE_TIMEOUT;
     }
--- a/node/src/main/java/tulipshed/discovery/CallTimes.java
+++ b/node/src/main/java/tulipshed/discovery/CallTimes.java
@@ -2,7 +2,10 @@
 
 import tulipshed.time.Clock;
 
-/** Start time of the last call to discovery and arrival time of the last list. Confined to the event-loop thread. */
+/**
+ * Start time of the last call to discovery, and time at which the last list arrived or the initial list was requested.
+ * Confined to the event-loop thread.
+ */
 final class CallTimes {
     private final Clock clock;
     private double callStartedMs;
@@ -19,8 +22,8 @@
         callStartedMs = clock.nowMs();
     }
 
-    /** Records that a list arrived or that the initial list is requested. */
-    void listReceived() {
+    /** Restarts the time since the last list; called when a list arrives or the initial list is requested. */
+    void restartListTimer() {
         lastListMs = clock.nowMs();
     }
 
@@ -29,14 +32,14 @@
         return clock.nowMs() - callStartedMs;
     }
 
-    /** Time since the last list arrived, in milliseconds; NaN before the first. */
+    /** Time since the last list arrived or the initial list was requested, in milliseconds; NaN before that. */
     double sinceLastListMs() {
         return clock.nowMs() - lastListMs;
     }
 
     /**
-     * Remainder of {@code ms} milliseconds that began when the last list arrived: at least 0, and {@code ms} before the
-     * first list.
+     * Remainder of {@code ms} milliseconds that began when the last list arrived or the initial list was requested: at
+     * least 0, and {@code ms} before that.
      */
     double remainingMs(double ms) {
         return Double.isNaN(lastListMs) ? ms : Math.max(0, ms - sinceLastListMs());
--- a/node/src/main/java/tulipshed/discovery/DelayedCall.java
+++ b/node/src/main/java/tulipshed/discovery/DelayedCall.java
@@ -3,14 +3,14 @@
 import tulipshed.proxy.EventLoop;
 
 /**
- * A call that starts after a delay, unless another call is started or scheduled before. Confined to the event-loop
- * thread.
+ * A call that starts after a delay, unless it is cancelled or another one is scheduled before. Confined to the
+ * event-loop thread.
  */
 final class DelayedCall {
     private final EventLoop loop;
 
-    /** Number of the last call that was started or scheduled; only this one may run. */
-    private long lastCall;
+    /** Number of schedules and cancellations so far; a call runs only if there was none after it was scheduled. */
+    private long generation;
 
     DelayedCall(EventLoop loop) {
         this.loop = loop;
@@ -18,9 +18,9 @@
 
     /** Schedules a call in place of any that was scheduled before. */
     void schedule(double delayMs, Runnable call) {
-        long callNumber = ++lastCall;
+        long scheduledGeneration = ++generation;
         loop.schedule(delayMs, () -> {
-            if (callNumber == lastCall) {
+            if (scheduledGeneration == generation) {
                 call.run();
             }
         });
@@ -28,6 +28,6 @@
 
     /** Cancels the scheduled call, if any. */
     void cancel() {
-        lastCall++;
+        generation++;
     }
 }
--- a/node/src/main/java/tulipshed/discovery/DiscoveryCalls.java
+++ b/node/src/main/java/tulipshed/discovery/DiscoveryCalls.java
@@ -29,7 +29,7 @@
     void setAddress(InetSocketAddress newAddress);
 
     /** Whether a connection is open or being opened. */
-    boolean isConnected();
+    boolean hasConnection();
 
     /** Whether a call has started and not ended. */
     boolean isCallInProgress();
--- a/node/src/main/java/tulipshed/discovery/DiscoveryClient.java
+++ b/node/src/main/java/tulipshed/discovery/DiscoveryClient.java
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public boolean isConnected() {
+    public boolean hasConnection() {
         return state != State.DISCONNECTED;
     }
 
--- a/node/src/main/java/tulipshed/discovery/EndpointStartTimes.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointStartTimes.java
@@ -15,11 +15,12 @@
  * time. The wall clock of this node is never read.
  *
  * <ul>
+ *   <li>{@link ListedEndpoint#LONG_AGO} always becomes 0. The other rules apply to all other starts.
  *   <li>After the first list of a watch, a listed start that is new, for a known or a new endpoint, is translated to the
  *       arrival time of the list that contains it, whatever its value.
- *   <li>Up to the first list of a watch, the age of an endpoint is the difference between its start and a reference, the
- *       newest start in the lists so far. The endpoint is at least that old. To tolerate clocks that are ahead, the newest
- *       eighth of the starts is excluded from the reference.
+ *   <li>Up to the first list of a watch, the age of an endpoint is the difference between its start and a reference,
+ *       the newest start in the lists so far. The endpoint is at least that old. To tolerate clocks that are ahead, the
+ *       newest eighth of the starts, rounded up, is excluded from the reference.
  *   <li>An unchanged listed start keeps its translation for as long as it is remembered, and a changed one gets a different
  *       translation, as the decision module distinguishes the processes of an endpoint by it.
  * </ul>
--- a/node/src/main/java/tulipshed/discovery/EndpointWatch.java
+++ b/node/src/main/java/tulipshed/discovery/EndpointWatch.java
@@ -21,10 +21,11 @@
  * response.
  *
  * <p>A failed call is retried at once if {@link ImmediateRetries} allows it. Any other failure ends the watch and is
- * reported to the core as a failed list; the decision module then decides when to call again. The wait of a call
- * becomes shorter as the time since the last response grows. So a change is known within 6 s even if the response to a
- * long poll and the response to its retry are both late; after other consecutive failures it may take longer. Confined
- * to the event-loop thread.
+ * reported to the core as a failed list; the decision module then decides when to call again. A failure of discovery
+ * itself is not reported while a request of the decision module is expected that will retry the call. An agent is
+ * called again after {@code agentRetryDelayMs} in any case. After a failure, the wait of a call becomes shorter as the
+ * time since the last list grows. So a change is known within 6 s even if the response to a long poll and the response
+ * to its retry are both late; after other consecutive failures it may take longer. Confined to the event-loop thread.
  */
 public final class EndpointWatch implements EndpointListSource {
     private static final String LOG_SUBJECT = "discovery";
@@ -140,7 +141,7 @@
      */
     public void requestInitialList() {
         isInitialCall = true;
-        times.listReceived();
+        times.restartListTimer();
         catchUp();
     }
 
@@ -151,7 +152,7 @@
 
     /** Whether a connection is open or being opened. */
     public boolean isConnected() {
-        return client.isConnected();
+        return client.hasConnection();
     }
 
     /** Closes the connection and makes no further call; called when the node shuts down. */
@@ -189,7 +190,8 @@
     }
 
     /**
-     * If discovery itself is polled, the 6 s limit leaves less time to wait as the time since the last response grows.
+     * If discovery itself is polled, the 6 s limit leaves less time to wait after a failure as the time since the last
+     * list grows.
      */
     private double longPollMs() {
         double waitMs = mode.longPollMs(limits.discovery());
@@ -232,7 +234,7 @@
             log.info("watching endpoint list from version " + update.version());
         }
         health = Health.WATCHING;
-        times.listReceived();
+        times.restartListTimer();
         retries.reset();
         boolean nothingChanged = update.entries().isEmpty() || update.version() == cursor.version();
         if (log.isTraceEnabled()) {
--- a/node/src/main/java/tulipshed/discovery/ImmediateRetries.java
+++ b/node/src/main/java/tulipshed/discovery/ImmediateRetries.java
@@ -2,10 +2,10 @@
 
 /**
  * Decides which failed calls are retried without a pause: a long poll, or a catch-up call that replaced it, whose
- * response is late or incomplete, and likewise the retry of such a call. Such a call has already lasted as long as a
- * pause would; after two of them, another pause would exceed the 6 s within which a change has to be known. A refused
- * or interrupted call is always followed by a pause: under overload or in an outage the calls of all nodes fail in this
- * way. Confined to the event-loop thread.
+ * response does not begin or is not complete within its timeout, and likewise the retry of such a call. Such a call has
+ * already lasted as long as a pause would; after two of them, another pause would exceed the 6 s within which a change
+ * has to be known. A refused or interrupted call is always followed by a pause: under overload or in an outage the
+ * calls of all nodes fail in this way. Confined to the event-loop thread.
  */
 final class ImmediateRetries {
     /** Maximum number of immediate retries in a row. */
--- a/node/src/main/java/tulipshed/peer/PeerSocket.java
+++ b/node/src/main/java/tulipshed/peer/PeerSocket.java
@@ -23,9 +23,10 @@
  * Transport of messages between the nodes of a tier, with one UDP datagram for each message.
  *
  * <p>The socket is open only while the configuration contains an address; otherwise nothing is sent. A datagram is
- * accepted if it comes from the configured address of another node, is 1 to 256 bytes long, and is within the quota of
- * its sender; any other datagram is dropped and counted. The receiver has to handle lost, delayed and duplicated
- * messages. Confined to the event-loop thread.
+ * accepted if it comes from the configured address of another node, is not longer than {@link PeerLimits#maxBodyBytes},
+ * and is within the quota of its sender; any other datagram is dropped and counted, except that empty datagrams are
+ * ignored and never counted. The receiver has to handle lost, delayed and duplicated messages. Confined to the
+ * event-loop thread.
  */
 public final class PeerSocket implements PeerSender {
     private final Clock clock;
@@ -48,12 +49,16 @@
     private long received;
     private long dropped;
 
-    /** Creates a socket that is closed until {@link #configure} and {@link #retryBind}. */
+    /**
+     * Creates a closed socket and registers it and its counters with the core. {@link #retryBind} opens it after {@link
+     * #configure} has set an address.
+     */
     public PeerSocket(Clock clock, Limits limits, XnioEventLoop loop, ProxyCore core, NodeLog log) {
         this.clock = clock;
         this.limits = limits.peers();
         this.loop = loop;
         this.core = core;
+        // Failed attempts to bind the address are counted in this log too.
         errors = new ProtocolErrorLog("peer", "peer datagrams dropped", limits, log);
         // One byte longer than the limit, so that a datagram that is too long can be detected.
         readBuffer = ByteBuffer.allocateDirect(this.limits.maxBodyBytes() + 1);
@@ -102,7 +107,7 @@
                 socket = loop.bindUdp(config.listen(), readBuffer, this::onDatagram);
             } catch (IOException e) {
                 // The other process of a hot restart may still hold the address. Until it is free, the node runs
-                // without peer messages.
+                // without peer messages. The failure is counted with the dropped datagrams.
                 errors.record("cannot bind the address");
             }
         }
@@ -125,8 +130,9 @@
     /**
      * {@inheritDoc}
      *
-     * <p>A message that cannot be sent is counted and dropped: a message to an unknown node, an empty message, one that
-     * is too long, or any message while the socket is closed.
+     * <p>A message that cannot be sent is counted and dropped: a message to an unknown node or to this node itself, an
+     * empty message, one that is too long, one that the kernel does not accept, or any message while the socket is
+     * closed.
      */
     @Override
     public void send(int peer, byte[] body) {
--- a/node/src/main/java/tulipshed/transport/Acceptor.java
+++ b/node/src/main/java/tulipshed/transport/Acceptor.java
@@ -12,7 +12,7 @@
 
 /**
  * A TCP listener. At most {@link SocketLimits#maxAcceptsPerEvent} connections are accepted between two selects, because
- * the kernel releases the descriptor of a closed connection only at a select. Without this limit a burst would need
+ * Java closes the descriptor of a closed channel only at the next select. Without this limit a burst would need
  * descriptors for closed and for waiting connections at the same time.
  *
  * <p>A failed accept is retried at once, up to {@link SocketLimits#maxAcceptAttempts} attempts in total, as most causes
--- a/node/src/main/java/tulipshed/transport/DescriptorBudget.java
+++ b/node/src/main/java/tulipshed/transport/DescriptorBudget.java
@@ -30,7 +30,10 @@
         this.reserve = reserve;
     }
 
-    /** Releases a reserved descriptor after the kernel refused another; returns false if none is left. */
+    /**
+     * Releases an emergency descriptor, one of those that the reserve holds open, after the kernel refused another;
+     * returns false if none is left.
+     */
     boolean releaseReserved() {
         boolean released = reserve.release();
         if (released) {
@@ -79,7 +82,11 @@
         hotRestartState.publishOpenConnections(openCount);
     }
 
-    /** Descriptors of the other process: its open sockets, those that each process reserves, and its management ones. */
+    /**
+     * Descriptors of the other process: its open sockets, the reserved ones, and its management ones. Reserved
+     * descriptors are set aside for the virtual machine, the listeners and discovery; unlike emergency descriptors,
+     * nothing holds them open.
+     */
     private int usedByPeer() {
         if (!hotRestartState.hasPeer()) {
             return 0;
--- a/node/src/main/java/tulipshed/transport/HotRestartFile.java
+++ b/node/src/main/java/tulipshed/transport/HotRestartFile.java
@@ -15,7 +15,7 @@
  *
  * <p>The file is read and written at positions, and not mapped. With a mapping, access to a page that a full file
  * system cannot back, or that was truncated, terminates the process with SIGBUS; here it causes an {@link IOException},
- * and the node continues without the file. The cost is one system call for each published change ({@code
+ * and the node continues without the file. The cost is a few system calls for each published change ({@code
  * docs/system-calls.md}). Processes of versions that map the file see the same bytes, as both kinds of access use the
  * page cache.
  */
--- a/node/src/main/java/tulipshed/transport/HotRestartState.java
+++ b/node/src/main/java/tulipshed/transport/HotRestartState.java
@@ -43,29 +43,29 @@
      * Joins the process that uses this file, if there is one, without logging; see {@link #HotRestartState(Path, int,
      * NodeLog)}.
      */
-    public HotRestartState(Path path, int ids) {
-        this(path, ids, NodeLog.silent());
+    public HotRestartState(Path path, int capacity) {
+        this(path, capacity, NodeLog.silent());
     }
 
     /**
      * Joins the process that uses this file, if there is one; creates the file if it does not exist.
      *
-     * @param ids the number of IDs of open requests, and of established connections, that a process can publish; the
-     *     same for both processes
+     * @param capacity the number of IDs of open requests, and of established connections, that a process can publish;
+     *     the same for both processes
      * @throws IllegalStateException if two processes already use the file
      */
-    public HotRestartState(Path path, int ids, NodeLog log) {
-        this(mayWait -> HotRestartFile.open(path, HotRestartLayout.slotBytes(ids), mayWait), ids, log);
+    public HotRestartState(Path path, int capacity, NodeLog log) {
+        this(mayWait -> HotRestartFile.open(path, HotRestartLayout.slotBytes(capacity), mayWait), capacity, log);
     }
 
     /**
      * Joins the process that uses the storage, if there is one; {@code opener} is null if the process shares no
      * storage.
      */
-    HotRestartState(HotRestartStorage.Opener opener, int ids, NodeLog log) {
+    HotRestartState(HotRestartStorage.Opener opener, int capacity, NodeLog log) {
         this.opener = opener;
         failures = new HotRestartFailureLog(log.logger("node"));
-        own = new OwnHotRestartSlot(ids);
+        own = new OwnHotRestartSlot(capacity);
         claimedIds = new ClaimedIds(own);
         publishedConnections = new PublishedConnections(own);
         peer = new PeerProcess(failures);
@@ -117,7 +117,7 @@
         try {
             join(false);
         } catch (IllegalStateException bothSlotsTaken) {
-            // This process already serves as a third one, and continues without a slot.
+            // Two other processes hold the slots; this one continues to serve without one.
             return;
         }
     }
@@ -158,15 +158,16 @@
         return QuotaShare.of(own.processState(), peer.state());
     }
 
-    /** Publishes the number of connections open in this process. */
+    /** Publishes the number of connections, UDP sockets and connection attempts open in this process. */
     void publishOpenConnections(int connections) {
         own.setOpenConnections(connections);
     }
 
     /**
-     * Number of connections open in the other process; 0 if there is none.
+     * Number of connections, UDP sockets and connection attempts open in the other process; 0 if there is none.
      *
-     * @param max the maximum number of connections that a process can have open; larger numbers are ignored
+     * @param max the maximum number that a process can have open; if the slot has a negative or larger number, the last
+     * valid one is returned
      */
     int peerOpenConnections(int max) {
         return peer.openConnections(max);
@@ -192,13 +193,16 @@
         publishedConnections.withdraw(record);
     }
 
-    /** Omits a connection whose record is being written; the next read returns it. */
+    /** Omits a connection whose record is being written; a read after the write returns it. */
     @Override
     public Map<Integer, EstablishedConnection> peerConnections() {
         return peer.connections();
     }
 
-    /** Releases the slot; nothing is published afterwards. */
+    /**
+     * Releases the slot; nothing is published afterwards. Does nothing without a slot, so that a later {@link #refresh}
+     * may still join.
+     */
     public void close() throws IOException {
         if (storage != null && !isClosed) {
             isClosed = true;
--- a/node/src/main/java/tulipshed/transport/HotRestartStorage.java
+++ b/node/src/main/java/tulipshed/transport/HotRestartStorage.java
@@ -9,7 +9,7 @@
     /** Writes all remaining bytes of {@code bytes} to this process's slot. */
     void writeOwn(int offset, ByteBuffer bytes) throws IOException;
 
-    /** Allocates the other process's slot by writing zeros, if it has no bytes yet and no process holds it. */
+    /** Extends the storage with zeros to the end of the other slot, if it is shorter and no process holds that slot. */
     void allocatePeer() throws IOException;
 
     /** Fills {@code into} from the other process's slot; bytes that were never written read as zeros. */
--- a/node/src/main/java/tulipshed/transport/PeerProcess.java
+++ b/node/src/main/java/tulipshed/transport/PeerProcess.java
@@ -90,9 +90,10 @@
     }
 
     /**
-     * Number of connections open in the process; 0 if it is not alive.
+     * Number of connections, UDP sockets and connection attempts open in the process; 0 if it is not alive.
      *
-     * @param max the maximum number of connections that a process can have open; larger numbers are ignored
+     * @param max the maximum number that a process can have open; if the slot has a negative or larger number, the last
+     * valid one is returned
      */
     int openConnections(int max) {
         if (!isAlive) {
--- a/node/src/main/java/tulipshed/transport/ProcessState.java
+++ b/node/src/main/java/tulipshed/transport/ProcessState.java
@@ -10,7 +10,10 @@
     SERVING,
     /** The process is shutting down. */
     LEAVING,
-    /** The slot contains an undefined number. Never written. */
+    /**
+     * The state cannot be determined: the slot contains an undefined number, cannot be read, or contains {@link #NONE}
+     * although its process is alive. Never written.
+     */
     UNKNOWN;
 
     private static final ProcessState[] BY_CODE = values();
--- a/node/src/main/java/tulipshed/transport/QuotaShare.java
+++ b/node/src/main/java/tulipshed/transport/QuotaShare.java
@@ -9,8 +9,9 @@
     private QuotaShare() {}
 
     /**
-     * Returns the share of this process, from 0 to 1: half if both processes accept clients, 0 if the other one does
-     * and this one is shutting down. A process whose state is unknown may accept clients too.
+     * Returns the share of this process, from 0 to 1: 1 if the other process does not accept clients; half if its state
+     * is unknown, as it may accept clients too, or if it accepts clients and this one is not shutting down (also while
+     * this one is starting); else 0.
      */
     static double of(ProcessState own, ProcessState peer) {
         return switch (peer) {
--- a/node/src/main/java/tulipshed/transport/TcpConnection.java
+++ b/node/src/main/java/tulipshed/transport/TcpConnection.java
@@ -23,7 +23,7 @@
     private final ArrayDeque<ByteBuffer> writeQueue = new ArrayDeque<>();
     private final Listener listener;
     private int queuedBytes;
-    private boolean isShuttingDown;
+    private boolean isOutputShutdownRequested;
     private boolean isOutputShutDown;
     private boolean isClosed;
 
@@ -80,7 +80,8 @@
      * Reads received bytes without blocking. If the connection fails, the listener is notified before this method
      * returns.
      *
-     * @return the number of bytes read; 0 if none are available, -1 at the end of input
+     * @return the number of bytes read; 0 if none are available or the connection is closed or fails, -1 at the end of
+     *     input
      */
     public int read(ByteBuffer into) {
         try {
@@ -114,11 +115,12 @@
     }
 
     /**
-     * Writes the buffer, of which this connection takes ownership. Bytes that cannot be written at once are queued.
-     * Ignored after a shutdown of the output.
+     * Writes the buffer, of which this connection takes ownership. Bytes that cannot be written at once are queued. The
+     * listener may be notified before this method returns. Ignored after {@link #shutdownOutput} or after the
+     * connection was closed, and if the buffer is empty.
      */
     public void write(ByteBuffer bytes) {
-        if (isClosed || isShuttingDown || !bytes.hasRemaining()) {
+        if (isClosed || isOutputShutdownRequested || !bytes.hasRemaining()) {
             return;
         }
         writeQueue.add(bytes);
@@ -128,15 +130,15 @@
 
     /** Shuts down the output once all queued bytes are written; input can still be read. */
     public void shutdownOutput() {
-        if (!isShuttingDown && !isClosed) {
-            isShuttingDown = true;
+        if (!isOutputShutdownRequested && !isClosed) {
+            isOutputShutdownRequested = true;
             flush();
         }
     }
 
-    /** Whether {@link #shutdownOutput} was called. */
-    public boolean isShuttingDown() {
-        return isShuttingDown;
+    /** Whether {@link #shutdownOutput} was called on the open connection. */
+    public boolean isOutputShutdownRequested() {
+        return isOutputShutdownRequested;
     }
 
     private void flush() {
@@ -174,11 +176,11 @@
 
     /** Shuts down the output if that was requested; called when the queue is empty. */
     private void finishShutdown() throws IOException {
-        if (isShuttingDown) {
+        if (isOutputShutdownRequested) {
             sink.shutdownWrites();
             isOutputShutDown = sink.flush();
         }
-        if (isShuttingDown && !isOutputShutDown) {
+        if (isOutputShutdownRequested && !isOutputShutDown) {
             sink.resumeWrites();
         } else {
             sink.suspendWrites();
--- a/node/src/main/java/tulipshed/transport/XnioInternals.java
+++ b/node/src/main/java/tulipshed/transport/XnioInternals.java
@@ -41,8 +41,8 @@
     /** Creates a datagram channel. */
     private static final Constructor<?> NEW_UDP_CHANNEL;
 
-    /** Reports readiness on the I/O threads rather than on the accept thread. */
-    private static final boolean ON_IO_THREADS = false;
+    /** Whether readiness is reported on the accept thread rather than on the I/O threads. */
+    private static final boolean USE_ACCEPT_THREAD = false;
 
     static {
         try {
@@ -72,7 +72,7 @@
     static AcceptingChannel<StreamConnection> newServer(XnioWorker worker, ServerSocketChannel channel)
             throws IOException {
         return (AcceptingChannel<StreamConnection>)
-                call(() -> NEW_SERVER.newInstance(worker, channel, OptionMap.EMPTY, ON_IO_THREADS));
+                call(() -> NEW_SERVER.newInstance(worker, channel, OptionMap.EMPTY, USE_ACCEPT_THREAD));
     }
 
     /** Returns a connection over a connected, non-blocking channel. */
--- a/node/src/test/java/tulipshed/discovery/DiscoveryConnectFailureTest.java
+++ b/node/src/test/java/tulipshed/discovery/DiscoveryConnectFailureTest.java
@@ -25,7 +25,7 @@
     void localFailureIsRepeatedWithinTwoSecondsWithoutSpinning() throws Exception {
         acceptConnection().close();
         assertEquals("FAILED 0", nextNotification());
-        schedulesCalls = true;
+        forwardsToBalancer = true;
         loop.execute(() -> {
             core.setEndpointListSource(watch);
             watch.setDiscoveryAddress(UNREACHABLE);
--- a/node/src/test/java/tulipshed/discovery/EndpointStartTimesTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointStartTimesTest.java
@@ -120,8 +120,7 @@
     }
 
     /**
-     * In a hot restart the two processes of a node may read wall clocks that differ by a step of the machine's clock,
-     * and their cores have monotonic clocks with different origins.
+     * In a hot restart, the two processes of a node have monotonic clocks with different origins.
      */
     @ParameterizedTest
     @ValueSource(longs = {3_000, -3_000, HOUR_MS, -HOUR_MS})
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchAddressChangeTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchAddressChangeTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void callsNewAddressUnpromptedAfterFailureOfOldOne() throws Exception {
+    void callsNewAddressWithoutRequestAfterFailureOfOldOne() throws Exception {
         try (Socket old = discovery.accept();
                 ServerSocket newAddress = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             readRequest(old);
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchAgentTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchAgentTest.java
@@ -10,11 +10,10 @@
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
 class EndpointWatchAgentTest extends EndpointWatchFixture {
     /**
-     * Regression: with an agent, as at the second site, the watch never polled, so the node kept the list it had at
-     * startup.
+     * Regression: with an agent, the watch never polled, so the node kept the list it had at startup.
      */
     @Test
-    void pollsAgentUnpromptedAndAgainAfterEachFailure() throws Exception {
+    void pollsAgentWithoutRequestAndAgainAfterEachFailure() throws Exception {
         acceptConnection().close();
         assertEquals("FAILED 0", nextNotification());
         loop.execute(() -> watch.setPushed(true));
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchFixture.java
@@ -45,8 +45,8 @@
     /** Age of the endpoint of each list entry as passed to the decision module, in microseconds. */
     final BlockingQueue<Long> agesUs = new LinkedBlockingQueue<>();
 
-    /** Whether the decision module, rather than the test, decides when to call again. */
-    volatile boolean schedulesCalls;
+    /** Whether lists and failures are forwarded to the balancer, which then decides when to call again. */
+    volatile boolean forwardsToBalancer;
 
     XnioEventLoop loop;
     ServerSocket discovery;
@@ -77,7 +77,7 @@
                                         entries.forEach(entry -> agesUs.add(at - entry.startedUs()));
                                         notifications.add(kind + " " + entries.size());
                                     }
-                                    if (schedulesCalls) {
+                                    if (forwardsToBalancer) {
                                         super.endpointsChanged(at, kind, entries);
                                     }
                                 }
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchOutageTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchOutageTest.java
@@ -100,7 +100,7 @@
         AtomicInteger calls = new AtomicInteger();
         try (OverloadedDiscovery one = new OverloadedDiscovery(calls);
                 OverloadedDiscovery other = new OverloadedDiscovery(calls)) {
-            schedulesCalls = true;
+            forwardsToBalancer = true;
             loop.execute(() -> core.setEndpointListSource(watch));
             reloadDuringOutage(one, other, calls);
             assertTrue(callsWithin(2_000, calls) <= 2 * RELOADS, "while the requests caused by the reloads arrive");
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchSweepTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchSweepTest.java
@@ -14,8 +14,8 @@
 import tulipshed.logging.NodeLog;
 
 /**
- * Sweep over random faults between discovery and the node, in every order and at every phase: each change must be known
- * within 6 s.
+ * Sweep over random faults between discovery and the node, in random order and at random times: each change must be
+ * known within 6 s.
  */
 class EndpointWatchSweepTest {
     private static final int RUNS = 10_000;
@@ -130,7 +130,7 @@
         assertKnownInTime(List.of(FaultyDiscovery.Fault.REFUSED, FaultyDiscovery.Fault.SLOW));
     }
 
-    /** Two failed calls in a row, of any kind and with a pause after each, take more than 6 s. */
+    /** Two failed calls in a row, of any kind and with a pause after each, can take more than 6 s. */
     @Test
     @Tag("known-red")
     void changesAreKnownInTimeWhateverFails() {
--- a/node/src/test/java/tulipshed/discovery/EndpointWatchTimeoutTest.java
+++ b/node/src/test/java/tulipshed/discovery/EndpointWatchTimeoutTest.java
@@ -161,7 +161,8 @@
     }
 
     /**
-     * The decision module pauses for less than 2 s (BalancerTest), so a change is known within 6 s of any failed call.
+     * The decision module pauses for less than 2 s after a failure, as DiscoveryPollingTest checks. With such a pause,
+     * each of these sequences of steps fits into the 6 s within which a change has to be known.
      */
     @Test
     void timeoutsOfAllStepsFitIntoSixSeconds() {
--- a/node/src/test/java/tulipshed/discovery/FaultyDiscovery.java
+++ b/node/src/test/java/tulipshed/discovery/FaultyDiscovery.java
@@ -42,7 +42,7 @@
     private long callCount;
     private int consecutiveFaults;
 
-    /** Kinds of failure of a call. */
+    /** Faults of a call; a SLOW call succeeds late. */
     enum Fault {
         /** No byte of the response arrives. */
         SILENT,
@@ -50,9 +50,9 @@
         INCOMPLETE,
         /** The connection is reset while the call waits. */
         RESET,
-        /** The call is refused as soon as it arrives. */
+        /** The response has status 503 and is sent as soon as the call arrives. */
         REFUSED,
-        /** The call is refused after waiting to be handled. */
+        /** The response has status 503 and is sent after the call has waited to be handled. */
         REFUSED_LATE,
         /** The response is sent after the call has waited to be handled. */
         SLOW
@@ -245,7 +245,7 @@
     }
 
     @Override
-    public boolean isConnected() {
+    public boolean hasConnection() {
         return inProgress;
     }
 
--- a/node/src/test/java/tulipshed/transport/AcceptorTest.java
+++ b/node/src/test/java/tulipshed/transport/AcceptorTest.java
@@ -127,7 +127,7 @@
         }
     }
 
-    /** Loop that collects scheduled tasks until the test runs them. */
+    /** Loop that collects scheduled tasks until the test runs them, and drops those of the failure log. */
     private static final class ManualLoop implements EventLoop {
         private final ArrayDeque<Double> delaysMs = new ArrayDeque<>();
         private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
--- a/node/src/test/java/tulipshed/transport/HotRestartFailureTest.java
+++ b/node/src/test/java/tulipshed/transport/HotRestartFailureTest.java
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void peerThatCannotBeReadIsAssumedToServeForBoundedTime() {
+    void peerThatCannotBeReadCountsAsAliveForLimitedTime() {
         HotRestartState first = start(0);
         HotRestartState second = start(1);
         publish(first);
--- a/node/src/test/java/tulipshed/transport/HotRestartInterruptedWriteTest.java
+++ b/node/src/test/java/tulipshed/transport/HotRestartInterruptedWriteTest.java
@@ -72,7 +72,8 @@
         HotRestartState second = start(slots, 1);
 
         System.arraycopy(staleSlot(), 0, slots.firstSlot(), 0, written.length);
-        // Between taking the lock and its first write, a process's slot still has the content of its predecessor.
+        // The slot as after the first write of a process: the header is zero, and the rest is still the content of its
+        // predecessor.
         System.arraycopy(new byte[16], 0, slots.firstSlot(), 0, 16);
         replay(writes, () -> {
             Map<Integer, EstablishedConnection> read = second.peerConnections();
@@ -84,7 +85,7 @@
         assertFalse(second.claimId("id-4"));
     }
 
-    /** One read returns the content before a change and the established mark after it, or vice versa. */
+    /** A byte of the endpoint ID changes between the two reads of the record. */
     @Test
     void ignoresRecordThatChangesWhileItIsRead() {
         HotRestartState first = start(slots, 0);
--- a/node/src/test/java/tulipshed/transport/TcpConnectionFaultTest.java
+++ b/node/src/test/java/tulipshed/transport/TcpConnectionFaultTest.java
@@ -199,9 +199,9 @@
         assertTrue(events.contains("written"));
     }
 
-    /** The selector would report its unread input forever. */
+    /** Otherwise the selector would report its unread input again and again. */
     @Test
-    void failingListenerClosesOnlyItsConnection() throws Exception {
+    void failingListenerClosesItsConnection() throws Exception {
         onReadableAction = () -> {
             throw new AssertionError("a defect");
         };
