--- a/node/src/main/java/tulipshed/operators/AttributeDeclarationReader.java
+++ b/node/src/main/java/tulipshed/operators/AttributeDeclarationReader.java
@@ -16,16 +16,16 @@
 
 /** Reads {@code (attributes (NAME TYPE) (NAME string LONGEST) ...)} and {@code (longest (key N) (group N))}. */
 final class AttributeDeclarationReader {
-    /** The length at most, in characters, of a line of the line protocol. */
+    /** The maximum length of a line of the line protocol, in characters. */
     static final int MAX_LINE_LENGTH = 4096;
 
     private static final int MAX_ATTRIBUTES = 64;
 
-    /** The length at most, in characters, of a string for which the file does not declare one. */
+    /** The maximum length, in characters, of a string attribute declared without a length. */
     private static final int DEFAULT_STRING_LENGTH = 64;
 
-    /** The fields of the line protocol's OPEN line. */
-    private static final Set<String> OPEN_LINE_FIELDS = Set.of("c", "t", "d", "g", "h", "r", "again", "at");
+    /** The fields of the line protocol's open command. */
+    private static final Set<String> OPEN_COMMAND_FIELDS = Set.of("c", "t", "d", "g", "h", "r", "again", "at");
 
     private static final Set<String> TYPES = SectionNames.ordered(
             Type.BOOLEAN.toString(), Type.INTEGER.toString(), Type.DECIMAL.toString(), Type.STRING.toString());
@@ -38,7 +38,7 @@
         this.diagnostics = diagnostics;
     }
 
-    /** Returns what the sections declare; {@link AttributeDeclarations#NONE} where there are none. */
+    /** Returns the declared attributes and lengths; {@link AttributeDeclarations#NONE} if the file declares none. */
     static AttributeDeclarations read(Sections sections, Diagnostics diagnostics) {
         AttributeDeclarationReader reader = new AttributeDeclarationReader(diagnostics);
         if (sections.has(SectionNames.ATTRIBUTES)) {
@@ -94,8 +94,8 @@
             if (!isStringLength(type, length)) {
                 diagnostics.add(
                         length.place(),
-                        "expected characters at most, from 1 to " + CostModel.MAX_STRING_LENGTH
-                                + ", of a string, found " + length.describe());
+                        "expected the maximum length of a string, from 1 to " + CostModel.MAX_STRING_LENGTH
+                                + " characters, found " + length.describe());
                 return;
             }
             maxLength = (int) ((Form.IntegerLiteral) length).value();
@@ -120,7 +120,7 @@
     }
 
     private static boolean isReserved(String name) {
-        return OPEN_LINE_FIELDS.contains(name)
+        return OPEN_COMMAND_FIELDS.contains(name)
                 || BuiltinFunctions.contains(name)
                 || RequestSchema.names(AttributeDeclarations.NONE).contains(name);
     }
--- a/node/src/main/java/tulipshed/operators/CaseEvaluator.java
+++ b/node/src/main/java/tulipshed/operators/CaseEvaluator.java
@@ -15,7 +15,7 @@
 import tulipshed.routing.Router;
 import tulipshed.sexpr.NameSuggestions;
 
-/** Applies the rules of an operators' file to the requests of cases. */
+/** Applies the rules of an operators' file to the requests of test cases. */
 final class CaseEvaluator {
     private static final String DEFAULT_SOURCE_ADDRESS = "127.0.0.1";
     private static final String DEFAULT_FRONTEND = "line";
@@ -24,13 +24,13 @@
     private final Router router;
     private final NameIndex names;
 
-    /** A router of null has no rules. */
+    /** Creates an evaluator; {@code router} is null if the operators' file has no rules. */
     CaseEvaluator(Router router, NameIndex names) {
         this.router = router;
         this.names = names;
     }
 
-    /** Returns what is wrong with the given attributes, or null. */
+    /** Returns a description of the first invalid attribute of the request, or null if all are valid. */
     String checkGiven(TestCase testCase) {
         String requestClass = testCase.text(FieldNames.CLASS);
         String tenant = testCase.text(FieldNames.TENANT);
@@ -53,7 +53,7 @@
         return null;
     }
 
-    /** Returns what the rules give, by the words of expectations; null for what they do not assign. */
+    /** Returns the results of the rules by the names used in {@code (expect ...)}; null for a result that is not assigned. */
     Map<String, String> evaluate(TestCase testCase) {
         RequestAttributes request = request(testCase);
         RequestClassification classification = router == null
--- a/node/src/main/java/tulipshed/operators/CaseTable.java
+++ b/node/src/main/java/tulipshed/operators/CaseTable.java
@@ -13,10 +13,11 @@
 import tulipshed.sexpr.SexprReader;
 
 /**
- * Requests, and what the rules must give for each:
+ * Test cases for the rules, each a request with the results that the rules must give for it:
  * {@code (members ("ID" (zone "Z") (kind "K") (cell 1) (weight 1.0)) ...)} and
  * {@code (case "NAME" (given (class "C") (key "K") ...) (expect (class "C") (group "G") (rule R) (route R) (pool P)))}.
- * What is not expected is not compared; {@code none} expects that there is none. All endpoints count as ready.
+ * Only the results named in {@code expect} are compared; {@code none} expects the absence of a result. All endpoints
+ * count as ready.
  */
 public final class CaseTable {
     private static final String NONE = "none";
@@ -33,7 +34,10 @@
     }
 
     /**
-     * Reads the content of a file that diagnostics call by that name.
+     * Reads a table of cases.
+     *
+     * @param file the file name that diagnostics show
+     * @param bytes the content of the file
      *
      * @throws InvalidOperatorsFileException if the content has errors
      */
@@ -49,17 +53,17 @@
         return new CaseTable(file, reader.endpoints(), reader.cases());
     }
 
-    /** Returns how many cases there are. */
+    /** Returns the number of cases. */
     public int size() {
         return cases.size();
     }
 
-    /** Returns how many cases failed in the last run. */
+    /** Returns the number of cases that failed in the last run. */
     public int failed() {
         return failed;
     }
 
-    /** Applies the rules to all cases; returns a line for each difference from what is expected. */
+    /** Applies the rules to all cases; returns one line for each result that differs from the expected one. */
     public List<String> run(OperatorsFile rules, NameIndex names) {
         Router router = rules.router();
         if (router != null) {
@@ -91,9 +95,9 @@
         List<String> failures = new ArrayList<>();
         Map<String, String> results = evaluator.evaluate(testCase);
         testCase.expected().forEach((name, expected) -> {
-            String found = Objects.requireNonNullElse(results.get(name), NONE);
-            if (!found.equals(expected)) {
-                failures.add("expected " + name + " " + expected + ", got " + found);
+            String actual = Objects.requireNonNullElse(results.get(name), NONE);
+            if (!actual.equals(expected)) {
+                failures.add("expected " + name + " " + expected + ", got " + actual);
             }
         });
         return failures;
--- a/node/src/main/java/tulipshed/operators/CaseTableReader.java
+++ b/node/src/main/java/tulipshed/operators/CaseTableReader.java
@@ -127,7 +127,7 @@
         return expected;
     }
 
-    /** Returns the value of {@code (NAME VALUE)}; null, reported, where the form is none. */
+    /** Returns the value of {@code (NAME VALUE)}; any other form is reported and yields null. */
     private AttributeValue readPairValue(Form form) {
         AttributeValue value = form instanceof Form.Sequence pair
                         && pair.head() != null
@@ -147,11 +147,11 @@
             return new AttributeValue.IntegerValue(integer.value());
         } else if (form instanceof Form.DecimalLiteral decimal) {
             return new AttributeValue.DecimalValue(decimal.value());
-        } else if (form instanceof Form.Symbol word) {
-            return switch (word.name()) {
+        } else if (form instanceof Form.Symbol symbol) {
+            return switch (symbol.name()) {
                 case "true" -> AttributeValue.BooleanValue.TRUE;
                 case "false" -> AttributeValue.BooleanValue.FALSE;
-                default -> new AttributeValue.StringValue(word.name());
+                default -> new AttributeValue.StringValue(symbol.name());
             };
         }
         return null;
--- a/node/src/main/java/tulipshed/operators/ClassificationReader.java
+++ b/node/src/main/java/tulipshed/operators/ClassificationReader.java
@@ -26,7 +26,7 @@
     private final ReaderContext context;
     private final Diagnostics diagnostics;
 
-    /** A rule before its expressions are compiled; null for what it does not assign. */
+    /** A rule before its expressions are compiled; the class, tenant and group are null if it does not assign them. */
     private record ParsedRule(String name, Expression condition, String className, String tenant, Expression group) {}
 
     ClassificationReader(RequestSchema schema, TypeChecker checker, ReaderContext context) {
@@ -36,7 +36,7 @@
         this.diagnostics = context.diagnostics();
     }
 
-    /** Returns the rules; null, with errors reported, where one is wrong. */
+    /** Returns the rules; null if one of them has errors, which are reported. */
     ClassificationRules read(Form.Sequence section) {
         int errorsBefore = diagnostics.count();
         List<ParsedRule> parsed = new ArrayList<>();
@@ -93,7 +93,7 @@
                 : new ParsedRule(name, condition, className, tenant, group);
     }
 
-    /** Explains the rules, and reports those whose cost exceeds the limit. */
+    /** Adds the rules to the explanation and reports those whose cost may exceed the limit. */
     private void explain(Form.Sequence section, List<ParsedRule> rules, RuleTable table) {
         CostCheck costs = context.newCostCheck();
         List<String> lines = new ArrayList<>();
--- a/node/src/main/java/tulipshed/operators/ConnectionIdSectionReader.java
+++ b/node/src/main/java/tulipshed/operators/ConnectionIdSectionReader.java
@@ -29,7 +29,7 @@
 
     private ConnectionIdSectionReader() {}
 
-    /** Returns the configuration; where errors were reported it is not meant to be used. */
+    /** Returns the configuration; the caller must not use it if errors were reported. */
     static ConnectionIdSection read(Form.Sequence section, Diagnostics diagnostics) {
         SectionFields fields = new SectionFields(section, 1, FIELDS, diagnostics);
         int configuration = (int) fields.integer(FieldNames.CONFIGURATION, 0, MAX_CONFIGURATION, 0);
@@ -39,7 +39,7 @@
         if (serverIdBytes + nonceBytes > MAX_ID_BYTES) {
             diagnostics.add(
                     fields.place(FieldNames.NONCE_BYTES),
-                    "expected server-id-bytes and nonce-bytes of " + MAX_ID_BYTES + " together at most, found "
+                    "expected server-id-bytes and nonce-bytes of at most " + MAX_ID_BYTES + " in total, found "
                             + (serverIdBytes + nonceBytes));
         }
         int connectionBytes = readConnectionBytes(fields, nonceBytes, diagnostics);
@@ -62,7 +62,7 @@
             diagnostics.add(
                     fields.place(FieldNames.CONNECTION_BYTES),
                     "expected fewer connection-bytes than nonce-bytes, and a key: "
-                            + "in the clear observers could follow a client from network to network");
+                            + "an unencrypted connection number lets observers track a client across networks");
         }
         return connectionBytes;
     }
--- a/node/src/main/java/tulipshed/operators/CostCheck.java
+++ b/node/src/main/java/tulipshed/operators/CostCheck.java
@@ -11,7 +11,7 @@
     private final Diagnostics diagnostics;
     private final CostModel costModel = new CostModel();
     private long highestBound;
-    private String nameOfHighest = "";
+    private String mostExpensiveName = "";
 
     CostCheck(long maxCost, Diagnostics diagnostics) {
         this.maxCost = maxCost;
@@ -22,29 +22,30 @@
         return costModel;
     }
 
-    /** Returns the bound of one expression; an excess is reported at the part that costs most. */
+    /** Returns the cost bound of one expression; if it exceeds the limit, its most expensive subexpression is reported. */
     long check(String name, Expression expression) {
         long bound = costModel.bound(expression);
         if (bound > highestBound) {
             highestBound = bound;
-            nameOfHighest = name;
+            mostExpensiveName = name;
         }
         if (bound > maxCost) {
-            Expression part = CostModel.mostExpensivePart(expression);
+            Expression mostExpensive = CostModel.mostExpensivePart(expression);
             diagnostics.add(
-                    part.place(),
-                    "this may cost " + bound + " in all, over the max-cost of " + maxCost + "; most of it is " + part);
+                    mostExpensive.place(),
+                    "this may cost " + bound + " in all, over the max-cost of " + maxCost + "; most of it is "
+                            + mostExpensive);
         }
         return bound;
     }
 
-    /** Checks the bound of a whole section; its excess is not reported besides that of a single expression. */
+    /** Checks the total cost bound of a section; reports it only if no single expression exceeds the limit. */
     void checkTotal(String section, long bound, SourcePosition place) {
         if (bound > maxCost && highestBound <= maxCost) {
             diagnostics.add(
                     place,
                     section + " may cost " + bound + " a request, over the max-cost of " + maxCost
-                            + "; the most expensive is " + nameOfHighest + " with " + highestBound);
+                            + "; the most expensive is " + mostExpensiveName + " with " + highestBound);
         }
     }
 }
--- a/node/src/main/java/tulipshed/operators/Definitions.java
+++ b/node/src/main/java/tulipshed/operators/Definitions.java
@@ -7,9 +7,9 @@
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
 
-/** The definitions of a file, which expressions over either schema may use. */
+/** The definitions of a file, which expressions over requests and over endpoints may use. */
 final class Definitions {
-    /** What the checker says of an attribute of endpoints where the schema is that of requests. */
+    /** The prefix of the error that the type checker reports for an endpoint attribute in an expression over requests. */
     private static final String UNKNOWN_ENDPOINT_ATTRIBUTE = "unknown name member.";
 
     private final List<Form.Sequence> forms;
@@ -20,7 +20,7 @@
         this.diagnostics = diagnostics;
     }
 
-    /** Returns a new checker of expressions that may use the definitions. */
+    /** Returns a new type checker for expressions that may use the definitions. */
     TypeChecker newChecker(Schema schema) {
         return newChecker(schema, diagnostics);
     }
@@ -31,7 +31,7 @@
         return checker;
     }
 
-    /** Checks all definitions, used or not: one may read requests or endpoints, and must be right for either. */
+    /** Checks all definitions, used or not; each must be valid over requests or over endpoints. */
     void check(Schema requestSchema, Schema endpointSchema) {
         if (forms.isEmpty()) {
             return;
@@ -52,11 +52,11 @@
     }
 
     private void check(String name, TypeChecker requestChecker, TypeChecker endpointChecker) {
-        Diagnostics forRequests = requestChecker.checkDefinition(name);
-        Diagnostics forEndpoints = forRequests.none() ? forRequests : endpointChecker.checkDefinition(name);
-        if (!forEndpoints.none()) {
-            boolean readsEndpoints = forRequests.toString().contains(UNKNOWN_ENDPOINT_ATTRIBUTE);
-            diagnostics.addAll(readsEndpoints ? forEndpoints : forRequests);
+        Diagnostics requestErrors = requestChecker.checkDefinition(name);
+        Diagnostics endpointErrors = requestErrors.none() ? requestErrors : endpointChecker.checkDefinition(name);
+        if (!endpointErrors.none()) {
+            boolean readsEndpoints = requestErrors.toString().contains(UNKNOWN_ENDPOINT_ATTRIBUTE);
+            diagnostics.addAll(readsEndpoints ? endpointErrors : requestErrors);
         }
     }
 }
--- a/node/src/main/java/tulipshed/operators/Explanation.java
+++ b/node/src/main/java/tulipshed/operators/Explanation.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What was read from an operators' file, described in lines for operators. */
+/** A human-readable description of the content of an operators' file, in lines. */
 public final class Explanation {
     private final List<String> lines = new ArrayList<>();
 
--- a/node/src/main/java/tulipshed/operators/FieldNames.java
+++ b/node/src/main/java/tulipshed/operators/FieldNames.java
@@ -1,8 +1,8 @@
 package tulipshed.operators;
 
-/** The names of the fields of all sections: external names, which do not change. */
+/** The names of the fields of all sections; they belong to the file format and must not change. */
 final class FieldNames {
-    // Of requests, in rules and in cases.
+    // Requests, in rules and in cases.
     static final String CLASS = "class";
     static final String TENANT = "tenant";
     static final String KEY = "key";
@@ -13,7 +13,7 @@
     static final String FRONT = "front";
     static final String SOURCE_ADDRESS = "source-address";
 
-    // Of pools, rules and routes.
+    // Pools, rules and routes.
     static final String WHERE = "where";
     static final String WHEN = "when";
     static final String TO = "to";
@@ -21,29 +21,29 @@
     static final String BELOW = "below";
     static final String BACK = "back";
 
-    // Of the QUIC frontend.
+    // QUIC frontend.
     static final String LISTEN = "listen";
     static final String PREFERRED_ADDRESS = "preferred-address";
     static final String RESET_KEY = "reset-key";
 
-    /** A part of the QUIC frontend, and an attribute of requests. */
+    /** A field of the QUIC section, and an attribute of requests. */
     static final String RETRY = "retry";
 
-    // Of connection IDs.
+    // Connection IDs.
     static final String CONFIGURATION = "configuration";
     static final String SERVER_ID_BYTES = "server-id-bytes";
     static final String NONCE_BYTES = "nonce-bytes";
     static final String CONNECTION_BYTES = "connection-bytes";
     static final String SERVERS = "servers";
 
-    // Of Retry.
+    // Retry.
     static final String USE = "use";
     static final String EXPIRES_MS = "expires-ms";
     static final String ON = "on";
     static final String OFF = "off";
     static final String STAY_MS = "stay-ms";
 
-    // Of cases and their endpoints.
+    // Cases and their endpoints.
     static final String GIVEN = "given";
     static final String EXPECT = "expect";
     static final String ZONE = "zone";
--- a/node/src/main/java/tulipshed/operators/FormValues.java
+++ b/node/src/main/java/tulipshed/operators/FormValues.java
@@ -5,14 +5,14 @@
 import tulipshed.sexpr.Form;
 import tulipshed.sexpr.SourcePosition;
 
-/** Reads values from single forms; a form of the wrong kind is reported. */
+/** Reads values from single forms and reports forms of the wrong kind. */
 final class FormValues {
     private FormValues() {}
 
-    /** Returns a name, which is a symbol or a string that is not empty; null, reported, for other forms. */
+    /** Returns a name, which is a symbol or a non-empty string; any other form is reported and yields null. */
     static String name(Form form, Diagnostics diagnostics) {
-        if (form instanceof Form.Symbol word) {
-            return word.name();
+        if (form instanceof Form.Symbol symbol) {
+            return symbol.name();
         } else if (form instanceof Form.StringLiteral string && !string.value().isEmpty()) {
             return string.value();
         }
@@ -20,7 +20,7 @@
         return null;
     }
 
-    /** Returns a share from 0 to 1; NaN, reported, for other forms. */
+    /** Returns a share from 0 to 1; any other form is reported and yields NaN. */
     static double share(Form form, Diagnostics diagnostics) {
         double value = number(form);
         if (value >= 0 && value <= 1) {
@@ -38,12 +38,12 @@
         return form instanceof Form.IntegerLiteral integer ? integer.value() : Double.NaN;
     }
 
-    /** Returns the bytes of a string of hexadecimal digits; null, reported, for another string. */
+    /** Returns the bytes of a hexadecimal string; any other string is reported and yields null. */
     static byte[] bytes(String hexadecimal, SourcePosition place, Diagnostics diagnostics) {
         try {
             return HexFormat.of().parseHex(hexadecimal);
         } catch (IllegalArgumentException e) {
-            diagnostics.add(place, "expected hexadecimal digits, two for a byte");
+            diagnostics.add(place, "expected hexadecimal digits, two per byte");
             return null;
         }
     }
--- a/node/src/main/java/tulipshed/operators/InvalidOperatorsFileException.java
+++ b/node/src/main/java/tulipshed/operators/InvalidOperatorsFileException.java
@@ -3,18 +3,18 @@
 import tulipshed.config.MalformedInputException;
 import tulipshed.sexpr.Diagnostics;
 
-/** An operators' file, or a table of cases, that has errors. */
+/** Thrown if an operators' file or a table of cases has errors. */
 public final class InvalidOperatorsFileException extends MalformedInputException {
     private static final long serialVersionUID = 1L;
     private final transient Diagnostics diagnostics;
 
     InvalidOperatorsFileException(Diagnostics diagnostics) {
-        // The message of a failed start is a single line.
+        // The message appears in the output of a failed start, which is a single line.
         super(diagnostics.toString().replace("\n", "; "));
         this.diagnostics = diagnostics;
     }
 
-    /** Returns the errors, a line each. */
+    /** Returns the errors, one per line. */
     public String lines() {
         return diagnostics.toString();
     }
--- a/node/src/main/java/tulipshed/operators/OperatorsFile.java
+++ b/node/src/main/java/tulipshed/operators/OperatorsFile.java
@@ -13,22 +13,22 @@
 import tulipshed.sexpr.SexprReader;
 
 /**
- * The operators' file, compiled: classification rules, pools and routes, and the QUIC frontend. An empty file changes
- * nothing.
+ * The operators' file, compiled: classification rules, pools and routes, and the QUIC frontend. An empty file has
+ * no effect.
  *
- * @param router null where the file has no rules
- * @param quic null where there is no QUIC frontend
- * @param explanation what was read, for operators
+ * @param router the router; null if the file has no rules
+ * @param quic the QUIC frontend's section; null if there is none
+ * @param explanation the description of the content for operators
  */
 public record OperatorsFile(Router router, QuicSection quic, Explanation explanation) {
-    /** The limits of a file. */
+    /** The size, depth and form limits of a file. */
     public static final ReaderLimits BOUNDS = new ReaderLimits(2 * 1024 * 1024, 200, 200_000);
 
     /** The content of an empty file. */
     public static final OperatorsFile EMPTY = new OperatorsFile(null, null, new Explanation());
 
     /**
-     * Reads a file against the names of the settings.
+     * Reads a file and checks it against the classes and tenants of the settings.
      *
      * @throws InvalidOperatorsFileException if the file has errors
      * @throws MalformedInputException if the file is too large or cannot be read
@@ -49,7 +49,11 @@
     }
 
     /**
-     * Reads the content of a file that diagnostics call by that name.
+     * Reads the content of a file.
+     *
+     * @param name the file name that diagnostics show
+     * @param bytes the content of the file
+     * @param names the classes and tenants of the settings
      *
      * @throws InvalidOperatorsFileException if the content has errors
      */
--- a/node/src/main/java/tulipshed/operators/OperatorsFileReader.java
+++ b/node/src/main/java/tulipshed/operators/OperatorsFileReader.java
@@ -15,7 +15,7 @@
 
 /** Reads the sections of an operators' file and assembles the router and the QUIC frontend's section. */
 final class OperatorsFileReader {
-    /** Used where the file gives no limit; in units of {@link tulipshed.expression.CostModel}. */
+    /** The cost limit of a file that sets none, in units of {@link tulipshed.expression.CostModel}. */
     private static final long DEFAULT_MAX_COST = 10_000;
 
     private static final long MAX_MAX_COST = 1_000_000;
@@ -35,7 +35,7 @@
         definitions = new Definitions(sections.definitions(), diagnostics);
     }
 
-    /** Reads the forms of a file. The result counts only if no error was reported. */
+    /** Reads the forms of a file; the caller must not use the result if errors were reported. */
     static OperatorsFile read(List<Form> forms, NameIndex names, Diagnostics diagnostics) {
         Sections sections = new Sections(forms, diagnostics);
         AttributeDeclarations declarations = AttributeDeclarationReader.read(sections, diagnostics);
@@ -48,7 +48,7 @@
         if (!sections.has(SectionNames.MAX_COST)) {
             return DEFAULT_MAX_COST;
         }
-        // The section has the shape of a field: (max-cost N).
+        // The section (max-cost N) is written like a field and is read as one.
         Form.Sequence field = sections.get(SectionNames.MAX_COST);
         Form.Sequence parent = new Form.Sequence(List.of(field), false, field.place());
         return new SectionFields(parent, 0, Set.of(SectionNames.MAX_COST), diagnostics)
@@ -72,7 +72,7 @@
         return new OperatorsFile(router, quic, context.explanation());
     }
 
-    /** Returns null where the file has no rules. */
+    /** Returns the router, or null if the file has no rules. */
     private Router readRouter(RequestSchema requestSchema) {
         ClassificationRules classification = null;
         if (sections.has(SectionNames.CLASSIFY)) {
@@ -98,8 +98,9 @@
     }
 
     private static String describe(QuicSection quic) {
-        String retry =
-                quic.retry() == null ? "no retry" : "retry from " + quic.retry().on() + " connections without proof on";
+        String retry = quic.retry() == null
+                ? "no retry"
+                : "retry from " + quic.retry().on() + " connections with unvalidated addresses on";
         return "quic: listens on " + quic.listen() + " for class " + quic.requestClass() + ", "
                 + quic.ids().size() + " configurations of ids, " + retry;
     }
--- a/node/src/main/java/tulipshed/operators/ParsedRoute.java
+++ b/node/src/main/java/tulipshed/operators/ParsedRoute.java
@@ -19,7 +19,7 @@
         List<Integer> weights,
         List<List<PoolTarget>> branches) {
 
-    /** Describes the route for operators, with the bound of the condition's cost. */
+    /** Returns a description of the route for operators, with the cost bound of its condition. */
     String describe(long conditionBound) {
         return "route " + name + ": when " + condition + " (boolean, cost at most " + conditionBound + ")"
                 + (splitPoint == null ? ", to " : ", split by " + splitPoint + ": ") + describeBranches();
@@ -38,7 +38,7 @@
         StringJoiner description = new StringJoiner(", else ");
         for (PoolTarget target : targets) {
             String shares = target.restoreAt() > 0
-                    ? " (passed over below " + target.spillBelow() + ", back at " + target.restoreAt() + ")"
+                    ? " (skipped below " + target.spillBelow() + ", used again at " + target.restoreAt() + ")"
                     : "";
             description.add(target.pool() + shares);
         }
--- a/node/src/main/java/tulipshed/operators/PoolReader.java
+++ b/node/src/main/java/tulipshed/operators/PoolReader.java
@@ -14,12 +14,12 @@
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
 
-/** Reads {@code (pool NAME (where EXPR))}, of which there may be many. */
+/** Reads the sections {@code (pool NAME (where EXPR))}. */
 final class PoolReader {
     private static final int MAX_POOLS = 64;
     private static final Set<String> FIELDS = Set.of(FieldNames.WHERE);
 
-    /** The attribute of endpoints whose value changes without a change of the endpoint list. */
+    /** The endpoint attribute whose value changes with time, without a change of the endpoint list. */
     private static final String AGE_ATTRIBUTE = "member.age-ms";
 
     private final EndpointSchema schema;
@@ -27,7 +27,7 @@
     private final ReaderContext context;
     private final Diagnostics diagnostics;
 
-    /** The conditions by name of the pool; null for a condition that has errors. */
+    /** The conditions by pool name; null for a condition that has errors. */
     private final Map<String, Expression> conditionByPool = new LinkedHashMap<>();
 
     PoolReader(EndpointSchema schema, TypeChecker checker, ReaderContext context) {
@@ -37,12 +37,12 @@
         this.diagnostics = context.diagnostics();
     }
 
-    /** Returns the names of the pools, also of those that have errors. */
+    /** Returns the names of all pools, including those that have errors. */
     Set<String> names() {
         return conditionByPool.keySet();
     }
 
-    /** Returns the pools; null, with errors reported, where one is wrong. */
+    /** Returns the pools; null if one of them has errors, which are reported. */
     PoolMembership read(List<Form.Sequence> sections) {
         int errorsBefore = diagnostics.count();
         sections.forEach(this::readPool);
@@ -77,7 +77,7 @@
         conditionByPool.put(name, where == null ? null : checker.check(where, Type.BOOLEAN));
     }
 
-    /** Explains the pools, and reports those whose cost exceeds the limit. */
+    /** Adds the pools to the explanation and reports those whose cost may exceed the limit. */
     private void explain() {
         CostCheck costs = context.newCostCheck();
         conditionByPool.forEach((name, condition) -> context.explanation()
--- a/node/src/main/java/tulipshed/operators/QuicSectionReader.java
+++ b/node/src/main/java/tulipshed/operators/QuicSectionReader.java
@@ -27,7 +27,7 @@
 
     private QuicSectionReader() {}
 
-    /** Returns the section; null, with errors reported, where it has any. */
+    /** Returns the section; null if it has errors, which are reported. */
     static QuicSection read(Form.Sequence section, NameIndex names, Diagnostics diagnostics) {
         int errorsBefore = diagnostics.count();
         List<ConnectionIdSection> ids = readIds(section, diagnostics);
@@ -77,7 +77,7 @@
         return key;
     }
 
-    /** Returns a key; one of another length is reported at its form. */
+    /** Returns the key; a length other than {@link #KEY_BYTES} is reported at {@code form}. */
     static byte[] checkKeyLength(byte[] key, Form form, Diagnostics diagnostics) {
         if (key != null && key.length != KEY_BYTES) {
             diagnostics.add(form.place(), "expected a key of " + KEY_BYTES + " bytes, found " + key.length);
--- a/node/src/main/java/tulipshed/operators/ReaderContext.java
+++ b/node/src/main/java/tulipshed/operators/ReaderContext.java
@@ -4,12 +4,12 @@
 import tulipshed.sexpr.Diagnostics;
 
 /**
- * What the readers of the sections of one file share.
+ * The context shared by the readers of the sections of one file.
  *
  * @param names the classes and tenants of the settings
- * @param maxCost what an expression may cost at most, in units of {@link tulipshed.expression.CostModel}
+ * @param maxCost the maximum cost of an expression or of a section per request, in units of {@link tulipshed.expression.CostModel}
  * @param diagnostics the errors of the file
- * @param explanation what was read, for operators
+ * @param explanation the description of the content for operators
  */
 record ReaderContext(NameIndex names, long maxCost, Diagnostics diagnostics, Explanation explanation) {
     CostCheck newCostCheck() {
--- a/node/src/main/java/tulipshed/operators/RetrySectionReader.java
+++ b/node/src/main/java/tulipshed/operators/RetrySectionReader.java
@@ -19,7 +19,7 @@
 
     private RetrySectionReader() {}
 
-    /** Returns the section; where errors were reported it is not meant to be used. */
+    /** Returns the section; the caller must not use it if errors were reported. */
     static RetrySection read(Form.Sequence section, Diagnostics diagnostics) {
         Map<Integer, byte[]> keys = readKeys(section, diagnostics);
         SectionFields fields =
--- a/node/src/main/java/tulipshed/operators/RouteReader.java
+++ b/node/src/main/java/tulipshed/operators/RouteReader.java
@@ -24,7 +24,7 @@
  */
 final class RouteReader {
     private static final Set<String> FIELDS = SectionNames.ordered(FieldNames.WHEN, FieldNames.TO, FieldNames.SPLIT);
-    private static final int MAX_WEIGHT = 1_000_000; // of one branch, and of all together
+    private static final int MAX_WEIGHT = 1_000_000; // of one branch, and of all branches of a split in total
 
     private final RequestSchema schema;
     private final TypeChecker checker;
@@ -40,7 +40,7 @@
         targetReader = new RouteTargetReader(poolNames, diagnostics);
     }
 
-    /** Returns the routes; null, with errors reported, where one is wrong. */
+    /** Returns the routes; null if one of them has errors, which are reported. */
     Routes read(List<Form.Sequence> sections) {
         int errorsBefore = diagnostics.count();
         List<ParsedRoute> parsed = new ArrayList<>();
@@ -107,7 +107,7 @@
         return when == null ? null : checker.check(when, Type.BOOLEAN);
     }
 
-    /** Adds the branches of a split and returns the expression that selects one of them; null if it has errors. */
+    /** Adds the branches of a split; returns the expression that selects a branch, or null if it has errors. */
     private Expression parseSplit(Form.Sequence split, List<Integer> weights, List<List<PoolTarget>> branches) {
         List<Form> items = split.items();
         if (items.size() < 3) {
@@ -141,7 +141,7 @@
         return checker.check(bucketCall(items.get(1), totalWeight), Type.INTEGER);
     }
 
-    /** Returns {@code (bucket STRING TOTAL_WEIGHT)}, whose value lies in the range of one branch. */
+    /** Returns {@code (bucket STRING TOTAL_WEIGHT)}, whose value falls into the weight range of exactly one branch. */
     private static Form bucketCall(Form string, long totalWeight) {
         SourcePosition place = string.place();
         List<Form> items =
@@ -149,7 +149,7 @@
         return new Form.Sequence(items, false, place);
     }
 
-    /** Explains the routes, and reports those whose cost exceeds the limit. */
+    /** Adds the routes to the explanation and reports those whose cost may exceed the limit. */
     private void explain(SourcePosition place, List<ParsedRoute> routes, RuleTable table) {
         CostCheck costs = context.newCostCheck();
         List<String> lines = new ArrayList<>();
--- a/node/src/main/java/tulipshed/operators/RouteTargetReader.java
+++ b/node/src/main/java/tulipshed/operators/RouteTargetReader.java
@@ -21,7 +21,7 @@
         this.diagnostics = diagnostics;
     }
 
-    /** Returns the targets in order of preference; errors are reported, where there are none at {@code place}. */
+    /** Returns the targets in order of preference; an empty list of targets is reported at {@code place}. */
     List<PoolTarget> read(List<Form> forms, SourcePosition place) {
         List<PoolTarget> targets = new ArrayList<>();
         for (Form form : forms) {
@@ -60,7 +60,7 @@
         return pool == null ? null : new PoolTarget(pool, spillBelow, restoreAt);
     }
 
-    /** Returns the name of a pool; null where it is no name. An unknown name is reported at the target. */
+    /** Returns the name of a pool; null if the form is not a name. An unknown pool is reported at the target. */
     private String readPool(Form name, Form target) {
         String pool = FormValues.name(name, diagnostics);
         if (pool != null && !poolNames.contains(pool)) {
--- a/node/src/main/java/tulipshed/operators/SectionFields.java
+++ b/node/src/main/java/tulipshed/operators/SectionFields.java
@@ -22,7 +22,7 @@
     private final Diagnostics diagnostics;
     private final Map<String, Form.Sequence> byName = new LinkedHashMap<>();
 
-    /** Reads the fields of a section from its item {@code firstField} on. */
+    /** Reads the fields of a section, starting at the item with index {@code firstField}. */
     SectionFields(Form.Sequence section, int firstField, Set<String> allowed, Diagnostics diagnostics) {
         this.section = section;
         this.diagnostics = diagnostics;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Returns the fields of that name, of which a section may have several. */
+    /** Returns all fields of a section with the given name. */
     static List<Form.Sequence> repeated(Form.Sequence section, String name) {
         List<Form.Sequence> fields = new ArrayList<>();
         for (Form item : section.items()) {
@@ -60,7 +60,7 @@
         return fields;
     }
 
-    /** Returns a section without the fields of that name. */
+    /** Returns a copy of a section without the fields with the given name. */
     static Form.Sequence without(Form.Sequence section, String name) {
         List<Form> others = new ArrayList<>();
         for (Form item : section.items()) {
@@ -75,22 +75,22 @@
         return byName.containsKey(name);
     }
 
-    /** Returns the field of that name, or null. */
+    /** Returns the field with the given name, or null. */
     Form.Sequence get(String name) {
         return byName.get(name);
     }
 
-    /** Returns the position of a field, or of the section where the field is missing. */
+    /** Returns the position of a field, or that of the section if the field is missing. */
     SourcePosition place(String name) {
         return has(name) ? byName.get(name).place() : section.place();
     }
 
-    /** Returns the values of a field; none where it is missing. */
+    /** Returns the values of a field; an empty list if the field is missing. */
     List<Form> values(String name) {
         return has(name) ? get(name).items().subList(1, get(name).items().size()) : List.of();
     }
 
-    /** Returns the single value of a field; null, reported, where the field is missing or has not exactly one. */
+    /** Returns the single value of a field; a missing field or another number of values is reported and yields null. */
     Form value(String name) {
         Form.Sequence field = byName.get(name);
         if (field == null) {
@@ -105,7 +105,7 @@
         return field.items().get(1);
     }
 
-    /** Returns a string; null, reported, where there is none. */
+    /** Returns the string value of a field; a missing or other value is reported and yields null. */
     String string(String name) {
         Form value = value(name);
         if (value instanceof Form.StringLiteral string) {
@@ -117,7 +117,7 @@
         return null;
     }
 
-    /** Returns an integer from {@code min} to {@code max}; {@code fallback}, reported, where there is none. */
+    /** Returns an integer from {@code min} to {@code max}; any other value is reported and yields {@code fallback}. */
     long integer(String name, long min, long max, long fallback) {
         Form value = value(name);
         if (value instanceof Form.IntegerLiteral integer && integer.value() >= min && integer.value() <= max) {
@@ -130,7 +130,7 @@
         return fallback;
     }
 
-    /** Returns one of the names of the settings; null, reported, where there is none. */
+    /** Returns a string that is one of {@code known}; any other value is reported and yields null. */
     String oneOf(String name, Set<String> known) {
         String string = string(name);
         if (string != null && !known.contains(string)) {
@@ -142,13 +142,13 @@
         return string;
     }
 
-    /** Returns bytes in hexadecimal digits; null, reported, where there are none. */
+    /** Returns the bytes of a hexadecimal string; any other value is reported and yields null. */
     byte[] bytes(String name) {
         String string = string(name);
         return string == null ? null : FormValues.bytes(string, value(name).place(), diagnostics);
     }
 
-    /** Returns a numeric address with its port; null, reported, where there is none. */
+    /** Returns a numeric address with a port; any other value is reported and yields null. */
     InetSocketAddress address(String name) {
         String string = string(name);
         try {
--- a/node/src/main/java/tulipshed/operators/SectionNames.java
+++ b/node/src/main/java/tulipshed/operators/SectionNames.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The names of the sections of an operators' file and of a table of cases: external names, which do not change. */
+/** The section names of operators' files and tables of cases; they belong to the file format and must not change. */
 final class SectionNames {
     static final String ATTRIBUTES = "attributes";
     static final String LONGEST = "longest";
@@ -34,7 +34,7 @@
 
     private SectionNames() {}
 
-    /** Returns a set that keeps the order, in which diagnostics list the names. */
+    /** Returns an unmodifiable set that keeps the order of the names; diagnostics list them in this order. */
     static Set<String> ordered(String... names) {
         return Collections.unmodifiableSet(new LinkedHashSet<>(List.of(names)));
     }
--- a/node/src/main/java/tulipshed/operators/Sections.java
+++ b/node/src/main/java/tulipshed/operators/Sections.java
@@ -16,7 +16,7 @@
     private final List<Form.Sequence> routes = new ArrayList<>();
     private final Map<String, Form.Sequence> single = new HashMap<>();
 
-    /** Groups the forms of a file; what is no section, and a second one where one is allowed, is reported. */
+    /** Groups the forms of a file; a form that is not a section, and a repeated single section, are reported. */
     Sections(List<Form> forms, Diagnostics diagnostics) {
         this.diagnostics = diagnostics;
         forms.forEach(this::add);
@@ -38,7 +38,7 @@
         return single.containsKey(name);
     }
 
-    /** Returns a section of which there is one at most, or null. */
+    /** Returns a section that may occur only once, or null if it is missing. */
     Form.Sequence get(String name) {
         return single.get(name);
     }
--- a/node/src/main/java/tulipshed/operators/TestCase.java
+++ b/node/src/main/java/tulipshed/operators/TestCase.java
@@ -5,24 +5,24 @@
 import tulipshed.sexpr.SourcePosition;
 
 /**
- * A case of a table.
+ * A test case of a table of cases.
  *
- * @param given the attributes of the request by their names in expressions
- * @param expected what the rules must give: a class, tenant, group, rule, route or pool, by these words
+ * @param given the attributes of the request by name, as in expressions
+ * @param expected the expected results of the rules by name: class, tenant, group, rule, route or pool
  */
 record TestCase(SourcePosition place, String name, Map<String, AttributeValue> given, Map<String, String> expected) {
 
-    /** Returns a given value as it is written, or null. */
+    /** Returns an attribute of the request as text, or null if it is missing. */
     String text(String attribute) {
         return text(given.get(attribute));
     }
 
-    /** Returns a given value as it is written, or {@code fallback}. */
+    /** Returns an attribute of the request as text, or {@code fallback} if it is missing. */
     String text(String attribute, String fallback) {
         return given.containsKey(attribute) ? text(attribute) : fallback;
     }
 
-    /** Returns a given number, or {@code fallback} where the value is missing or no number. */
+    /** Returns a numeric attribute of the request, or {@code fallback} if it is missing or not a number. */
     double number(String attribute, double fallback) {
         AttributeValue value = given.get(attribute);
         if (value instanceof AttributeValue.IntegerValue integer) {
@@ -31,12 +31,12 @@
         return value instanceof AttributeValue.DecimalValue decimal ? decimal.value() : fallback;
     }
 
-    /** Whether a given value is true. */
+    /** Returns whether an attribute of the request is the boolean true. */
     boolean isTrue(String attribute) {
         return given.get(attribute) instanceof AttributeValue.BooleanValue value && value.value();
     }
 
-    /** Returns a value as it is written, or null where there is none. */
+    /** Returns a value as text, or null for null. */
     static String text(AttributeValue value) {
         if (value instanceof AttributeValue.StringValue string) {
             return string.value();
--- a/node/src/main/java/tulipshed/operators/package-info.java
+++ b/node/src/main/java/tulipshed/operators/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the operators' file and tables of cases for it; all errors are reported together, each with its position. */
+/** Reads the operators' file and tables of test cases for it; errors are reported together, each with its position. */
 package tulipshed.operators;
--- a/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
+++ b/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
@@ -128,9 +128,9 @@
         assertEquals(21, lines.length);
         assertEquals("f:2:20: unknown name clas; did you mean class?", lines[0]);
         assertEquals("f: and 10 more", lines[20]);
-        String start = assertThrows(MalformedInputException.class, () -> read(text.toString()))
+        String message = assertThrows(MalformedInputException.class, () -> read(text.toString()))
                 .getMessage();
-        assertEquals(1, start.lines().count(), "at a start it is one line");
+        assertEquals(1, message.lines().count(), "the message of a failed start is one line");
     }
 
     @Test
@@ -141,7 +141,7 @@
                 errors("(define one (= \"a\" 1)) (define two (= member.zone \"z\")) (define three (= member.zone 2))"));
     }
 
-    /** Suggesting a name for each error, reported or not, is too slow for so many. */
+    /** Searching for similar names is too slow to do it for errors beyond the number that is reported. */
     @Test
     void megabyteOfErrorsIsReportedInBoundedTime() {
         StringBuilder text = new StringBuilder();
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Ten thousand rules over one attribute cost a request what one costs. */
+    /** Classification by 10,000 rules over one attribute costs as much per request as by one rule. */
     @Test
     void manyRulesAreOneLookupAndTheirTotalIsLimitedByMaxCost() {
         StringBuilder rules = new StringBuilder("(max-cost 100) (classify\n");
@@ -179,6 +179,6 @@
         assertTrue(
                 scanErrors.matches(
                         "(?s)(.*\\n)?f:1:16: classify may cost [0-9]+ a request, over the max-cost of 100; .*"),
-                () -> "each alone is cheap: " + scanErrors);
+                () -> "no single rule exceeds max-cost: " + scanErrors);
     }
 }
