--- a/emulator/src/main/java/tulipshed/emulator/loadtest/DiscoveryStubs.java
+++ b/emulator/src/main/java/tulipshed/emulator/loadtest/DiscoveryStubs.java
@@ -40,7 +40,7 @@
     void addNode() throws IOException {
         int node = stubs.size();
         StubDiscovery stub = new StubDiscovery();
-        stub.onNotified((receivedNanoTime, statusById) -> notifications.add(
+        stub.setNotificationListener((receivedNanoTime, statusById) -> notifications.add(
                 new ListNotification(node, clock.toRunMs(receivedNanoTime), clock.elapsedMs(), statusById)));
         stubs.add(stub);
     }
--- a/node/src/main/java/tulipshed/cli/Command.java
+++ b/node/src/main/java/tulipshed/cli/Command.java
@@ -12,7 +12,8 @@
      * Runs the command.
      *
      * @return an exit code of {@link ExitCode}, or {@link #KEEPS_RUNNING}
-     * @throws tulipshed.config.MalformedInputException if a file or a setting is malformed
+     * @throws tulipshed.config.MalformedInputException if a file or a setting is invalid, or an address cannot be
+     *     bound
      */
     int run();
 }
--- a/node/src/main/java/tulipshed/cli/ConfigurationReload.java
+++ b/node/src/main/java/tulipshed/cli/ConfigurationReload.java
@@ -95,7 +95,7 @@
         components.frontend().setDeclarations(router == null ? null : router.declarations());
     }
 
-    /** Counts and logs a configuration that could not be read; the current configuration is kept. */
+    /** Counts and logs a configuration that is unreadable or invalid; the current configuration is kept. */
     void reject(String reason) {
         components.core().metrics().recordReloadRejected();
         log.warn("configuration rejected, the current one stays: " + reason.replaceAll("\\s+", " "));
--- a/node/src/main/java/tulipshed/cli/ConfigurationReloader.java
+++ b/node/src/main/java/tulipshed/cli/ConfigurationReloader.java
@@ -7,8 +7,9 @@
 import tulipshed.operators.OperatorsFile;
 
 /**
- * Reads the configuration again for a running node, once per reload request. The whole configuration is read and
- * validated before the node changes any state. Safe for use by any thread.
+ * Reads the configuration again for a running node, once per reload request; requests before the node has started are
+ * combined into one. The whole configuration is read and validated before the node changes any state. Safe for
+ * use by any thread.
  */
 final class ConfigurationReloader {
     private final Supplier<NodeConfig> configReader;
@@ -52,7 +53,7 @@
             NodeConfig config = configReader.get();
             node.reload(config, operatorsReader.apply(config));
         } catch (OutOfMemoryError e) {
-            // Not expected, as the size of the input is bounded; the node's state is unchanged at this point.
+            // The file is read without a size limit and may not fit into the heap; nothing has been applied yet.
             node.rejectConfiguration("out of memory while reading the configuration");
         } catch (MalformedInputException e) {
             node.rejectConfiguration(e.getMessage());
--- a/node/src/main/java/tulipshed/cli/ExitCode.java
+++ b/node/src/main/java/tulipshed/cli/ExitCode.java
@@ -8,7 +8,9 @@
     /** The command ran and found a failure, such as a failed case, or it could not run for a system error. */
     static final int FAILURE = 1;
 
-    /** The command line or a file that it names is malformed. */
+    /**
+     * The command line, the configuration or an input file is invalid or unreadable, or an address cannot be bound.
+     */
     static final int MALFORMED_INPUT = 2;
 
     private ExitCode() {}
--- a/node/src/main/java/tulipshed/cli/GracefulShutdown.java
+++ b/node/src/main/java/tulipshed/cli/GracefulShutdown.java
@@ -55,19 +55,19 @@
     /** Starts the shutdown. */
     void begin() {
         hotRestart.refresh();
-        boolean handedOver = hotRestart.isPeerServing();
+        boolean handsOver = hotRestart.isPeerServing();
         hotRestart.markLeaving();
         core.setQuotaShare(hotRestart.quotaShare());
-        if (!handedOver) {
+        if (!handsOver) {
             components.frontend().startLeaving();
         }
         components.clientListener().startDraining();
-        log.info("shutting down" + (handedOver ? ", handing over to another process, " : ", ") + core.establishedCount()
+        log.info("shutting down" + (handsOver ? ", handing over to another process, " : ", ") + core.establishedCount()
                 + " established connections");
         ShutdownSchedule schedule =
                 ShutdownSchedule.of(limits.shutdown(), configurationReload.longestDeadlineAtShutdownMs());
         new ShutdownSequence(
-                        handedOver ? schedule.afterHandover() : schedule,
+                        handsOver ? schedule.afterHandover() : schedule,
                         startMs,
                         clock,
                         components.loop(),
--- a/node/src/main/java/tulipshed/cli/HotRestartMonitor.java
+++ b/node/src/main/java/tulipshed/cli/HotRestartMonitor.java
@@ -17,7 +17,7 @@
         intervalMs = options.limits().sockets().sweepIntervalMs();
     }
 
-    /** Checks the peer now and then at each sweep interval for as long as the event loop runs. */
+    /** Checks the peer immediately, then at each sweep interval for as long as the event loop runs. */
     void check() {
         components.loop().schedule(intervalMs, this::check);
         hotRestart.refresh();
--- a/node/src/main/java/tulipshed/cli/Node.java
+++ b/node/src/main/java/tulipshed/cli/Node.java
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Counts and logs a new configuration that could not be read; the current configuration is kept.
+     * Counts and logs a new configuration that is unreadable or invalid; the current configuration is kept.
      *
      * @param reason the error message
      */
@@ -80,8 +80,7 @@
         loop.execute(shutdown::begin);
         shutdown.awaitCompletion();
         // On exit the virtual machine waits 300 ms for threads in system calls, such as those of the loop, and keeps
-        // all
-        // sockets open meanwhile.
+        // all sockets open meanwhile.
         loop.stop();
     }
 }
--- a/node/src/main/java/tulipshed/cli/NodeStartup.java
+++ b/node/src/main/java/tulipshed/cli/NodeStartup.java
@@ -13,10 +13,11 @@
 import tulipshed.warmup.Warmup;
 
 /**
- * Brings a node into service. The client listener opens only after discovery's current endpoint list has arrived: the
- * cached list may contain endpoints that are draining or removed, of which an earlier or still serving process of the
- * node was already notified. If discovery fails or is late, the node serves with the cached list. The listener also
- * waits for the {@link Warmup} to end, so that the first clients do not wait for code that is not compiled yet.
+ * Brings a node into service. The client listener waits for discovery's current endpoint list: the cached list may
+ * contain endpoints that are draining or removed, of which an earlier or still serving process of the node was already
+ * notified. Without the list, the listener opens with the cached one after the start timeout, or as soon as the request
+ * to discovery fails if no other process of the node serves. In every case the listener also waits for the {@link
+ * Warmup} to end, so that the first clients do not wait for code that is not compiled yet.
  *
  * <p>Confined to the event-loop thread, except for {@link #start}, which blocks the calling thread.
  */
--- a/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
+++ b/node/src/main/java/tulipshed/cli/ShutdownSchedule.java
@@ -11,7 +11,7 @@
  * process which is paused once, for at most {@link ShutdownLimits#holdUpMs}, still exits before SIGKILL. All times are
  * relative to SIGTERM, not to a later event, and settings that are reloaded during the shutdown do not change them. A
  * request that arrives at the last moment at which the load balancer in front of the node still sends requests keeps
- * its full deadline.
+ * its deadline, up to {@link ShutdownLimits#maxDeadlineMs}.
  *
  * @param acceptUntilMs when the node stops accepting new connections
  * @param migrateFromMs when the migration of established clients begins
--- a/node/src/main/java/tulipshed/cli/ShutdownSequence.java
+++ b/node/src/main/java/tulipshed/cli/ShutdownSequence.java
@@ -40,7 +40,10 @@
         /** Returns whether no client has an open request or connection. */
         boolean isIdle();
 
-        /** Closes the remaining sockets. Called once, after all other methods. */
+        /**
+         * Closes the sockets of discovery, QUIC, peers and management, and completes the shutdown. Called once, after all
+         * other methods.
+         */
         void finish();
     }
 
--- a/node/src/main/java/tulipshed/config/MalformedInputException.java
+++ b/node/src/main/java/tulipshed/config/MalformedInputException.java
@@ -2,15 +2,15 @@
 
 /**
  * Thrown for invalid input from outside the program: a configuration file, an operators' file, a command-line value, or
- * a line from the simulator.
+ * a line from the simulator. Also thrown for an address that cannot be bound.
  *
- * <p>The message is one line and is shown to the user unchanged. The code that reads the input catches this exception
- * and reports the message; no code depends on the message text.
+ * <p>The code that reads the input catches this exception and reports the message, which it may prefix and put on one
+ * line; no code depends on the message text.
  */
 public class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an exception with a one-line message that names the problem and its location. */
+    /** Creates an exception with a message that names the problem and its location. */
     public MalformedInputException(String message) {
         super(message);
     }
--- a/node/src/main/java/tulipshed/config/NodeConfig.java
+++ b/node/src/main/java/tulipshed/config/NodeConfig.java
@@ -76,7 +76,7 @@
         return parse(JsonValues.object(bytes), environment);
     }
 
-    /** Translates the parsed configuration file; the external names of its fields are used only here. */
+    /** Validates and translates the parsed configuration file. Its fields have the external names of the file format. */
     static NodeConfig parse(Map<String, Object> json, Map<String, String> environment) {
         ConfigValidator.check(json);
         JsonObject file = JsonObject.of(json);
--- a/node/src/main/java/tulipshed/demo/StubDiscovery.java
+++ b/node/src/main/java/tulipshed/demo/StubDiscovery.java
@@ -19,8 +19,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A discovery server on loopback that lists the endpoints published to it and responds to a watch at the next change.
- * Safe for use by any thread; each pending request has its own daemon thread.
+ * A discovery server on loopback that lists the endpoints published to it and responds to a watch at the next change or
+ * when its wait ends. Safe for use by any thread; each pending request has its own daemon thread.
  */
 public final class StubDiscovery implements AutoCloseable {
     private static final Pattern WATCH_QUERY = Pattern.compile("index=([0-9]{1,9})&wait=([0-9]{1,6})");
@@ -34,7 +34,7 @@
     private static final long INDEX_BEFORE_FIRST_VERSION = -1;
 
     private final HttpServer server;
-    private final ExecutorService threads = Executors.newCachedThreadPool(StubDiscovery::daemon);
+    private final ExecutorService threads = Executors.newCachedThreadPool(StubDiscovery::daemonThread);
     private final Map<String, PublishedEndpoint> endpoints = new LinkedHashMap<>();
     private long version;
     private volatile boolean unavailable;
@@ -65,7 +65,7 @@
         server.start();
     }
 
-    static Thread daemon(Runnable task) {
+    static Thread daemonThread(Runnable task) {
         Thread thread = new Thread(task, "stub");
         thread.setDaemon(true);
         return thread;
@@ -84,7 +84,7 @@
     /**
      * Publishes an endpoint, or a new state of it.
      *
-     * @param machineType the machine type
+     * @param machineType the machine type, listed as {@code kind}
      * @param weight the capacity relative to the other endpoints
      * @param startedMs the start time as Unix time in milliseconds, or 0 for an endpoint that started long ago
      */
@@ -116,7 +116,7 @@
     }
 
     /** Sets the listener, which is called on the request's thread after each response that contains a list. */
-    public synchronized void onNotified(NotificationListener listener) {
+    public synchronized void setNotificationListener(NotificationListener listener) {
         notificationListener = listener;
     }
 
--- a/node/src/main/java/tulipshed/demo/StubEndpoint.java
+++ b/node/src/main/java/tulipshed/demo/StubEndpoint.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An endpoint on loopback that accepts every request and echoes the lines that follow. Each connection has its own
- * daemon thread.
+ * An endpoint on loopback that accepts every open command and echoes the lines that follow; responds SYNTAX to any other
+ * first line and closes the connection. Each connection has its own daemon thread.
  */
 public final class StubEndpoint implements AutoCloseable {
     private static final int BACKLOG = 50;
@@ -31,7 +31,7 @@
      */
     public StubEndpoint(String id) throws IOException {
         this.id = id;
-        StubDiscovery.daemon(this::acceptConnections).start();
+        StubDiscovery.daemonThread(this::acceptConnections).start();
     }
 
     /** Returns the ID in the endpoint list. */
@@ -48,7 +48,7 @@
         while (!listener.isClosed()) {
             try {
                 Socket connection = listener.accept();
-                StubDiscovery.daemon(() -> serve(connection)).start();
+                StubDiscovery.daemonThread(() -> serve(connection)).start();
             } catch (IOException e) {
                 // The listener was closed, or accepting failed temporarily.
                 pauseAfterFailedAccept();
--- a/node/src/test/java/tulipshed/cli/DescriptorExhaustionTest.java
+++ b/node/src/test/java/tulipshed/cli/DescriptorExhaustionTest.java
@@ -135,6 +135,7 @@
         node.sendSignal("TERM");
         assertNotNull(node.awaitLogLine("INFO node: shutting down"), "SIGTERM");
         assertTrue(node.awaitExit(8));
+        // No such line is logged: the call reads the log to its end.
         assertNull(node.awaitLogLine("the end of its log"));
         // Guards against accepting so many clients that connections to endpoints and discovery run out of descriptors.
         assertTrue(
--- a/node/src/test/java/tulipshed/cli/DrainNotificationTest.java
+++ b/node/src/test/java/tulipshed/cli/DrainNotificationTest.java
@@ -192,7 +192,7 @@
                 ServerSocket serving = listen(50);
                 FaultyDiscovery discovery =
                         new FaultyDiscovery(fault, draining.getLocalPort(), serving.getLocalPort());
-                FaultyDiscovery newAddress = new FaultyDiscovery(
+                FaultyDiscovery discoveryAtNewAddress = new FaultyDiscovery(
                         DiscoveryFault.OVERLOADED, draining.getLocalPort(), serving.getLocalPort())) {
             List<String> log = Collections.synchronizedList(new ArrayList<>());
             CountDownLatch failed = new CountDownLatch(2);
@@ -207,19 +207,19 @@
                             failed.countDown();
                         }
                     })));
-            FaultyDiscovery recovered = discovery;
+            FaultyDiscovery recoveredDiscovery = discovery;
             if (fault == DiscoveryFault.ADDRESS_CHANGED) {
                 // A request is pending when a reload changes the address.
                 assertTrue(discovery.requested.await(20, TimeUnit.SECONDS));
-                newAddress.recover();
-                recovered = newAddress;
-                node.reload(config(fault, newAddress.port, draining.getLocalPort()), OperatorsFile.EMPTY);
+                discoveryAtNewAddress.recover();
+                recoveredDiscovery = discoveryAtNewAddress;
+                node.reload(config(fault, discoveryAtNewAddress.port, draining.getLocalPort()), OperatorsFile.EMPTY);
             } else {
                 assertTrue(failed.await(20, TimeUnit.SECONDS), fault + ": " + log);
                 discovery.recover();
             }
             long recoveryNs = System.nanoTime();
-            assertTrue(recovered.notified.await(20, TimeUnit.SECONDS), fault + ": " + log);
+            assertTrue(recoveredDiscovery.notified.await(20, TimeUnit.SECONDS), fault + ": " + log);
             double tookMs = (System.nanoTime() - recoveryNs) / 1e6;
             assertRequestsGoToServingEndpoint(node, serving, fault);
             return tookMs;
--- a/node/src/test/java/tulipshed/cli/HotRestartFileFaultTest.java
+++ b/node/src/test/java/tulipshed/cli/HotRestartFileFaultTest.java
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void servesAndHandsOverAfterFileWasCutOff() throws Exception {
+    void servesAndHandsOverAfterFileIsTruncated() throws Exception {
         try (NodeProcess first = start(List.of())) {
             assertServes("9b0");
             try (Stream<Path> files = Files.list(directory);
--- a/node/src/test/java/tulipshed/cli/HotRestartTest.java
+++ b/node/src/test/java/tulipshed/cli/HotRestartTest.java
@@ -79,7 +79,7 @@
     }
 
     /** Opens connections that either process may accept, and asserts that both reject an ID that is already open. */
-    private List<Socket> pingBothProcesses(String openId) throws IOException {
+    private List<Socket> pingAndAssertDuplicateIdRejected(String openId) throws IOException {
         List<Socket> pings = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             pings.add(connect(listenPort));
@@ -108,7 +108,7 @@
                 assertEquals("UP r", in.readLine());
                 try (NodeProcess second = start(secondManagement)) {
                     awaitReady(secondManagement);
-                    List<Socket> pings = pingBothProcesses("9b1");
+                    List<Socket> pings = pingAndAssertDuplicateIdRejected("9b1");
                     first.sendSignal("TERM");
                     assertTrue(first.awaitLogLine("INFO node: shutting down, handing over to another process") != null);
                     assertTrue(httpGet(firstManagement, "/status").startsWith("HTTP/1.1 503 "));
--- a/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
+++ b/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
@@ -48,7 +48,7 @@
 
     private final List<String> log = new CopyOnWriteArrayList<>();
     private int nextId;
-    private int longestDeadlineS = 4;
+    private int deadlineWholeSeconds = 4;
     private ServerSocket endpoint;
     private Node node;
 
@@ -79,7 +79,7 @@
         Path config = NodeConfigFile.fromTemplate()
                 .listenPort(0)
                 .endpointPort(endpoint.getLocalPort())
-                .replaceAll("(\"HardLimitS\": )[34]", "$1" + longestDeadlineS)
+                .replaceAll("(\"HardLimitS\": )[34]", "$1" + deadlineWholeSeconds)
                 .writeTo(directory);
         return NodeConfig.load(Map.of("PROXY_CONFIG", config.toString(), "PROXY_MANAGEMENT", "127.0.0.1:0"));
     }
@@ -140,9 +140,9 @@
     @Test
     void reportsNotReadyAndItsMetricsDuringShutdown() throws Exception {
         startNode(1024);
-        try (Socket one = connectClient(OPEN);
-                Socket first = acceptUpstream()) {
-            assertEquals("UP r", reader(one).readLine());
+        try (Socket client = connectClient(OPEN);
+                Socket upstream = acceptUpstream()) {
+            assertEquals("UP r", reader(client).readLine());
             String metrics = requestManagement("GET /status/metrics");
             assertTrue(metrics.contains("\"slot-board\":{\"success\":1,\"overload\":0,\"error\":0}"), metrics);
             assertTrue(metrics.contains("\"concurrent\":1,\"dispatches\":1,"), metrics);
@@ -153,7 +153,7 @@
             }
             assertTrue(requestManagement("GET /status").startsWith("HTTP/1.1 503 "), "from the signal on");
             assertTrue(requestManagement("GET /status/metrics").contains("\"concurrent\":1,"));
-            assertEquals("MOVE", reader(one).readLine());
+            assertEquals("MOVE", reader(client).readLine());
             shutdown.join(5000);
         }
     }
@@ -207,12 +207,12 @@
     }
 
     /**
-     * Otherwise the exit of the process would close idle connections without a response, even if a request is in
+     * Guards against idle connections that the exit of the process closes without a response, even if a request is in
      * flight.
      */
     @Test
     void shutdownRejectsClientsThatHaveNotOpenedARequest() throws IOException {
-        longestDeadlineS = 1;
+        deadlineWholeSeconds = 1;
         Limits defaults = Limits.forDescriptors(1024);
         startNode(
                 defaults.with(new LineProtocolLimits(
@@ -239,7 +239,7 @@
     /** SIGKILL follows 0.7 s after the longest deadline, which the settings may make shorter than the default. */
     @Test
     void shutdownIsShorterWithShorterDeadlines() throws IOException {
-        longestDeadlineS = 1;
+        deadlineWholeSeconds = 1;
         startNode(1024);
         try (Socket established = connectClient(OPEN);
                 Socket server = acceptUpstream()) {
@@ -259,9 +259,9 @@
     @Test
     void reloadThatCrossesTheSignalOrFollowsItDoesNotLengthenTheShutdown() throws Exception {
         for (boolean reloadFirst : new boolean[] {true, false}) {
-            longestDeadlineS = 1;
+            deadlineWholeSeconds = 1;
             startNode(1024);
-            longestDeadlineS = 4;
+            deadlineWholeSeconds = 4;
             NodeConfig longer = loadConfig();
             long startNs = System.nanoTime();
             if (reloadFirst) {
@@ -311,7 +311,7 @@
                 .getMessage();
     }
 
-    /** Otherwise the message would mislead operators into looking for another user of the client address. */
+    /** Guards against a message that misleads operators into looking for another user of the client address. */
     @Test
     void addressThatCannotBeBoundIsNamed() throws IOException {
         String taken = ":" + endpoint.getLocalPort();
@@ -335,25 +335,25 @@
     @Test
     void rejectsClientsWithoutDescriptorsAndRecovers() throws IOException {
         startNode(64 + 32 + 4);
-        try (Socket one = connectClient(OPEN);
-                Socket first = acceptUpstream()) {
-            assertEquals("UP r", reader(one).readLine());
-            Socket two = connectClient(OPEN);
-            Socket second = acceptUpstream();
-            assertEquals("UP r", reader(two).readLine());
-            try (Socket three = connectClient(OPEN)) {
-                BufferedReader in = reader(three);
+        try (Socket client = connectClient(OPEN);
+                Socket upstream = acceptUpstream()) {
+            assertEquals("UP r", reader(client).readLine());
+            Socket secondClient = connectClient(OPEN);
+            Socket secondUpstream = acceptUpstream();
+            assertEquals("UP r", reader(secondClient).readLine());
+            try (Socket thirdClient = connectClient(OPEN)) {
+                BufferedReader in = reader(thirdClient);
                 assertTrue(in.readLine().matches("BUSY [0-9]+"), "with a Retry-After time");
                 assertNull(in.readLine());
             }
-            second.close();
-            assertNull(reader(two).readLine());
-            two.close();
+            secondUpstream.close();
+            assertNull(reader(secondClient).readLine());
+            secondClient.close();
             assertEquals("UP r", retryUntilServed());
         }
     }
 
-    /** Otherwise hundreds of silent clients take all descriptors, and the node rejects all others. */
+    /** Guards against hundreds of silent clients that take all descriptors, so that the node rejects all others. */
     @Test
     void evictsSilentClientsForOthers() throws IOException {
         startNode(64 + 32 + 16);
--- a/node/src/test/java/tulipshed/cli/PeerDatagramTest.java
+++ b/node/src/test/java/tulipshed/cli/PeerDatagramTest.java
@@ -34,14 +34,14 @@
 
     private DatagramSocket peer;
     private DatagramSocket unknownSender;
-    private int peerPort;
+    private int nodePeerPort;
     private int managementPort;
 
     @BeforeEach
     void open() throws IOException {
         peer = new DatagramSocket(0, LOOPBACK);
         unknownSender = new DatagramSocket(0, LOOPBACK);
-        peerPort = freeUdpPort();
+        nodePeerPort = freeUdpPort();
         managementPort = freeTcpPort();
     }
 
@@ -73,14 +73,14 @@
     }
 
     private String addresses() throws IOException {
-        String node = "\"127.0.0.1:" + peerPort + "\"";
+        String node = "\"127.0.0.1:" + nodePeerPort + "\"";
         String other = "\"127.0.0.1:" + peer.getLocalPort() + "\"";
         return "\"127.0.0.1:" + freeTcpPort() + "\", \"peer_listen\": " + node + ", \"peers\": [" + node + ", " + other
                 + "], \"peers_all\": " + other + ",";
     }
 
     private void send(DatagramSocket from, int bytes) throws IOException {
-        from.send(new DatagramPacket(new byte[bytes], bytes, new InetSocketAddress(LOOPBACK, peerPort)));
+        from.send(new DatagramPacket(new byte[bytes], bytes, new InetSocketAddress(LOOPBACK, nodePeerPort)));
     }
 
     private long metric(String name) throws IOException {
@@ -121,7 +121,7 @@
     @Test
     void bindsNoSocketUntilAReloadEnablesPeers() throws Exception {
         try (NodeProcess node = startNode(false)) {
-            new DatagramSocket(peerPort, LOOPBACK).close();
+            new DatagramSocket(nodePeerPort, LOOPBACK).close();
             assertEquals(-1, metric("peers_received"), "no metric either");
             writeConfig(true);
             node.sendSignal("HUP");
@@ -135,14 +135,14 @@
             writeConfig(false);
             node.sendSignal("HUP");
             node.awaitReloadLine();
-            new DatagramSocket(peerPort, LOOPBACK).close();
+            new DatagramSocket(nodePeerPort, LOOPBACK).close();
         }
     }
 
     /** Peer messages are optional: a node whose peer address is in use serves without them and retries to bind. */
     @Test
     void servesWhilePeerAddressIsInUseAndBindsItOnceFree() throws Exception {
-        DatagramSocket other = new DatagramSocket(peerPort, LOOPBACK);
+        DatagramSocket other = new DatagramSocket(nodePeerPort, LOOPBACK);
         try (NodeProcess node = startNode(true)) {
             assertEquals(0, metric("peers_received"));
             other.close();
--- a/node/src/test/java/tulipshed/cli/RapidReloadTest.java
+++ b/node/src/test/java/tulipshed/cli/RapidReloadTest.java
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void eachIsAppliedOrRejectedAndTheLastOneHoldsWithOneCallOpen() throws Exception {
+    void everyReloadIsAppliedOrRejectedAndTheLastIsInEffect() throws Exception {
         openDiscoveries(RELOADS + 1);
         startNode(config(discoveries.get(0).getLocalPort(), "gate-status"));
         await("the first call", () -> openCalls(0) == 1);
--- a/node/src/test/java/tulipshed/cli/ShutdownSequenceTest.java
+++ b/node/src/test/java/tulipshed/cli/ShutdownSequenceTest.java
@@ -23,7 +23,7 @@
     private static final double ARRIVALS_MS = 400;
 
     private static final double KILL_AFTER_DEADLINE_MS = 700;
-    private static final double HOLD_UP_MS = 150;
+    private static final double STALL_MS = 150;
     private static final double MAX_COUNTED_DEADLINE_MS = 3_000;
 
     /** The time before the client's deadline at which the core sends the final response at the latest. */
@@ -37,7 +37,7 @@
     /** Runs tasks in the order of their times; can be paused once, before the first task at or after a given time. */
     private final class VirtualLoop implements EventLoop {
         private final PriorityQueue<Task> tasks = new PriorityQueue<>();
-        private double holdUpAtMs = Double.POSITIVE_INFINITY;
+        private double stallAtMs = Double.POSITIVE_INFINITY;
         private long added;
 
         private record Task(double atMs, long sequence, Runnable action) implements Comparable<Task> {
@@ -62,9 +62,9 @@
             while (!tasks.isEmpty()) {
                 Task task = tasks.poll();
                 clock.advance(task.atMs - clock.nowMs());
-                if (clock.nowMs() >= holdUpAtMs) {
-                    holdUpAtMs = Double.POSITIVE_INFINITY;
-                    clock.advance(HOLD_UP_MS);
+                if (clock.nowMs() >= stallAtMs) {
+                    stallAtMs = Double.POSITIVE_INFINITY;
+                    clock.advance(STALL_MS);
                 }
                 task.action.run();
             }
@@ -85,7 +85,7 @@
         private double lastWriteMs;
         private double finishedMs = Double.NaN;
         private int finishes;
-        private int largestMigration;
+        private int migratedInStep;
         private RuntimeException defect;
 
         /** Accepts the clients that have connected by now; the endpoint of every second one hangs. */
@@ -107,7 +107,7 @@
 
         @Override
         public int establishedCount() {
-            largestMigration = 0;
+            migratedInStep = 0;
             return established;
         }
 
@@ -117,7 +117,7 @@
                 return false;
             }
             established--;
-            largestMigration++;
+            migratedInStep++;
             lastWriteMs = clock.nowMs();
             return true;
         }
@@ -189,7 +189,7 @@
         double countedMs = Math.min(MAX_COUNTED_DEADLINE_MS, deadlineMs);
         assertTrue(node.acceptedUntilMs >= Math.min(500, countedMs + 450), "accepted until " + node.acceptedUntilMs);
         assertTrue(node.lastWriteMs + 50 <= node.finishedMs, "the last answer can still be read");
-        assertTrue(node.finishedMs + limits.exitMs() <= killMs(deadlineMs) - HOLD_UP_MS, "ended " + node.finishedMs);
+        assertTrue(node.finishedMs + limits.exitMs() <= killMs(deadlineMs) - STALL_MS, "ended " + node.finishedMs);
         assertTrue(
                 node.firstRejectionMs >= ARRIVALS_MS + countedMs - RESPONSE_MARGIN_MS,
                 "the latest request keeps its deadline, up to the longest one that counts");
@@ -197,43 +197,43 @@
 
     @ParameterizedTest
     @ValueSource(ints = {50, 120, 300, 1000, 3000})
-    void oneHoldUpAtAnyMomentLeavesAllAnsweredInTime(int deadlineMs) {
-        for (int holdUpAtMs = 0; holdUpAtMs < killMs(deadlineMs); holdUpAtMs += 7) {
+    void oneStallAtAnyTimeLeavesAllAnsweredInTime(int deadlineMs) {
+        for (int stallAtMs = 0; stallAtMs < killMs(deadlineMs); stallAtMs += 7) {
             ShutdownSequenceTest run = new ShutdownSequenceTest();
-            run.loop.holdUpAtMs = holdUpAtMs;
+            run.loop.stallAtMs = stallAtMs;
             run.scheduleArrivals();
             run.shutDown(ShutdownSchedule.of(limits, deadlineMs));
             run.loop.run();
             run.assertAllAnswered();
             assertTrue(
                     run.node.finishedMs + limits.exitMs() <= killMs(deadlineMs),
-                    "held up at " + holdUpAtMs + ", ended " + run.node.finishedMs);
+                    "stalled at " + stallAtMs + ", ended " + run.node.finishedMs);
         }
     }
 
     /** The event loop may be busy when the signal arrives; that delay must not extend the shutdown. */
     @Test
     void lateBeginDoesNotDelayTheEnd() {
-        clock.advance(HOLD_UP_MS);
+        clock.advance(STALL_MS);
         scheduleArrivals();
         shutDown(ShutdownSchedule.of(limits, 1000));
         loop.run();
-        assertTrue(node.finishedMs + limits.exitMs() <= killMs(1000) - HOLD_UP_MS, "ended " + node.finishedMs);
+        assertTrue(node.finishedMs + limits.exitMs() <= killMs(1000) - STALL_MS, "ended " + node.finishedMs);
     }
 
     @Test
     void migrationIsSpreadOverItsTime() {
         node.established = 1000;
         ShutdownSchedule schedule = ShutdownSchedule.of(limits, 3000);
-        List<Integer> shares = new ArrayList<>();
+        List<Integer> batchSizes = new ArrayList<>();
         shutDown(schedule);
         Random random = new Random(1);
         for (double atMs = 10; atMs < schedule.migrateUntilMs(); atMs += 10 + random.nextInt(10)) {
-            loop.schedule(atMs, () -> shares.add(node.largestMigration));
+            loop.schedule(atMs, () -> batchSizes.add(node.migratedInStep));
         }
         loop.run();
         assertEquals(0, node.established);
-        assertTrue(shares.stream().mapToInt(Integer::intValue).max().orElseThrow() <= 30, shares.toString());
+        assertTrue(batchSizes.stream().mapToInt(Integer::intValue).max().orElseThrow() <= 30, batchSizes.toString());
     }
 
     @Test
@@ -256,7 +256,7 @@
         shutDown(ShutdownSchedule.of(limits, 50).afterHandover());
         loop.run();
         assertAllAnswered();
-        assertTrue(node.finishedMs + limits.exitMs() <= killMs(50) - HOLD_UP_MS);
+        assertTrue(node.finishedMs + limits.exitMs() <= killMs(50) - STALL_MS);
     }
 
     /** A step that always fails must not keep the process running until it is killed. */
--- a/node/src/test/java/tulipshed/cli/StalledClientTest.java
+++ b/node/src/test/java/tulipshed/cli/StalledClientTest.java
@@ -46,7 +46,7 @@
     private Path directory;
 
     private final ExecutorService threads = Executors.newCachedThreadPool();
-    private final AtomicInteger upstreams = new AtomicInteger();
+    private final AtomicInteger upstreamConnectionCount = new AtomicInteger();
     private final ServerSocket endpoint = listen(200);
     private Node node;
 
@@ -139,7 +139,7 @@
         }
         // Other clients are still served.
         threads.execute(() -> acceptUpstreams("UP r\r\n"));
-        assertEquals("UP r", finalLine("9b2", 2_000).line());
+        assertEquals("UP r", sendRequest("9b2", 2_000).line());
     }
 
     /** Accepts connections of the node until the test ends; sends each the response, or resets it if that is empty. */
@@ -147,7 +147,7 @@
         try {
             while (true) {
                 Socket upstream = endpoint.accept();
-                upstreams.incrementAndGet();
+                upstreamConnectionCount.incrementAndGet();
                 if (response.isEmpty()) {
                     upstream.setSoLinger(true, 0);
                     upstream.close();
@@ -163,7 +163,7 @@
     /** The response to a request, and the time until it arrived. */
     private record Response(String line, long tookMs) {}
 
-    private Response finalLine(String id, long timeoutMs) throws IOException {
+    private Response sendRequest(String id, long timeoutMs) throws IOException {
         long startNs = System.nanoTime();
         try (Socket client = connect(node.address())) {
             send(client, "OPEN " + id + " k c=slot-board,t=melnik-terminal,d=" + timeoutMs + "\r\n");
@@ -179,11 +179,11 @@
         threads.execute(() -> acceptUpstreams(""));
         int requests = 20;
         for (int i = 0; i < requests; i++) {
-            Response response = finalLine("9c" + i, 1_000);
+            Response response = sendRequest("9c" + i, 1_000);
             assertTrue(response.line() != null && response.line().matches("BUSY.*|ERR"), response.toString());
             assertTrue(response.tookMs() < 1_500, response.toString());
         }
-        assertTrue(upstreams.get() <= requests * MAX_ATTEMPTS, upstreams + " connections");
+        assertTrue(upstreamConnectionCount.get() <= requests * MAX_ATTEMPTS, upstreamConnectionCount + " connections");
     }
 
     /**
@@ -194,7 +194,7 @@
     void requestsWithHardlyAnyTimeLeftAreAnsweredAtOnce() throws Exception {
         startNode();
         for (int timeoutMs : new int[] {1, 2, 5, 10, 20, 39, 40, 41, 45, 50}) {
-            Response response = finalLine("9d" + timeoutMs, timeoutMs);
+            Response response = sendRequest("9d" + timeoutMs, timeoutMs);
             assertTrue(response.line() != null && response.line().matches("BUSY.*|ERR"), timeoutMs + ": " + response);
             assertTrue(response.tookMs() < timeoutMs + 500, timeoutMs + ": " + response);
         }
