--- a/node/src/main/java/tulipshed/cli/ShutdownSequence.java
+++ b/node/src/main/java/tulipshed/cli/ShutdownSequence.java
@@ -41,8 +41,8 @@
         boolean isIdle();
 
         /**
-         * Closes the sockets of discovery, QUIC, peers and management, and completes the shutdown. Called once, after all
-         * other methods.
+         * Closes the sockets of discovery, QUIC, peers and management, and completes the shutdown. Called once, after
+         * all other methods.
          */
         void finish();
     }
--- a/node/src/main/java/tulipshed/config/NodeConfig.java
+++ b/node/src/main/java/tulipshed/config/NodeConfig.java
@@ -76,7 +76,7 @@
         return parse(JsonValues.object(bytes), environment);
     }
 
-    /** Validates and translates the parsed configuration file. Its fields have the external names of the file format. */
+    /** Validates and translates the parsed configuration file. Its fields have external names. */
     static NodeConfig parse(Map<String, Object> json, Map<String, String> environment) {
         ConfigValidator.check(json);
         JsonObject file = JsonObject.of(json);
--- a/node/src/main/java/tulipshed/config/SettingsReader.java
+++ b/node/src/main/java/tulipshed/config/SettingsReader.java
@@ -17,8 +17,8 @@
 
 /**
  * Translates the external settings object, which the configuration file and the simulator share, into the settings of
- * the decision module. Each quoted key and value below is an external name. An absent field gets the default given where
- * it is read; an absent flag is false.
+ * the decision module. Each quoted key and value below is an external name. An absent field gets the default given
+ * where it is read; an absent flag is false.
  */
 public final class SettingsReader {
     private final JsonObject settings;
--- a/node/src/main/java/tulipshed/demo/StubEndpoint.java
+++ b/node/src/main/java/tulipshed/demo/StubEndpoint.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An endpoint on loopback that accepts every open command and echoes the lines that follow; responds SYNTAX to any other
- * first line and closes the connection. Each connection has its own daemon thread.
+ * An endpoint on loopback that accepts every open command and echoes the lines that follow; responds SYNTAX to any
+ * other first line and closes the connection. Each connection has its own daemon thread.
  */
 public final class StubEndpoint implements AutoCloseable {
     private static final int BACKLOG = 50;
--- a/node/src/test/java/tulipshed/cli/AcceptShortageTest.java
+++ b/node/src/test/java/tulipshed/cli/AcceptShortageTest.java
@@ -31,8 +31,8 @@
     private Path directory;
 
     /**
-     * Makes the node load the classes that reject a client while descriptors are free: in the test the node opens a file
-     * for each class, whereas a packaged node keeps its jar open.
+     * Makes the node load the classes that reject a client while descriptors are free: in the test the node opens a
+     * file for each class, whereas a packaged node keeps its jar open.
      */
     private static void loadClassesForRejection(int listenPort) throws IOException {
         try (Socket client = connect(listenPort)) {
