--- a/node/src/main/java/tulipshed/warmup/ExchangeKind.java
+++ b/node/src/main/java/tulipshed/warmup/ExchangeKind.java
@@ -8,7 +8,7 @@
     PINGED,
     /** Rejected by the first endpoint, so that it is retried. */
     REJECTED_ONCE,
-    /** Failed by the endpoint. */
+    /** Answered with an error by the endpoint. */
     FAILED,
     /** Served; the endpoint ends the connection first. */
     COMPLETED,
--- a/node/src/main/java/tulipshed/warmup/Exchanges.java
+++ b/node/src/main/java/tulipshed/warmup/Exchanges.java
@@ -25,15 +25,15 @@
  * node. Confined to one thread.
  */
 final class Exchanges {
-    /** Clients that connect in one iteration of the event loop. */
-    private static final int CLIENTS_PER_ITERATION = 8;
+    /** Clients that connect at the same virtual time. */
+    private static final int CLIENTS_PER_GROUP = 8;
 
     /** Virtual time between two groups of clients, in which the quotas of the tenants refill. */
-    private static final double INTERVAL_MS = 1000;
+    private static final double GROUP_INTERVAL_MS = 1000;
 
     private static final int ENDPOINT_COUNT = 16;
     private static final int AFFINITY_GROUP_COUNT = 11;
-    private static final int PORT = 1; // never connected to
+    private static final int PORT = 1; // ignored by InMemoryEventLoop.connect
     private static final String PING = "PING\r\n";
 
     private final InMemoryEventLoop loop = new InMemoryEventLoop(new ScriptedEndpoint());
@@ -66,11 +66,11 @@
         List<ScriptedClient> clients = new ArrayList<>();
         for (int i = 0; i < exchanges; i++) {
             clients.add(connectClient(exchangeCount++));
-            if (clients.size() % CLIENTS_PER_ITERATION == 0) {
-                loop.advance(INTERVAL_MS);
+            if (clients.size() % CLIENTS_PER_GROUP == 0) {
+                loop.advance(GROUP_INTERVAL_MS);
             }
         }
-        loop.advance(INTERVAL_MS);
+        loop.advance(GROUP_INTERVAL_MS);
         return (int) clients.stream().filter(ScriptedClient::isAnswered).count();
     }
 
--- a/node/src/main/java/tulipshed/warmup/InMemoryConnection.java
+++ b/node/src/main/java/tulipshed/warmup/InMemoryConnection.java
@@ -71,13 +71,13 @@
             isEndRead = isInputEnded;
             return isInputEnded ? -1 : 0;
         }
-        int bytes = Math.min(next.remaining(), into.remaining());
-        into.put(into.position(), next, next.position(), bytes).position(into.position() + bytes);
-        next.position(next.position() + bytes);
+        int count = Math.min(next.remaining(), into.remaining());
+        into.put(into.position(), next, next.position(), count).position(into.position() + count);
+        next.position(next.position() + count);
         if (!next.hasRemaining()) {
             input.poll();
         }
-        return bytes;
+        return count;
     }
 
     /** Passes all bytes to the remote end; returns their number. */
--- a/node/src/main/java/tulipshed/warmup/InMemoryEventLoop.java
+++ b/node/src/main/java/tulipshed/warmup/InMemoryEventLoop.java
@@ -12,8 +12,8 @@
 import tulipshed.transport.TcpConnection;
 
 /**
- * An event loop in virtual time with in-memory connections to one {@link RemoteEnd}. Runs on the thread that calls
- * {@link #advance}.
+ * An event loop in virtual time with in-memory connections; all upstream connections lead to one {@link RemoteEnd}. Runs
+ * on the thread that calls {@link #advance}.
  */
 final class InMemoryEventLoop implements ConnectionLoop, Clock {
     private final RemoteEnd endpoint;
@@ -21,15 +21,15 @@
     private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private double nowMs;
-    private long timerCount;
+    private long nextSequenceNumber;
     private int openConnections;
 
     /** A task that is due at a time; tasks due at the same time run in the order in which they were scheduled. */
-    private record Timer(double atMs, long number, Runnable task) implements Comparable<Timer> {
+    private record Timer(double atMs, long sequenceNumber, Runnable task) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
             int byTime = Double.compare(atMs, other.atMs);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+            return byTime != 0 ? byTime : Long.compare(sequenceNumber, other.sequenceNumber);
         }
     }
 
@@ -77,7 +77,7 @@
         if (delayMs <= 0) {
             execute(task);
         } else {
-            timers.add(new Timer(nowMs + delayMs, timerCount++, task));
+            timers.add(new Timer(nowMs + delayMs, nextSequenceNumber++, task));
         }
     }
 
@@ -105,17 +105,17 @@
     @Override
     public PendingConnection connect(
             InetSocketAddress to, Consumer<StreamConnection> onEstablished, Consumer<IOException> onFailed) {
-        PendingConnect pending = new PendingConnect(onEstablished);
+        InMemoryPendingConnection pending = new InMemoryPendingConnection(onEstablished);
         execute(pending);
         return pending;
     }
 
-    /** A connection to the endpoint that is established in the next iteration of the loop. */
-    private final class PendingConnect implements PendingConnection, Runnable {
+    /** A connection to the endpoint that is established by a queued task of the loop. */
+    private final class InMemoryPendingConnection implements PendingConnection, Runnable {
         private final Consumer<StreamConnection> onEstablished;
         private boolean isAbandoned;
 
-        PendingConnect(Consumer<StreamConnection> onEstablished) {
+        InMemoryPendingConnection(Consumer<StreamConnection> onEstablished) {
             this.onEstablished = onEstablished;
         }
 
--- a/node/src/main/java/tulipshed/warmup/ScriptedClient.java
+++ b/node/src/main/java/tulipshed/warmup/ScriptedClient.java
@@ -15,7 +15,7 @@
 
     private boolean isAnswered;
 
-    /** Returns whether the node has answered the open command, by accepting or by rejecting it. */
+    /** Returns whether the node has answered the open command, with {@code UP} or with a final response. */
     boolean isAnswered() {
         return isAnswered;
     }
--- a/node/src/main/java/tulipshed/warmup/ScriptedEndpoint.java
+++ b/node/src/main/java/tulipshed/warmup/ScriptedEndpoint.java
@@ -5,7 +5,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The remote end of all endpoints: answers each open command as its key specifies and echoes message lines. */
+/**
+ * The remote end of all upstream connections: answers each open command as its key specifies, answers each message with
+ * a load report and an echo, and forbids health checks.
+ */
 final class ScriptedEndpoint implements RemoteEnd {
     private static final byte[] ESTABLISHED = encode("UP 5be2a07c\r\n");
     private static final byte[] REJECTED = encode("BUSY\r\n");
--- a/node/src/main/java/tulipshed/warmup/Warmup.java
+++ b/node/src/main/java/tulipshed/warmup/Warmup.java
@@ -9,14 +9,14 @@
 import tulipshed.time.Clock;
 
 /**
- * Runs bursts of exchanges until several consecutive ones complete in time or a timeout expires. A process is thus ready
- * only when its code is compiled and it gets the CPU time that a burst of clients needs. Confined to the thread that runs
- * it; shares no state with the node.
+ * Runs bursts of exchanges until several consecutive ones complete in time or a timeout expires. When a process becomes
+ * ready, the request path is thus normally linked and compiled and the process gets the CPU time that a burst of clients
+ * needs; the timeout bounds the wait. Confined to the thread that runs it; shares no state with the node.
  */
 public final class Warmup {
     private final WarmupLimits limits;
     private final Clock clock;
-    private final DoubleConsumer pauseMs;
+    private final DoubleConsumer pause;
     private final Runnable burst;
 
     /**
@@ -28,11 +28,11 @@
         this(limits.warmup(), clock, Warmup::park, burstOf(new Exchanges(config, limits), limits.warmup()));
     }
 
-    /** Creates a warm-up that runs this burst repeatedly and calls {@code pauseMs} to wait after a burst in time. */
-    Warmup(WarmupLimits limits, Clock clock, DoubleConsumer pauseMs, Runnable burst) {
+    /** Creates a warm-up that runs this burst repeatedly and calls {@code pause} to wait after a burst in time. */
+    Warmup(WarmupLimits limits, Clock clock, DoubleConsumer pause, Runnable burst) {
         this.limits = limits;
         this.clock = clock;
-        this.pauseMs = pauseMs;
+        this.pause = pause;
         this.burst = burst;
     }
 
@@ -44,23 +44,26 @@
         LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(Clock.toMicros(ms)));
     }
 
-    /** Runs the warm-up; returns whether enough consecutive bursts completed in time before the timeout. */
+    /**
+     * Runs the warm-up; returns whether enough consecutive bursts were in time. The timeout is only checked before each
+     * burst.
+     */
     public boolean run() {
         double deadlineMs = clock.nowMs() + limits.timeoutMs();
-        int burstsInTime = 0;
-        while (burstsInTime < limits.burstsInTime() && clock.nowMs() < deadlineMs) {
-            if (runBurstMs() <= limits.targetMs()) {
-                burstsInTime++;
-                pauseMs.accept(limits.pauseMs());
+        int consecutiveInTime = 0;
+        while (consecutiveInTime < limits.burstsInTime() && clock.nowMs() < deadlineMs) {
+            if (measureBurstMs() <= limits.targetMs()) {
+                consecutiveInTime++;
+                pause.accept(limits.pauseMs());
             } else {
-                burstsInTime = 0;
+                consecutiveInTime = 0;
             }
         }
-        return burstsInTime >= limits.burstsInTime();
+        return consecutiveInTime >= limits.burstsInTime();
     }
 
     /** Runs one burst; returns its duration in milliseconds. */
-    private double runBurstMs() {
+    private double measureBurstMs() {
         double startMs = clock.nowMs();
         burst.run();
         return clock.nowMs() - startMs;
--- a/node/src/test/java/tulipshed/PackagesTest.java
+++ b/node/src/test/java/tulipshed/PackagesTest.java
@@ -41,9 +41,12 @@
                 .check(classes);
     }
 
-    /** Rules treat addresses as bytes; they resolve no names and open no files or sockets. */
+    /**
+     * Rules treat addresses as bytes. They use nothing of XNIO, {@code java.io} and {@code java.nio}, and do not depend on
+     * the proxy core, the operators' files or the configuration.
+     */
     @Test
-    void rulesDoNoInputOrOutput() {
+    void rulesDoNotDependOnInputOutputOrTheNode() {
         noClasses()
                 .that()
                 .resideInAnyPackage("tulipshed.routing..", "tulipshed.expression..")
--- a/node/src/test/java/tulipshed/testing/DelegatingBalancer.java
+++ b/node/src/test/java/tulipshed/testing/DelegatingBalancer.java
@@ -11,11 +11,11 @@
 import tulipshed.decision.api.NewRequest;
 import tulipshed.decision.api.Outcome;
 
-/** A balancer that delegates every event to another one; tests override the events that they observe. */
+/** A balancer that delegates every call to another one; tests override the methods that they observe. */
 public class DelegatingBalancer implements BalancerApi {
     private final BalancerApi delegate;
 
-    /** Creates a balancer that delegates its events to {@code delegate}. */
+    /** Creates a balancer that delegates every call to {@code delegate}. */
     public DelegatingBalancer(BalancerApi delegate) {
         this.delegate = delegate;
     }
--- a/node/src/test/java/tulipshed/testing/ListenerBacklog.java
+++ b/node/src/test/java/tulipshed/testing/ListenerBacklog.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The kernel's queue of connections to a listener that accepts none. */
+/** Fills the kernel queue of connections that a listener has not accepted. */
 public final class ListenerBacklog {
     private static final int CONNECT_TIMEOUT_MS = 300;
 
--- a/node/src/test/java/tulipshed/testing/LoopbackSockets.java
+++ b/node/src/test/java/tulipshed/testing/LoopbackSockets.java
@@ -67,7 +67,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Sends one GET request to a port and returns the response, status line, headers and body. */
+    /** Sends one GET request to a port and returns the response with status line and headers, read to its end. */
     public static String httpGet(int port, String path) throws IOException {
         try (Socket client = connect(port)) {
             send(client, "GET " + path + " HTTP/1.1\r\nHost: n0\r\n\r\n");
--- a/node/src/test/java/tulipshed/testing/NodeConfigFile.java
+++ b/node/src/test/java/tulipshed/testing/NodeConfigFile.java
@@ -49,7 +49,7 @@
         return this;
     }
 
-    /** Replaces every match of a regular expression. */
+    /** Replaces every match of a regular expression; the file may contain none. */
     public NodeConfigFile replaceAll(String regex, String replacement) {
         json = json.replaceAll(regex, replacement);
         return this;
--- a/node/src/test/java/tulipshed/testing/NodeProcess.java
+++ b/node/src/test/java/tulipshed/testing/NodeProcess.java
@@ -99,12 +99,12 @@
         }
     }
 
-    /** Returns the log lines that were read so far. */
+    /** Returns the log lines read so far, with the text "null" for a timeout and a NUL character for the end of the log. */
     public List<String> readLines() {
         return readLines;
     }
 
-    /** Sends a signal, named without its prefix: {@code HUP}, {@code TERM}, {@code KILL}. */
+    /** Sends a signal, named without the prefix {@code SIG}: {@code HUP}, {@code TERM}, {@code KILL}. */
     public void sendSignal(String name) throws IOException, InterruptedException {
         Process kill = new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start();
         assertEquals(0, kill.waitFor());
--- a/node/src/test/java/tulipshed/warmup/WarmupTest.java
+++ b/node/src/test/java/tulipshed/warmup/WarmupTest.java
@@ -16,16 +16,16 @@
 
     private final List<Double> pauses = new ArrayList<>();
     private double nowMs;
-    private int bursts;
+    private int burstCount;
 
     /** Runs a warm-up whose bursts take these durations in milliseconds; the last one repeats. */
-    private boolean runWithBursts(double... burstsMs) {
-        Iterator<Double> durations = Arrays.stream(burstsMs).iterator();
-        double[] burstMs = {0};
+    private boolean runWithBursts(double... durationsMs) {
+        Iterator<Double> durations = Arrays.stream(durationsMs).iterator();
+        double[] lastDurationMs = {0};
         Runnable burst = () -> {
-            burstMs[0] = durations.hasNext() ? durations.next() : burstMs[0];
-            nowMs += burstMs[0];
-            bursts++;
+            lastDurationMs[0] = durations.hasNext() ? durations.next() : lastDurationMs[0];
+            nowMs += lastDurationMs[0];
+            burstCount++;
         };
         return new Warmup(LIMITS, () -> nowMs, this::pause, burst).run();
     }
@@ -38,20 +38,20 @@
     @Test
     void endsAfterEnoughBurstsInTime() {
         assertTrue(runWithBursts(30, 20));
-        assertEquals(4, bursts);
+        assertEquals(4, burstCount);
         assertEquals(List.of(5.0, 5.0, 5.0), pauses);
     }
 
     @Test
     void countsOnlyConsecutiveBurstsInTime() {
         assertTrue(runWithBursts(10, 10, 21, 10));
-        assertEquals(6, bursts);
+        assertEquals(6, burstCount);
     }
 
     @Test
     void endsAtTheTimeoutWhenNoBurstIsInTime() {
         assertFalse(runWithBursts(30));
-        assertEquals(7, bursts);
+        assertEquals(7, burstCount);
         assertEquals(210, nowMs);
     }
 }
