--- a/node/src/main/java/tulipshed/operators/AttributeDeclarationReader.java
+++ b/node/src/main/java/tulipshed/operators/AttributeDeclarationReader.java
@@ -41,11 +41,11 @@
     /** Returns the declared attributes and lengths; {@link AttributeDeclarations#NONE} if the file declares none. */
     static AttributeDeclarations read(Sections sections, Diagnostics diagnostics) {
         AttributeDeclarationReader reader = new AttributeDeclarationReader(diagnostics);
-        if (sections.has(SectionNames.ATTRIBUTES)) {
-            reader.readAttributes(sections.get(SectionNames.ATTRIBUTES));
+        if (sections.hasSingle(SectionNames.ATTRIBUTES)) {
+            reader.readAttributes(sections.getSingle(SectionNames.ATTRIBUTES));
         }
-        if (sections.has(SectionNames.LONGEST)) {
-            return reader.readLengths(sections.get(SectionNames.LONGEST));
+        if (sections.hasSingle(SectionNames.LONGEST)) {
+            return reader.readLengths(sections.getSingle(SectionNames.LONGEST));
         }
         return reader.declared.isEmpty()
                 ? AttributeDeclarations.NONE
--- a/node/src/main/java/tulipshed/operators/CaseEvaluator.java
+++ b/node/src/main/java/tulipshed/operators/CaseEvaluator.java
@@ -19,19 +19,22 @@
 final class CaseEvaluator {
     private static final String DEFAULT_SOURCE_ADDRESS = "127.0.0.1";
     private static final String DEFAULT_FRONTEND = "line";
-    private static final double DEFAULT_TIMEOUT_MS = 1000;
+    private static final double DEFAULT_DEADLINE_MS = 1000;
 
     private final Router router;
     private final NameIndex names;
 
-    /** Creates an evaluator; {@code router} is null if the operators' file has no rules. */
+    /**
+     * Creates an evaluator; {@code router} is null only if the file declares no attributes, maximum lengths,
+     * classification rules, pools or routes.
+     */
     CaseEvaluator(Router router, NameIndex names) {
         this.router = router;
         this.names = names;
     }
 
-    /** Returns a description of the first invalid attribute of the request, or null if all are valid. */
-    String checkGiven(TestCase testCase) {
+    /** Describes an unknown class, tenant or attribute name of the request, or returns null; other values are not checked. */
+    String checkRequest(TestCase testCase) {
         String requestClass = testCase.text(FieldNames.CLASS);
         String tenant = testCase.text(FieldNames.TENANT);
         if (!names.classNames().contains(String.valueOf(requestClass))) {
@@ -78,7 +81,7 @@
                 testCase.text(FieldNames.TENANT),
                 testCase.text(FieldNames.KEY, ""),
                 testCase.text(FieldNames.GROUP),
-                testCase.number(FieldNames.DEADLINE_MS, DEFAULT_TIMEOUT_MS),
+                testCase.number(FieldNames.DEADLINE_MS, DEFAULT_DEADLINE_MS),
                 testCase.number(FieldNames.HINT, 0),
                 testCase.isTrue(FieldNames.RETRY),
                 testCase.isTrue(FieldNames.AGAIN),
--- a/node/src/main/java/tulipshed/operators/CaseTable.java
+++ b/node/src/main/java/tulipshed/operators/CaseTable.java
@@ -17,7 +17,7 @@
  * {@code (members ("ID" (zone "Z") (kind "K") (cell 1) (weight 1.0)) ...)} and
  * {@code (case "NAME" (given (class "C") (key "K") ...) (expect (class "C") (group "G") (rule R) (route R) (pool P)))}.
  * Only the results named in {@code expect} are compared; {@code none} expects the absence of a result. All endpoints
- * count as ready.
+ * are treated as serving.
  */
 public final class CaseTable {
     private static final String NONE = "none";
@@ -63,11 +63,14 @@
         return failed;
     }
 
-    /** Applies the rules to all cases; returns one line for each result that differs from the expected one. */
+    /**
+     * Applies the rules to all cases; returns one line for each result that differs from the expected one, and one for
+     * each case whose request is invalid.
+     */
     public List<String> run(OperatorsFile rules, NameIndex names) {
         Router router = rules.router();
         if (router != null) {
-            updateRouter(router);
+            applyEndpoints(router);
         }
         CaseEvaluator evaluator = new CaseEvaluator(router, names);
         List<String> lines = new ArrayList<>();
@@ -81,14 +84,14 @@
         return lines;
     }
 
-    private void updateRouter(Router router) {
+    private void applyEndpoints(Router router) {
         router.updatePools(endpoints, 0);
         Map<String, Set<String>> pools = router.endpointIdsByPool();
         router.reevaluateSpillover(pool -> pools.get(pool).size());
     }
 
     private static List<String> run(TestCase testCase, CaseEvaluator evaluator) {
-        String invalid = evaluator.checkGiven(testCase);
+        String invalid = evaluator.checkRequest(testCase);
         if (invalid != null) {
             return List.of(invalid);
         }
--- a/node/src/main/java/tulipshed/operators/ConnectionIdSectionReader.java
+++ b/node/src/main/java/tulipshed/operators/ConnectionIdSectionReader.java
@@ -23,7 +23,7 @@
     private static final int MAX_SERVER_ID_BYTES = 15;
     private static final int MIN_NONCE_BYTES = 4;
     private static final int MAX_NONCE_BYTES = 18;
-    private static final int MAX_ID_BYTES = 19; // server ID and nonce together
+    private static final int MAX_SERVER_ID_AND_NONCE_BYTES = 19;
 
     private static final int MIN_CONNECTION_BYTES = 2;
 
@@ -36,11 +36,11 @@
         int serverIdBytes = (int) fields.integer(FieldNames.SERVER_ID_BYTES, 1, MAX_SERVER_ID_BYTES, 1);
         int nonceBytes =
                 (int) fields.integer(FieldNames.NONCE_BYTES, MIN_NONCE_BYTES, MAX_NONCE_BYTES, MIN_NONCE_BYTES);
-        if (serverIdBytes + nonceBytes > MAX_ID_BYTES) {
+        if (serverIdBytes + nonceBytes > MAX_SERVER_ID_AND_NONCE_BYTES) {
             diagnostics.add(
                     fields.place(FieldNames.NONCE_BYTES),
-                    "expected server-id-bytes and nonce-bytes of at most " + MAX_ID_BYTES + " in total, found "
-                            + (serverIdBytes + nonceBytes));
+                    "expected server-id-bytes and nonce-bytes of at most " + MAX_SERVER_ID_AND_NONCE_BYTES
+                            + " in total, found " + (serverIdBytes + nonceBytes));
         }
         int connectionBytes = readConnectionBytes(fields, nonceBytes, diagnostics);
         byte[] key = null;
--- a/node/src/main/java/tulipshed/operators/CostCheck.java
+++ b/node/src/main/java/tulipshed/operators/CostCheck.java
@@ -5,13 +5,13 @@
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.SourcePosition;
 
-/** Reports expressions whose cost may exceed the limit of the file. */
+/** Computes cost bounds; reports expressions and sections whose cost may exceed the limit of the file. */
 final class CostCheck {
     private final long maxCost;
     private final Diagnostics diagnostics;
     private final CostModel costModel = new CostModel();
     private long highestBound;
-    private String mostExpensiveName = "";
+    private String mostExpensiveRule = "";
 
     CostCheck(long maxCost, Diagnostics diagnostics) {
         this.maxCost = maxCost;
@@ -27,7 +27,7 @@
         long bound = costModel.bound(expression);
         if (bound > highestBound) {
             highestBound = bound;
-            mostExpensiveName = name;
+            mostExpensiveRule = name;
         }
         if (bound > maxCost) {
             Expression mostExpensive = CostModel.mostExpensivePart(expression);
@@ -45,7 +45,7 @@
             diagnostics.add(
                     place,
                     section + " may cost " + bound + " a request, over the max-cost of " + maxCost
-                            + "; the most expensive is " + mostExpensiveName + " with " + highestBound);
+                            + "; the most expensive is " + mostExpensiveRule + " with " + highestBound);
         }
     }
 }
--- a/node/src/main/java/tulipshed/operators/Definitions.java
+++ b/node/src/main/java/tulipshed/operators/Definitions.java
@@ -31,7 +31,7 @@
         return checker;
     }
 
-    /** Checks all definitions, used or not; each must be valid over requests or over endpoints. */
+    /** Checks all definitions, used or not; each must be valid for the request schema or for the endpoint schema. */
     void check(Schema requestSchema, Schema endpointSchema) {
         if (forms.isEmpty()) {
             return;
--- a/node/src/main/java/tulipshed/operators/FieldNames.java
+++ b/node/src/main/java/tulipshed/operators/FieldNames.java
@@ -1,6 +1,6 @@
 package tulipshed.operators;
 
-/** The names of the fields of all sections; they belong to the file format and must not change. */
+/** The field names of all sections and of test cases; they are part of the file format and must not change. */
 final class FieldNames {
     // Requests, in rules and in cases.
     static final String CLASS = "class";
--- a/node/src/main/java/tulipshed/operators/InvalidOperatorsFileException.java
+++ b/node/src/main/java/tulipshed/operators/InvalidOperatorsFileException.java
@@ -9,7 +9,7 @@
     private final transient Diagnostics diagnostics;
 
     InvalidOperatorsFileException(Diagnostics diagnostics) {
-        // The message appears in the output of a failed start, which is a single line.
+        // A failed start prints the message on a single line, so the errors are joined by "; ".
         super(diagnostics.toString().replace("\n", "; "));
         this.diagnostics = diagnostics;
     }
--- a/node/src/main/java/tulipshed/operators/OperatorsFile.java
+++ b/node/src/main/java/tulipshed/operators/OperatorsFile.java
@@ -16,7 +16,8 @@
  * The operators' file, compiled: classification rules, pools and routes, and the QUIC frontend. An empty file has
  * no effect.
  *
- * @param router the router; null if the file has no rules
+ * @param router the router; null only if the file declares no attributes, maximum lengths, classification rules,
+ *     pools or routes
  * @param quic the QUIC frontend's section; null if there is none
  * @param explanation the description of the content for operators
  */
--- a/node/src/main/java/tulipshed/operators/OperatorsFileReader.java
+++ b/node/src/main/java/tulipshed/operators/OperatorsFileReader.java
@@ -45,19 +45,19 @@
     }
 
     private static long readMaxCost(Sections sections, Diagnostics diagnostics) {
-        if (!sections.has(SectionNames.MAX_COST)) {
+        if (!sections.hasSingle(SectionNames.MAX_COST)) {
             return DEFAULT_MAX_COST;
         }
         // The section (max-cost N) is written like a field and is read as one.
-        Form.Sequence field = sections.get(SectionNames.MAX_COST);
+        Form.Sequence field = sections.getSingle(SectionNames.MAX_COST);
         Form.Sequence parent = new Form.Sequence(List.of(field), false, field.place());
         return new SectionFields(parent, 0, Set.of(SectionNames.MAX_COST), diagnostics)
                 .integer(SectionNames.MAX_COST, 1, MAX_MAX_COST, DEFAULT_MAX_COST);
     }
 
     private OperatorsFile read() {
-        QuicSection quic = sections.has(SectionNames.QUIC)
-                ? QuicSectionReader.read(sections.get(SectionNames.QUIC), context.names(), diagnostics)
+        QuicSection quic = sections.hasSingle(SectionNames.QUIC)
+                ? QuicSectionReader.read(sections.getSingle(SectionNames.QUIC), context.names(), diagnostics)
                 : null;
         RequestSchema requestSchema = new RequestSchema(
                 maxLength(context.names().classNames()),
@@ -72,13 +72,16 @@
         return new OperatorsFile(router, quic, context.explanation());
     }
 
-    /** Returns the router, or null if the file has no rules. */
+    /**
+     * Returns the router; null only if the file declares no attributes, maximum lengths, classification
+     * rules, pools or routes.
+     */
     private Router readRouter(RequestSchema requestSchema) {
         ClassificationRules classification = null;
-        if (sections.has(SectionNames.CLASSIFY)) {
+        if (sections.hasSingle(SectionNames.CLASSIFY)) {
             classification = new ClassificationReader(
                             requestSchema, definitions.newChecker(requestSchema.schema()), context)
-                    .read(sections.get(SectionNames.CLASSIFY));
+                    .read(sections.getSingle(SectionNames.CLASSIFY));
         }
         PoolMembership pools = null;
         Routes routes = null;
--- a/node/src/main/java/tulipshed/operators/ParsedRoute.java
+++ b/node/src/main/java/tulipshed/operators/ParsedRoute.java
@@ -8,27 +8,28 @@
 /**
  * A route before its expressions are compiled.
  *
- * @param splitPoint the expression that selects a branch of a split; null for a single branch
+ * @param splitBucket the expression whose integer value, from 0 to the total weight - 1, selects a branch; null for a
+ *     route without a split
  * @param weights the weight of each branch
  * @param branches the pools of each branch, in order of preference
  */
 record ParsedRoute(
         String name,
         Expression condition,
-        Expression splitPoint,
+        Expression splitBucket,
         List<Integer> weights,
         List<List<PoolTarget>> branches) {
 
     /** Returns a description of the route for operators, with the cost bound of its condition. */
     String describe(long conditionBound) {
         return "route " + name + ": when " + condition + " (boolean, cost at most " + conditionBound + ")"
-                + (splitPoint == null ? ", to " : ", split by " + splitPoint + ": ") + describeBranches();
+                + (splitBucket == null ? ", to " : ", split by " + splitBucket + ": ") + describeBranches();
     }
 
     private String describeBranches() {
         StringJoiner description = new StringJoiner("; ");
         for (int i = 0; i < branches.size(); i++) {
-            String weight = splitPoint == null ? "" : weights.get(i) + " ";
+            String weight = splitBucket == null ? "" : weights.get(i) + " ";
             description.add(weight + describeTargets(branches.get(i)));
         }
         return description.toString();
--- a/node/src/main/java/tulipshed/operators/QuicSectionReader.java
+++ b/node/src/main/java/tulipshed/operators/QuicSectionReader.java
@@ -9,9 +9,9 @@
 import tulipshed.sexpr.Diagnostics;
 import tulipshed.sexpr.Form;
 
-/** Reads {@code (quic ...)}. */
+/** Reads the QUIC frontend's section, {@code (quic ...)}. */
 final class QuicSectionReader {
-    /** The length of an AES-128 key, in bytes. */
+    /** The length of an AES-128 key, and the minimum length of the reset key, in bytes. */
     static final int KEY_BYTES = 16;
 
     private static final Set<String> FIELDS = SectionNames.ordered(
--- a/node/src/main/java/tulipshed/operators/ReaderContext.java
+++ b/node/src/main/java/tulipshed/operators/ReaderContext.java
@@ -7,7 +7,8 @@
  * The context shared by the readers of the sections of one file.
  *
  * @param names the classes and tenants of the settings
- * @param maxCost the maximum cost of an expression or of a section per request, in units of {@link tulipshed.expression.CostModel}
+ * @param maxCost the maximum cost of one expression, and of all expressions of a section per request, in units of
+ *     {@link tulipshed.expression.CostModel}
  * @param diagnostics the errors of the file
  * @param explanation the description of the content for operators
  */
--- a/node/src/main/java/tulipshed/operators/RouteReader.java
+++ b/node/src/main/java/tulipshed/operators/RouteReader.java
@@ -20,7 +20,7 @@
 
 /**
  * Reads {@code (route NAME (when EXPR) (to TARGET ...))} and
- * {@code (route NAME (when EXPR) (split EXPR (WEIGHT TARGET ...) ...))}.
+ * {@code (route NAME (when EXPR) (split EXPR (WEIGHT TARGET ...) ...))}; {@code when} is optional and defaults to true.
  */
 final class RouteReader {
     private static final Set<String> FIELDS = SectionNames.ordered(FieldNames.WHEN, FieldNames.TO, FieldNames.SPLIT);
@@ -59,8 +59,8 @@
                 builder.table(parsed.stream().map(ParsedRoute::condition).toList(), checker.interner());
         List<RouteDefinition> definitions = new ArrayList<>();
         for (ParsedRoute route : parsed) {
-            CompiledExpression splitPoint = route.splitPoint() == null ? null : builder.value(route.splitPoint());
-            definitions.add(new RouteDefinition(route.name(), splitPoint, route.weights(), route.branches()));
+            CompiledExpression splitBucket = route.splitBucket() == null ? null : builder.value(route.splitBucket());
+            definitions.add(new RouteDefinition(route.name(), splitBucket, route.weights(), route.branches()));
         }
         Program program = builder.build();
         explain(sections.get(0).place(), parsed, table);
@@ -87,18 +87,18 @@
         }
         List<Integer> weights = new ArrayList<>();
         List<List<PoolTarget>> branches = new ArrayList<>();
-        Expression splitPoint = null;
+        Expression splitBucket = null;
         if (fields.has(FieldNames.TO)) {
             weights.add(1);
             branches.add(targetReader.read(fields.values(FieldNames.TO), fields.place(FieldNames.TO)));
         } else {
-            splitPoint = parseSplit(fields.get(FieldNames.SPLIT), weights, branches);
+            splitBucket = parseSplit(fields.get(FieldNames.SPLIT), weights, branches);
         }
         boolean valid = condition != null
                 && !branches.isEmpty()
                 && branches.stream().noneMatch(List::isEmpty)
-                && (fields.has(FieldNames.TO) || splitPoint != null);
-        return valid ? new ParsedRoute(name, condition, splitPoint, weights, branches) : null;
+                && (fields.has(FieldNames.TO) || splitBucket != null);
+        return valid ? new ParsedRoute(name, condition, splitBucket, weights, branches) : null;
     }
 
     private Expression parseCondition(Form.Sequence section, SectionFields fields) {
@@ -156,7 +156,7 @@
         long highestSplitBound = 0;
         for (ParsedRoute route : routes) {
             long bound = costs.check(route.name(), route.condition());
-            long splitBound = route.splitPoint() == null ? 0 : costs.check(route.name(), route.splitPoint());
+            long splitBound = route.splitBucket() == null ? 0 : costs.check(route.name(), route.splitBucket());
             highestSplitBound = Math.max(highestSplitBound, splitBound);
             lines.add(route.describe(bound));
         }
--- a/node/src/main/java/tulipshed/operators/Sections.java
+++ b/node/src/main/java/tulipshed/operators/Sections.java
@@ -8,7 +8,7 @@
 import tulipshed.sexpr.Form;
 import tulipshed.sexpr.NameSuggestions;
 
-/** The sections of an operators' file by name. */
+/** The sections of an operators' file, grouped by kind; definitions, pools and routes may occur more than once. */
 final class Sections {
     private final Diagnostics diagnostics;
     private final List<Form.Sequence> definitions = new ArrayList<>();
@@ -34,12 +34,12 @@
         return routes;
     }
 
-    boolean has(String name) {
+    boolean hasSingle(String name) {
         return single.containsKey(name);
     }
 
     /** Returns a section that may occur only once, or null if it is missing. */
-    Form.Sequence get(String name) {
+    Form.Sequence getSingle(String name) {
         return single.get(name);
     }
 
--- a/node/src/main/java/tulipshed/operators/package-info.java
+++ b/node/src/main/java/tulipshed/operators/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the operators' file and tables of test cases for it; errors are reported together, each with its position. */
+/** Readers of the operators' file and of its tables of test cases; errors are reported together, each with its position. */
 package tulipshed.operators;
--- a/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
+++ b/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void exampleIsReadAndThePlatformsFileChangesNothing() {
+    void exampleFileIsReadAndDeployedFileHasNoEffect() {
         OperatorsFile example = OperatorsFile.load(EXAMPLE, names);
         assertEquals(4433, example.quic().listen().getPort());
         assertEquals("s-2", example.quic().ids().get(0).servers().get("000002"));
@@ -143,7 +143,7 @@
 
     /** Searching for similar names is too slow to do it for errors beyond the number that is reported. */
     @Test
-    void megabyteOfErrorsIsReportedInBoundedTime() {
+    void largeNumberOfErrorsIsTruncated() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 20_000; i++) {
             text.append("(define name-" + i + " (= nothing-" + i + " \"" + i + "\"))\n");
@@ -162,9 +162,9 @@
         }
     }
 
-    /** Classification by 10,000 rules over one attribute costs as much per request as by one rule. */
+    /** 10,000 rules that test one attribute for equality share one lookup, so a request costs as much as with one rule. */
     @Test
-    void manyRulesAreOneLookupAndTheirTotalIsLimitedByMaxCost() {
+    void equalityRulesShareOneLookupAndTotalCostIsLimited() {
         StringBuilder rules = new StringBuilder("(max-cost 100) (classify\n");
         StringBuilder scans = new StringBuilder("(max-cost 100) (classify\n");
         for (int i = 0; i < 10_000; i++) {
