--- a/node/src/main/java/tulipshed/decision/EndpointPools.java
+++ b/node/src/main/java/tulipshed/decision/EndpointPools.java
@@ -5,38 +5,42 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The pool of all endpoints and the named pools, with their endpoints. Confined to the event-loop thread. */
+/** The pool of all endpoints and the named pools. Confined to the event-loop thread. */
 final class EndpointPools {
     private static final int FIRST_NAMED_ID = 2;
 
     final EndpointPool allEndpoints;
     private final EndpointPool emptyPool;
     private final Map<String, EndpointPool> namedPools = new LinkedHashMap<>();
-    private final double groupMemoryUs;
+    private final double arrivalsTimeConstantUs;
 
-    /** Creates the pool of all endpoints; {@code groupMemoryUs} is the time constant of the counts of group arrivals. */
-    EndpointPools(double groupMemoryUs) {
-        this.groupMemoryUs = groupMemoryUs;
-        allEndpoints = new EndpointPool(0, groupMemoryUs);
-        emptyPool = new EndpointPool(1, groupMemoryUs);
+    /**
+     * Creates the pool of all endpoints.
+     *
+     * @param arrivalsTimeConstantUs time constant of the group arrival counts, in microseconds
+     */
+    EndpointPools(double arrivalsTimeConstantUs) {
+        this.arrivalsTimeConstantUs = arrivalsTimeConstantUs;
+        allEndpoints = new EndpointPool(0, arrivalsTimeConstantUs);
+        emptyPool = new EndpointPool(1, arrivalsTimeConstantUs);
     }
 
-    /** The pool of this name, an empty one if it does not exist, and that of all endpoints for null. */
+    /** The pool of this name, or an empty pool if it does not exist; for null, the pool of all endpoints. */
     EndpointPool get(String name) {
         return name == null ? allEndpoints : namedPools.getOrDefault(name, emptyPool);
     }
 
-    /** Replaces the named pools; {@code endpoints} are assigned to the pools that name them. */
+    /** Replaces the named pools and assigns {@code endpoints} to the pools that list them. */
     void replacePools(Map<String, Set<String>> endpointIdsByPool, Collection<EndpointState> endpoints) {
         namedPools.forEach((name, pool) -> pool.endpointIds = endpointIdsByPool.getOrDefault(name, Set.of()));
         endpointIdsByPool.forEach((name, endpointIds) ->
-                namedPools.computeIfAbsent(name, n -> new EndpointPool(lowestUnusedId(), groupMemoryUs)).endpointIds =
-                        endpointIds);
+                namedPools.computeIfAbsent(name, n -> new EndpointPool(lowestUnusedId(), arrivalsTimeConstantUs))
+                        .endpointIds = endpointIds);
         endpoints.forEach(this::assign);
         namedPools.keySet().retainAll(endpointIdsByPool.keySet());
     }
 
-    /** Adds an endpoint to the named pools that name it, and removes it from the others. */
+    /** Adds an endpoint to the named pools that list it, and removes it from the other named pools. */
     void assign(EndpointState endpoint) {
         for (EndpointPool pool : namedPools.values()) {
             boolean belongs = pool.endpointIds.contains(endpoint.name);
@@ -60,7 +64,7 @@
         return namedPools.values().stream().anyMatch(pool -> pool.id == id);
     }
 
-    /** Describes the sums of all pools that differ from a recount; empty if none does. For tests. */
+    /** Describes the maintained sums of all pools that differ from a recount; empty if none does. For tests. */
     String inconsistencies(Collection<EndpointState> endpoints) {
         StringBuilder found = new StringBuilder(allEndpoints.inconsistencies(endpoints));
         namedPools.values().forEach(pool -> found.append(pool.inconsistencies(endpoints)));
--- a/node/src/main/java/tulipshed/decision/PendingLimit.java
+++ b/node/src/main/java/tulipshed/decision/PendingLimit.java
@@ -2,21 +2,21 @@
 
 import tulipshed.decision.api.Outcome;
 
-/** How many attempts may be pending at an endpoint: additive increase, multiplicative decrease (AIMD). */
+/** Adapts the pending limit of an endpoint by additive increase, multiplicative decrease (AIMD). */
 final class PendingLimit {
-    /** Limit of an endpoint without observations. */
+    /** Initial limit of an endpoint, without observations. */
     static final int INITIAL = 4;
 
-    private static final int MAX_PENDING = 64; // more acceptances in a row add no information
+    private static final int MAX_LIMIT = 64; // further acceptances are no evidence for a higher limit
 
     private PendingLimit() {}
 
     /** Raises the limit by one, as the endpoint accepted an attempt. */
     static void increase(EndpointState endpoint) {
-        endpoint.setPendingLimit(Math.min(MAX_PENDING, endpoint.pendingLimit + 1));
+        endpoint.setPendingLimit(Math.min(MAX_LIMIT, endpoint.pendingLimit + 1));
     }
 
-    /** Takes the outcome of an attempt and whether it was established before. */
+    /** Updates the limit by the outcome of an attempt; {@code established} is whether it was established before. */
     static void recordOutcome(EndpointState endpoint, Outcome outcome, boolean established) {
         boolean failed = outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET;
         if (outcome == Outcome.OK && !established) {
--- a/node/src/main/java/tulipshed/decision/api/WeightSemantics.java
+++ b/node/src/main/java/tulipshed/decision/api/WeightSemantics.java
@@ -2,9 +2,9 @@
 
 /** Meaning of the weights in the endpoint list. */
 public enum WeightSemantics {
-    /** None. */
+    /** Not specified; the weights are used as the size. */
     NONE,
-    /** Capacity, which is constant. */
+    /** Total capacity, which is constant. */
     SIZE,
     /** Free capacity, which falls with the load. */
     LIVE
--- a/node/src/main/java/tulipshed/lineprotocol/RedialBackoff.java
+++ b/node/src/main/java/tulipshed/lineprotocol/RedialBackoff.java
@@ -4,29 +4,30 @@
 import tulipshed.limits.LineProtocolLimits;
 
 /**
- * The delays after which the connection of one attempt is dialed again, where this machine itself could not begin to
- * connect: at once first, then after pauses that double, and only so often. Does no I/O; confined to the event-loop thread.
+ * The backoff between dials of one attempt after local connect failures, where this machine itself could not begin to
+ * connect: the first redial is immediate, the delays of the following ones double, and their number is bounded. Does no I/O;
+ * confined to the event-loop thread.
  */
 final class RedialBackoff {
     private final int maxRedials;
-    private final double firstPauseMs;
+    private final double minNonzeroDelayMs;
     private int redialCount;
     private double nextDelayMs;
 
-    /** The delays of one attempt, none used yet. */
+    /** Creates the backoff of one attempt. */
     RedialBackoff(LineProtocolLimits limits) {
         maxRedials = limits.maxRedials();
-        firstPauseMs = limits.firstRedialPauseMs();
+        minNonzeroDelayMs = limits.firstRedialPauseMs();
     }
 
-    /** The delay before the next dial; empty if there are to be no more, or if the attempt has no time for it. */
-    OptionalDouble nextDelayMs(double remainingWaitMs) {
+    /** Counts one redial and returns the delay before it; empty if none is left or the attempt has too little time left. */
+    OptionalDouble takeNextDelayMs(double remainingWaitMs) {
         if (redialCount == maxRedials || nextDelayMs >= remainingWaitMs) {
             return OptionalDouble.empty();
         }
         redialCount++;
         double delayMs = nextDelayMs;
-        nextDelayMs = Math.max(firstPauseMs, 2 * nextDelayMs);
+        nextDelayMs = Math.max(minNonzeroDelayMs, 2 * nextDelayMs);
         return OptionalDouble.of(delayMs);
     }
 }
--- a/node/src/main/java/tulipshed/operators/CaseEvaluator.java
+++ b/node/src/main/java/tulipshed/operators/CaseEvaluator.java
@@ -15,23 +15,26 @@
 import tulipshed.routing.Router;
 import tulipshed.sexpr.NameSuggestions;
 
-/** Applies the rules of an operators' file to the requests of cases. */
+/** Applies the rules of an operators' file to the requests of test cases. */
 final class CaseEvaluator {
     private static final String DEFAULT_SOURCE_ADDRESS = "127.0.0.1";
     private static final String DEFAULT_FRONTEND = "line";
-    private static final double DEFAULT_TIMEOUT_MS = 1000;
+    private static final double DEFAULT_DEADLINE_MS = 1000;
 
     private final Router router;
     private final NameIndex names;
 
-    /** A router of null has no rules. */
+    /**
+     * Creates an evaluator; {@code router} is null only if the file declares no attributes, maximum lengths,
+     * classification rules, pools or routes.
+     */
     CaseEvaluator(Router router, NameIndex names) {
         this.router = router;
         this.names = names;
     }
 
-    /** Returns what is wrong with the given attributes, or null. */
-    String checkGiven(TestCase testCase) {
+    /** Describes an unknown class, tenant or attribute name of the request, or returns null; other values are not checked. */
+    String checkRequest(TestCase testCase) {
         String requestClass = testCase.text(FieldNames.CLASS);
         String tenant = testCase.text(FieldNames.TENANT);
         if (!names.classNames().contains(String.valueOf(requestClass))) {
@@ -53,7 +56,7 @@
         return null;
     }
 
-    /** Returns what the rules give, by the words of expectations; null for what they do not assign. */
+    /** Returns the results of the rules by the names used in {@code (expect ...)}; null for a result that is not assigned. */
     Map<String, String> evaluate(TestCase testCase) {
         RequestAttributes request = request(testCase);
         RequestClassification classification = router == null
@@ -78,7 +81,7 @@
                 testCase.text(FieldNames.TENANT),
                 testCase.text(FieldNames.KEY, ""),
                 testCase.text(FieldNames.GROUP),
-                testCase.number(FieldNames.DEADLINE_MS, DEFAULT_TIMEOUT_MS),
+                testCase.number(FieldNames.DEADLINE_MS, DEFAULT_DEADLINE_MS),
                 testCase.number(FieldNames.HINT, 0),
                 testCase.isTrue(FieldNames.RETRY),
                 testCase.isTrue(FieldNames.AGAIN),
--- a/node/src/main/java/tulipshed/operators/ConnectionIdSectionReader.java
+++ b/node/src/main/java/tulipshed/operators/ConnectionIdSectionReader.java
@@ -23,24 +23,24 @@
     private static final int MAX_SERVER_ID_BYTES = 15;
     private static final int MIN_NONCE_BYTES = 4;
     private static final int MAX_NONCE_BYTES = 18;
-    private static final int MAX_ID_BYTES = 19; // server ID and nonce together
+    private static final int MAX_SERVER_ID_AND_NONCE_BYTES = 19;
 
     private static final int MIN_CONNECTION_BYTES = 2;
 
     private ConnectionIdSectionReader() {}
 
-    /** Returns the configuration; where errors were reported it is not meant to be used. */
+    /** Returns the configuration; the caller must not use it if errors were reported. */
     static ConnectionIdSection read(Form.Sequence section, Diagnostics diagnostics) {
         SectionFields fields = new SectionFields(section, 1, FIELDS, diagnostics);
         int configuration = (int) fields.integer(FieldNames.CONFIGURATION, 0, MAX_CONFIGURATION, 0);
         int serverIdBytes = (int) fields.integer(FieldNames.SERVER_ID_BYTES, 1, MAX_SERVER_ID_BYTES, 1);
         int nonceBytes =
                 (int) fields.integer(FieldNames.NONCE_BYTES, MIN_NONCE_BYTES, MAX_NONCE_BYTES, MIN_NONCE_BYTES);
-        if (serverIdBytes + nonceBytes > MAX_ID_BYTES) {
+        if (serverIdBytes + nonceBytes > MAX_SERVER_ID_AND_NONCE_BYTES) {
             diagnostics.add(
                     fields.place(FieldNames.NONCE_BYTES),
-                    "expected server-id-bytes and nonce-bytes of " + MAX_ID_BYTES + " together at most, found "
-                            + (serverIdBytes + nonceBytes));
+                    "expected server-id-bytes and nonce-bytes of at most " + MAX_SERVER_ID_AND_NONCE_BYTES
+                            + " in total, found " + (serverIdBytes + nonceBytes));
         }
         int connectionBytes = readConnectionBytes(fields, nonceBytes, diagnostics);
         byte[] key = null;
@@ -62,7 +62,7 @@
             diagnostics.add(
                     fields.place(FieldNames.CONNECTION_BYTES),
                     "expected fewer connection-bytes than nonce-bytes, and a key: "
-                            + "in the clear observers could follow a client from network to network");
+                            + "an unencrypted connection number lets observers track a client across networks");
         }
         return connectionBytes;
     }
--- a/node/src/main/java/tulipshed/operators/OperatorsFileReader.java
+++ b/node/src/main/java/tulipshed/operators/OperatorsFileReader.java
@@ -15,7 +15,7 @@
 
 /** Reads the sections of an operators' file and assembles the router and the QUIC frontend's section. */
 final class OperatorsFileReader {
-    /** Used where the file gives no limit; in units of {@link tulipshed.expression.CostModel}. */
+    /** The cost limit of a file that sets none, in units of {@link tulipshed.expression.CostModel}. */
     private static final long DEFAULT_MAX_COST = 10_000;
 
     private static final long MAX_MAX_COST = 1_000_000;
@@ -35,7 +35,7 @@
         definitions = new Definitions(sections.definitions(), diagnostics);
     }
 
-    /** Reads the forms of a file. The result counts only if no error was reported. */
+    /** Reads the forms of a file; the caller must not use the result if errors were reported. */
     static OperatorsFile read(List<Form> forms, NameIndex names, Diagnostics diagnostics) {
         Sections sections = new Sections(forms, diagnostics);
         AttributeDeclarations declarations = AttributeDeclarationReader.read(sections, diagnostics);
@@ -45,19 +45,19 @@
     }
 
     private static long readMaxCost(Sections sections, Diagnostics diagnostics) {
-        if (!sections.has(SectionNames.MAX_COST)) {
+        if (!sections.hasSingle(SectionNames.MAX_COST)) {
             return DEFAULT_MAX_COST;
         }
-        // The section has the shape of a field: (max-cost N).
-        Form.Sequence field = sections.get(SectionNames.MAX_COST);
+        // The section (max-cost N) is written like a field and is read as one.
+        Form.Sequence field = sections.getSingle(SectionNames.MAX_COST);
         Form.Sequence parent = new Form.Sequence(List.of(field), false, field.place());
         return new SectionFields(parent, 0, Set.of(SectionNames.MAX_COST), diagnostics)
                 .integer(SectionNames.MAX_COST, 1, MAX_MAX_COST, DEFAULT_MAX_COST);
     }
 
     private OperatorsFile read() {
-        QuicSection quic = sections.has(SectionNames.QUIC)
-                ? QuicSectionReader.read(sections.get(SectionNames.QUIC), context.names(), diagnostics)
+        QuicSection quic = sections.hasSingle(SectionNames.QUIC)
+                ? QuicSectionReader.read(sections.getSingle(SectionNames.QUIC), context.names(), diagnostics)
                 : null;
         RequestSchema requestSchema = new RequestSchema(
                 maxLength(context.names().classNames()),
@@ -72,13 +72,16 @@
         return new OperatorsFile(router, quic, context.explanation());
     }
 
-    /** Returns null where the file has no rules. */
+    /**
+     * Returns the router; null only if the file declares no attributes, maximum lengths, classification
+     * rules, pools or routes.
+     */
     private Router readRouter(RequestSchema requestSchema) {
         ClassificationRules classification = null;
-        if (sections.has(SectionNames.CLASSIFY)) {
+        if (sections.hasSingle(SectionNames.CLASSIFY)) {
             classification = new ClassificationReader(
                             requestSchema, definitions.newChecker(requestSchema.schema()), context)
-                    .read(sections.get(SectionNames.CLASSIFY));
+                    .read(sections.getSingle(SectionNames.CLASSIFY));
         }
         PoolMembership pools = null;
         Routes routes = null;
@@ -98,8 +101,9 @@
     }
 
     private static String describe(QuicSection quic) {
-        String retry =
-                quic.retry() == null ? "no retry" : "retry from " + quic.retry().on() + " connections without proof on";
+        String retry = quic.retry() == null
+                ? "no retry"
+                : "retry from " + quic.retry().on() + " connections with unvalidated addresses on";
         return "quic: listens on " + quic.listen() + " for class " + quic.requestClass() + ", "
                 + quic.ids().size() + " configurations of ids, " + retry;
     }
--- a/node/src/main/java/tulipshed/operators/RouteReader.java
+++ b/node/src/main/java/tulipshed/operators/RouteReader.java
@@ -20,11 +20,11 @@
 
 /**
  * Reads {@code (route NAME (when EXPR) (to TARGET ...))} and
- * {@code (route NAME (when EXPR) (split EXPR (WEIGHT TARGET ...) ...))}.
+ * {@code (route NAME (when EXPR) (split EXPR (WEIGHT TARGET ...) ...))}; {@code when} is optional and defaults to true.
  */
 final class RouteReader {
     private static final Set<String> FIELDS = SectionNames.ordered(FieldNames.WHEN, FieldNames.TO, FieldNames.SPLIT);
-    private static final int MAX_WEIGHT = 1_000_000; // of one branch, and of all together
+    private static final int MAX_WEIGHT = 1_000_000; // of one branch, and of all branches of a split in total
 
     private final RequestSchema schema;
     private final TypeChecker checker;
@@ -40,7 +40,7 @@
         targetReader = new RouteTargetReader(poolNames, diagnostics);
     }
 
-    /** Returns the routes; null, with errors reported, where one is wrong. */
+    /** Returns the routes; null if one of them has errors, which are reported. */
     Routes read(List<Form.Sequence> sections) {
         int errorsBefore = diagnostics.count();
         List<ParsedRoute> parsed = new ArrayList<>();
@@ -59,8 +59,8 @@
                 builder.table(parsed.stream().map(ParsedRoute::condition).toList(), checker.interner());
         List<RouteDefinition> definitions = new ArrayList<>();
         for (ParsedRoute route : parsed) {
-            CompiledExpression splitPoint = route.splitPoint() == null ? null : builder.value(route.splitPoint());
-            definitions.add(new RouteDefinition(route.name(), splitPoint, route.weights(), route.branches()));
+            CompiledExpression splitBucket = route.splitBucket() == null ? null : builder.value(route.splitBucket());
+            definitions.add(new RouteDefinition(route.name(), splitBucket, route.weights(), route.branches()));
         }
         Program program = builder.build();
         explain(sections.get(0).place(), parsed, table);
@@ -87,18 +87,18 @@
         }
         List<Integer> weights = new ArrayList<>();
         List<List<PoolTarget>> branches = new ArrayList<>();
-        Expression splitPoint = null;
+        Expression splitBucket = null;
         if (fields.has(FieldNames.TO)) {
             weights.add(1);
             branches.add(targetReader.read(fields.values(FieldNames.TO), fields.place(FieldNames.TO)));
         } else {
-            splitPoint = parseSplit(fields.get(FieldNames.SPLIT), weights, branches);
+            splitBucket = parseSplit(fields.get(FieldNames.SPLIT), weights, branches);
         }
         boolean valid = condition != null
                 && !branches.isEmpty()
                 && branches.stream().noneMatch(List::isEmpty)
-                && (fields.has(FieldNames.TO) || splitPoint != null);
-        return valid ? new ParsedRoute(name, condition, splitPoint, weights, branches) : null;
+                && (fields.has(FieldNames.TO) || splitBucket != null);
+        return valid ? new ParsedRoute(name, condition, splitBucket, weights, branches) : null;
     }
 
     private Expression parseCondition(Form.Sequence section, SectionFields fields) {
@@ -107,7 +107,7 @@
         return when == null ? null : checker.check(when, Type.BOOLEAN);
     }
 
-    /** Adds the branches of a split and returns the expression that selects one of them; null if it has errors. */
+    /** Adds the branches of a split; returns the expression that selects a branch, or null if it has errors. */
     private Expression parseSplit(Form.Sequence split, List<Integer> weights, List<List<PoolTarget>> branches) {
         List<Form> items = split.items();
         if (items.size() < 3) {
@@ -141,7 +141,7 @@
         return checker.check(bucketCall(items.get(1), totalWeight), Type.INTEGER);
     }
 
-    /** Returns {@code (bucket STRING TOTAL_WEIGHT)}, whose value lies in the range of one branch. */
+    /** Returns {@code (bucket STRING TOTAL_WEIGHT)}, whose value falls into the weight range of exactly one branch. */
     private static Form bucketCall(Form string, long totalWeight) {
         SourcePosition place = string.place();
         List<Form> items =
@@ -149,14 +149,14 @@
         return new Form.Sequence(items, false, place);
     }
 
-    /** Explains the routes, and reports those whose cost exceeds the limit. */
+    /** Adds the routes to the explanation and reports those whose cost may exceed the limit. */
     private void explain(SourcePosition place, List<ParsedRoute> routes, RuleTable table) {
         CostCheck costs = context.newCostCheck();
         List<String> lines = new ArrayList<>();
         long highestSplitBound = 0;
         for (ParsedRoute route : routes) {
             long bound = costs.check(route.name(), route.condition());
-            long splitBound = route.splitPoint() == null ? 0 : costs.check(route.name(), route.splitPoint());
+            long splitBound = route.splitBucket() == null ? 0 : costs.check(route.name(), route.splitBucket());
             highestSplitBound = Math.max(highestSplitBound, splitBound);
             lines.add(route.describe(bound));
         }
--- a/node/src/main/java/tulipshed/operators/Sections.java
+++ b/node/src/main/java/tulipshed/operators/Sections.java
@@ -8,7 +8,7 @@
 import tulipshed.sexpr.Form;
 import tulipshed.sexpr.NameSuggestions;
 
-/** The sections of an operators' file by name. */
+/** The sections of an operators' file, grouped by kind; definitions, pools and routes may occur more than once. */
 final class Sections {
     private final Diagnostics diagnostics;
     private final List<Form.Sequence> definitions = new ArrayList<>();
@@ -16,7 +16,7 @@
     private final List<Form.Sequence> routes = new ArrayList<>();
     private final Map<String, Form.Sequence> single = new HashMap<>();
 
-    /** Groups the forms of a file; what is no section, and a second one where one is allowed, is reported. */
+    /** Groups the forms of a file; a form that is not a section, and a repeated single section, are reported. */
     Sections(List<Form> forms, Diagnostics diagnostics) {
         this.diagnostics = diagnostics;
         forms.forEach(this::add);
@@ -34,12 +34,12 @@
         return routes;
     }
 
-    boolean has(String name) {
+    boolean hasSingle(String name) {
         return single.containsKey(name);
     }
 
-    /** Returns a section of which there is one at most, or null. */
-    Form.Sequence get(String name) {
+    /** Returns a section that may occur only once, or null if it is missing. */
+    Form.Sequence getSingle(String name) {
         return single.get(name);
     }
 
--- a/node/src/main/java/tulipshed/warmup/Warmup.java
+++ b/node/src/main/java/tulipshed/warmup/Warmup.java
@@ -9,18 +9,18 @@
 import tulipshed.time.Clock;
 
 /**
- * Plays bursts of exchanges until some in a row are answered in time, or until the time for it is over. So a process is ready
- * once its code is compiled and it gets the processor that a burst of clients needs. Confined to the thread that runs it, and
- * shares no state with the node.
+ * Runs bursts of exchanges until several consecutive ones complete in time or a timeout expires. When a process becomes
+ * ready, the request path is thus normally linked and compiled and the process gets the CPU time that a burst of clients
+ * needs; the timeout bounds the wait. Confined to the thread that runs it; shares no state with the node.
  */
 public final class Warmup {
     private final WarmupLimits limits;
     private final Clock clock;
-    private final DoubleConsumer pauseMs;
+    private final DoubleConsumer pause;
     private final Runnable burst;
 
     /**
-     * A warm-up of a node with this configuration.
+     * Creates a warm-up of a node with this configuration.
      *
      * @param clock measures how long the bursts take
      */
@@ -28,39 +28,42 @@
         this(limits.warmup(), clock, Warmup::park, burstOf(new Exchanges(config, limits), limits.warmup()));
     }
 
-    /** A warm-up that plays this burst, and waits between two bursts with {@code pauseMs}. */
-    Warmup(WarmupLimits limits, Clock clock, DoubleConsumer pauseMs, Runnable burst) {
+    /** Creates a warm-up that runs this burst repeatedly and calls {@code pause} to wait after a burst in time. */
+    Warmup(WarmupLimits limits, Clock clock, DoubleConsumer pause, Runnable burst) {
         this.limits = limits;
         this.clock = clock;
-        this.pauseMs = pauseMs;
+        this.pause = pause;
         this.burst = burst;
     }
 
     private static Runnable burstOf(Exchanges exchanges, WarmupLimits limits) {
-        return () -> exchanges.play(limits.burstExchanges());
+        return () -> exchanges.runExchanges(limits.burstExchanges());
     }
 
     private static void park(double ms) {
         LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(Clock.toMicros(ms)));
     }
 
-    /** Runs the warm-up; returns whether its bursts were answered in time in the end. */
+    /**
+     * Runs the warm-up; returns whether enough consecutive bursts were in time. The timeout is only checked before each
+     * burst.
+     */
     public boolean run() {
         double deadlineMs = clock.nowMs() + limits.timeoutMs();
-        int burstsInTime = 0;
-        while (burstsInTime < limits.burstsInTime() && clock.nowMs() < deadlineMs) {
-            if (playBurstMs() <= limits.targetMs()) {
-                burstsInTime++;
-                pauseMs.accept(limits.pauseMs());
+        int consecutiveInTime = 0;
+        while (consecutiveInTime < limits.burstsInTime() && clock.nowMs() < deadlineMs) {
+            if (measureBurstMs() <= limits.targetMs()) {
+                consecutiveInTime++;
+                pause.accept(limits.pauseMs());
             } else {
-                burstsInTime = 0;
+                consecutiveInTime = 0;
             }
         }
-        return burstsInTime >= limits.burstsInTime();
+        return consecutiveInTime >= limits.burstsInTime();
     }
 
-    /** Plays one burst; returns how long it took. */
-    private double playBurstMs() {
+    /** Runs one burst; returns its duration in milliseconds. */
+    private double measureBurstMs() {
         double startMs = clock.nowMs();
         burst.run();
         return clock.nowMs() - startMs;
--- a/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
+++ b/node/src/test/java/tulipshed/cli/NodeLifecycleTest.java
@@ -38,7 +38,7 @@
 import tulipshed.testing.NodeConfigFile;
 import tulipshed.time.SystemClock;
 
-/** A node in this process: metrics, graceful shutdown, and admission when descriptors run out. */
+/** A node in the test's process: metrics, graceful shutdown, and admission when descriptors run out. */
 @SuppressWarnings("try") // some sockets are only held open, or closed at a point that the test needs
 class NodeLifecycleTest {
     private static final String OPEN = "OPEN ID k c=slot-board,t=melnik-terminal,d=4000\r\n";
@@ -48,7 +48,7 @@
 
     private final List<String> log = new CopyOnWriteArrayList<>();
     private int nextId;
-    private int longestDeadlineS = 4;
+    private int deadlineWholeSeconds = 4;
     private ServerSocket endpoint;
     private Node node;
 
@@ -79,7 +79,7 @@
         Path config = NodeConfigFile.fromTemplate()
                 .listenPort(0)
                 .endpointPort(endpoint.getLocalPort())
-                .replaceAll("(\"HardLimitS\": )[34]", "$1" + longestDeadlineS)
+                .replaceAll("(\"HardLimitS\": )[34]", "$1" + deadlineWholeSeconds)
                 .writeTo(directory);
         return NodeConfig.load(Map.of("PROXY_CONFIG", config.toString(), "PROXY_MANAGEMENT", "127.0.0.1:0"));
     }
@@ -97,7 +97,7 @@
         return server;
     }
 
-    /** Returns the management server's response, head and body. */
+    /** Returns the management server's response with headers and body. */
     private String requestManagement(String request) throws IOException {
         try (Socket client = connect(node.managementAddress().orElseThrow())) {
             client.setSoTimeout(1000);
@@ -140,9 +140,9 @@
     @Test
     void reportsNotReadyAndItsMetricsDuringShutdown() throws Exception {
         startNode(1024);
-        try (Socket one = connectClient(OPEN);
-                Socket first = acceptUpstream()) {
-            assertEquals("UP r", reader(one).readLine());
+        try (Socket client = connectClient(OPEN);
+                Socket upstream = acceptUpstream()) {
+            assertEquals("UP r", reader(client).readLine());
             String metrics = requestManagement("GET /status/metrics");
             assertTrue(metrics.contains("\"slot-board\":{\"success\":1,\"overload\":0,\"error\":0}"), metrics);
             assertTrue(metrics.contains("\"concurrent\":1,\"dispatches\":1,"), metrics);
@@ -153,7 +153,7 @@
             }
             assertTrue(requestManagement("GET /status").startsWith("HTTP/1.1 503 "), "from the signal on");
             assertTrue(requestManagement("GET /status/metrics").contains("\"concurrent\":1,"));
-            assertEquals("MOVE", reader(one).readLine());
+            assertEquals("MOVE", reader(client).readLine());
             shutdown.join(5000);
         }
     }
@@ -191,11 +191,12 @@
                     Socket pending = connectClient(OPEN);
                     Socket unresponsive = endpoint.accept()) {
                 BufferedReader lateIn = reader(late);
-                assertEquals("UP r", lateIn.readLine(), "accepted, and the ping before it not answered");
-                long sinceNs = System.nanoTime();
+                assertEquals("UP r", lateIn.readLine(), "accepted, without a reply to the preceding ping");
+                long startNs = System.nanoTime();
                 assertEquals("MOVE", establishedIn.readLine());
-                // A neighbour that shut down just before is not back yet: a client that reconnects early finds no node.
-                assertTrue(System.nanoTime() - sinceNs > 1_000_000_000L, "served for as long as there is time");
+                // Another node that was restarted just before may not serve yet: a client that reconnects early finds
+                // no node.
+                assertTrue(System.nanoTime() - startNs > 1_000_000_000L, "served until migration has to begin");
                 assertNull(establishedIn.readLine());
                 assertEquals("MOVE", lateIn.readLine());
                 assertTrue(reader(pending).readLine().startsWith("BUSY"), "a response is pending until the end");
@@ -205,17 +206,20 @@
         }
     }
 
-    /** The exit of the process would close idle connections without a response, perhaps with a request under way. */
+    /**
+     * Guards against idle connections that the exit of the process closes without a response, even if a request is in
+     * flight.
+     */
     @Test
     void shutdownRejectsClientsThatHaveNotOpenedARequest() throws IOException {
-        longestDeadlineS = 1;
+        deadlineWholeSeconds = 1;
         Limits defaults = Limits.forDescriptors(1024);
         startNode(
                 defaults.with(new LineProtocolLimits(
-                        defaults.lineProtocol().lineBytes(),
+                        defaults.lineProtocol().maxLineBytes(),
                         60_000,
-                        defaults.lineProtocol().pings(),
-                        defaults.lineProtocol().longestWaitMs(),
+                        defaults.lineProtocol().maxPings(),
+                        defaults.lineProtocol().maxClientTimeoutMs(),
                         defaults.lineProtocol().protocolErrorLogMs(),
                         defaults.lineProtocol().maxRedials(),
                         defaults.lineProtocol().firstRedialPauseMs())),
@@ -232,31 +236,34 @@
         }
     }
 
-    /** SIGKILL comes 0.7 s after the longest deadline, which settings may make shorter than defaults. */
+    /** SIGKILL follows 0.7 s after the longest deadline, which the settings may make shorter than the default. */
     @Test
     void shutdownIsShorterWithShorterDeadlines() throws IOException {
-        longestDeadlineS = 1;
+        deadlineWholeSeconds = 1;
         startNode(1024);
         try (Socket established = connectClient(OPEN);
                 Socket server = acceptUpstream()) {
             assertEquals("UP r", reader(established).readLine());
-            long sinceNs = System.nanoTime();
+            long startNs = System.nanoTime();
             node.shutDown();
             // The deadlines are 1.0 to 1.8 s here.
-            assertTrue(System.nanoTime() - sinceNs < 2_500_000_000L);
+            assertTrue(System.nanoTime() - startNs < 2_500_000_000L);
             assertEquals("MOVE", reader(established).readLine());
         }
     }
 
-    /** Signals that arrive together are handled in any order, and whoever sends SIGKILL may count by either deadline. */
+    /**
+     * Signals that arrive together are handled in any order, so the supervisor may send SIGKILL by the deadlines from
+     * before or after the reload.
+     */
     @Test
     void reloadThatCrossesTheSignalOrFollowsItDoesNotLengthenTheShutdown() throws Exception {
         for (boolean reloadFirst : new boolean[] {true, false}) {
-            longestDeadlineS = 1;
+            deadlineWholeSeconds = 1;
             startNode(1024);
-            longestDeadlineS = 4;
+            deadlineWholeSeconds = 4;
             NodeConfig longer = loadConfig();
-            long sinceNs = System.nanoTime();
+            long startNs = System.nanoTime();
             if (reloadFirst) {
                 node.reload(longer, OperatorsFile.EMPTY);
                 node.shutDown();
@@ -269,8 +276,8 @@
                 node.reload(longer, OperatorsFile.EMPTY);
                 shutdown.join();
             }
-            // The longest deadline was 1.8 s; by the new one it would be 3.2 s at least.
-            assertTrue(System.nanoTime() - sinceNs < 2_500_000_000L, "the reload first: " + reloadFirst);
+            // The longest deadline was 1.8 s; with the new settings the shutdown would take at least 3.2 s.
+            assertTrue(System.nanoTime() - startNs < 2_500_000_000L, "the reload first: " + reloadFirst);
             assertTrue(log.stream().anyMatch(line -> line.startsWith("INFO node: configuration reloaded")));
             log.clear();
         }
@@ -304,7 +311,7 @@
                 .getMessage();
     }
 
-    /** Otherwise staff look for what uses the clients' address. */
+    /** Guards against a message that misleads operators into looking for another user of the client address. */
     @Test
     void addressThatCannotBeBoundIsNamed() throws IOException {
         String taken = ":" + endpoint.getLocalPort();
@@ -322,29 +329,31 @@
         }
     }
 
-    /** Otherwise a node at its limit would accept clients that it cannot connect upstream, or accept none. */
+    /**
+     * Guards against a node at its descriptor limit that accepts clients it cannot connect upstream, or accepts none.
+     */
     @Test
     void rejectsClientsWithoutDescriptorsAndRecovers() throws IOException {
         startNode(64 + 32 + 4);
-        try (Socket one = connectClient(OPEN);
-                Socket first = acceptUpstream()) {
-            assertEquals("UP r", reader(one).readLine());
-            Socket two = connectClient(OPEN);
-            Socket second = acceptUpstream();
-            assertEquals("UP r", reader(two).readLine());
-            try (Socket three = connectClient(OPEN)) {
-                BufferedReader in = reader(three);
-                assertTrue(in.readLine().matches("BUSY [0-9]+"), "with the time to retry after");
+        try (Socket client = connectClient(OPEN);
+                Socket upstream = acceptUpstream()) {
+            assertEquals("UP r", reader(client).readLine());
+            Socket secondClient = connectClient(OPEN);
+            Socket secondUpstream = acceptUpstream();
+            assertEquals("UP r", reader(secondClient).readLine());
+            try (Socket thirdClient = connectClient(OPEN)) {
+                BufferedReader in = reader(thirdClient);
+                assertTrue(in.readLine().matches("BUSY [0-9]+"), "with a Retry-After time");
                 assertNull(in.readLine());
             }
-            second.close();
-            assertNull(reader(two).readLine());
-            two.close();
+            secondUpstream.close();
+            assertNull(reader(secondClient).readLine());
+            secondClient.close();
             assertEquals("UP r", retryUntilServed());
         }
     }
 
-    /** Otherwise hundreds of silent clients take all descriptors, and the node rejects all others. */
+    /** Guards against hundreds of silent clients that take all descriptors, so that the node rejects all others. */
     @Test
     void evictsSilentClientsForOthers() throws IOException {
         startNode(64 + 32 + 16);
--- a/node/src/test/java/tulipshed/cli/ShutdownSequenceTest.java
+++ b/node/src/test/java/tulipshed/cli/ShutdownSequenceTest.java
@@ -17,16 +17,16 @@
 import tulipshed.proxy.EventLoop;
 import tulipshed.time.ManualClock;
 
-/** The phases of a shutdown in virtual time, with clients that arrive, hang and never close. */
+/** The phases of a shutdown in virtual time, with clients that connect during it, hang, or never close. */
 class ShutdownSequenceTest {
-    /** New connections come for that long after SIGTERM. */
+    /** How long new clients connect after SIGTERM. */
     private static final double ARRIVALS_MS = 400;
 
     private static final double KILL_AFTER_DEADLINE_MS = 700;
-    private static final double HOLD_UP_MS = 150;
-    private static final double LONGEST_COUNTED_MS = 3_000;
+    private static final double STALL_MS = 150;
+    private static final double MAX_COUNTED_DEADLINE_MS = 3_000;
 
-    /** What the core leaves to the client's deadline. */
+    /** The time before the client's deadline at which the core sends the final response at the latest. */
     private static final double RESPONSE_MARGIN_MS = 40;
 
     private final ShutdownLimits limits = Limits.forDescriptors(1024).shutdown();
@@ -34,10 +34,10 @@
     private final VirtualLoop loop = new VirtualLoop();
     private final FakeNode node = new FakeNode();
 
-    /** Runs tasks in the order of their times; can be held up once, before the first task at or after a time. */
+    /** Runs tasks in the order of their times; can be paused once, before the first task at or after a given time. */
     private final class VirtualLoop implements EventLoop {
         private final PriorityQueue<Task> tasks = new PriorityQueue<>();
-        private double holdUpAtMs = Double.POSITIVE_INFINITY;
+        private double stallAtMs = Double.POSITIVE_INFINITY;
         private long added;
 
         private record Task(double atMs, long sequence, Runnable action) implements Comparable<Task> {
@@ -62,19 +62,19 @@
             while (!tasks.isEmpty()) {
                 Task task = tasks.poll();
                 clock.advance(task.atMs - clock.nowMs());
-                if (clock.nowMs() >= holdUpAtMs) {
-                    holdUpAtMs = Double.POSITIVE_INFINITY;
-                    clock.advance(HOLD_UP_MS);
+                if (clock.nowMs() >= stallAtMs) {
+                    stallAtMs = Double.POSITIVE_INFINITY;
+                    clock.advance(STALL_MS);
                 }
                 task.action.run();
             }
         }
     }
 
-    /** Clients that never close by themselves, as the worst of them do. */
+    /** A node whose clients never close their connections, which is the worst case. */
     private final class FakeNode implements ShutdownSequence.Actions {
         private final List<Double> pendingSinceMs = new ArrayList<>();
-        /** Connections that the kernel accepts at these times. */
+        /** The times at which the kernel accepts connections. */
         private final ArrayDeque<Double> arrivalsMs = new ArrayDeque<>();
 
         private int established;
@@ -85,11 +85,11 @@
         private double lastWriteMs;
         private double finishedMs = Double.NaN;
         private int finishes;
-        private int largestMigration;
+        private int migratedInStep;
         private RuntimeException defect;
 
-        /** Takes the clients that have come by now; every second one gets an endpoint that hangs. */
-        void takeArrivals() {
+        /** Accepts the clients that have connected by now; the endpoint of every second one hangs. */
+        void acceptArrivals() {
             while (!arrivalsMs.isEmpty() && arrivalsMs.peek() <= clock.nowMs() && Double.isNaN(acceptedUntilMs)) {
                 if (arrivalsMs.poll() % 20 == 0) {
                     established++;
@@ -101,13 +101,13 @@
 
         @Override
         public void stopAccepting() {
-            takeArrivals();
+            acceptArrivals();
             acceptedUntilMs = clock.nowMs();
         }
 
         @Override
         public int establishedCount() {
-            largestMigration = 0;
+            migratedInStep = 0;
             return established;
         }
 
@@ -117,7 +117,7 @@
                 return false;
             }
             established--;
-            largestMigration++;
+            migratedInStep++;
             lastWriteMs = clock.nowMs();
             return true;
         }
@@ -156,11 +156,11 @@
         new ShutdownSequence(schedule, 0, clock, loop, NodeLog.silent().logger("node"), node).run();
     }
 
-    /** Clients all through the time in which the front layer sends any. */
+    /** Schedules clients throughout the time in which the load balancer in front of the node still sends any. */
     private void scheduleArrivals() {
         for (double atMs = 0; atMs <= ARRIVALS_MS; atMs += 10) {
             node.arrivalsMs.add(atMs);
-            loop.schedule(atMs - clock.nowMs(), node::takeArrivals);
+            loop.schedule(atMs - clock.nowMs(), node::acceptArrivals);
         }
         node.established = 200;
         node.waiting = 5;
@@ -168,7 +168,7 @@
     }
 
     private static double killMs(double deadlineMs) {
-        return Math.min(LONGEST_COUNTED_MS, deadlineMs) + KILL_AFTER_DEADLINE_MS;
+        return Math.min(MAX_COUNTED_DEADLINE_MS, deadlineMs) + KILL_AFTER_DEADLINE_MS;
     }
 
     private void assertAllAnswered() {
@@ -186,54 +186,54 @@
         shutDown(ShutdownSchedule.of(limits, deadlineMs));
         loop.run();
         assertAllAnswered();
-        double countedMs = Math.min(LONGEST_COUNTED_MS, deadlineMs);
+        double countedMs = Math.min(MAX_COUNTED_DEADLINE_MS, deadlineMs);
         assertTrue(node.acceptedUntilMs >= Math.min(500, countedMs + 450), "accepted until " + node.acceptedUntilMs);
         assertTrue(node.lastWriteMs + 50 <= node.finishedMs, "the last answer can still be read");
-        assertTrue(node.finishedMs + limits.exitMs() <= killMs(deadlineMs) - HOLD_UP_MS, "ended " + node.finishedMs);
+        assertTrue(node.finishedMs + limits.exitMs() <= killMs(deadlineMs) - STALL_MS, "ended " + node.finishedMs);
         assertTrue(
                 node.firstRejectionMs >= ARRIVALS_MS + countedMs - RESPONSE_MARGIN_MS,
-                "the latest request keeps its full deadline, unless that is longer than counts");
+                "the latest request keeps its deadline, up to the longest one that counts");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {50, 120, 300, 1000, 3000})
-    void oneHoldUpAtAnyMomentLeavesAllAnsweredInTime(int deadlineMs) {
-        for (int holdUpAtMs = 0; holdUpAtMs < killMs(deadlineMs); holdUpAtMs += 7) {
+    void oneStallAtAnyTimeLeavesAllAnsweredInTime(int deadlineMs) {
+        for (int stallAtMs = 0; stallAtMs < killMs(deadlineMs); stallAtMs += 7) {
             ShutdownSequenceTest run = new ShutdownSequenceTest();
-            run.loop.holdUpAtMs = holdUpAtMs;
+            run.loop.stallAtMs = stallAtMs;
             run.scheduleArrivals();
             run.shutDown(ShutdownSchedule.of(limits, deadlineMs));
             run.loop.run();
             run.assertAllAnswered();
             assertTrue(
                     run.node.finishedMs + limits.exitMs() <= killMs(deadlineMs),
-                    "held up at " + holdUpAtMs + ", ended " + run.node.finishedMs);
+                    "stalled at " + stallAtMs + ", ended " + run.node.finishedMs);
         }
     }
 
-    /** The loop may be busy when the signal arrives; what it loses is not added to the time. */
+    /** The event loop may be busy when the signal arrives; that delay must not extend the shutdown. */
     @Test
     void lateBeginDoesNotDelayTheEnd() {
-        clock.advance(HOLD_UP_MS);
+        clock.advance(STALL_MS);
         scheduleArrivals();
         shutDown(ShutdownSchedule.of(limits, 1000));
         loop.run();
-        assertTrue(node.finishedMs + limits.exitMs() <= killMs(1000) - HOLD_UP_MS, "ended " + node.finishedMs);
+        assertTrue(node.finishedMs + limits.exitMs() <= killMs(1000) - STALL_MS, "ended " + node.finishedMs);
     }
 
     @Test
     void migrationIsSpreadOverItsTime() {
         node.established = 1000;
         ShutdownSchedule schedule = ShutdownSchedule.of(limits, 3000);
-        List<Integer> shares = new ArrayList<>();
+        List<Integer> batchSizes = new ArrayList<>();
         shutDown(schedule);
         Random random = new Random(1);
         for (double atMs = 10; atMs < schedule.migrateUntilMs(); atMs += 10 + random.nextInt(10)) {
-            loop.schedule(atMs, () -> shares.add(node.largestMigration));
+            loop.schedule(atMs, () -> batchSizes.add(node.migratedInStep));
         }
         loop.run();
         assertEquals(0, node.established);
-        assertTrue(shares.stream().mapToInt(Integer::intValue).max().orElseThrow() <= 30, shares.toString());
+        assertTrue(batchSizes.stream().mapToInt(Integer::intValue).max().orElseThrow() <= 30, batchSizes.toString());
     }
 
     @Test
@@ -256,10 +256,10 @@
         shutDown(ShutdownSchedule.of(limits, 50).afterHandover());
         loop.run();
         assertAllAnswered();
-        assertTrue(node.finishedMs + limits.exitMs() <= killMs(50) - HOLD_UP_MS);
+        assertTrue(node.finishedMs + limits.exitMs() <= killMs(50) - STALL_MS);
     }
 
-    /** A step that fails at every time must not keep the process until it is killed. */
+    /** A step that always fails must not keep the process running until it is killed. */
     @Test
     void endsInTimeDespiteADefectInAStep() {
         node.defect = new IllegalStateException("defect");
--- a/node/src/test/java/tulipshed/decision/RandomEventSequenceTest.java
+++ b/node/src/test/java/tulipshed/decision/RandomEventSequenceTest.java
@@ -7,8 +7,8 @@
 import static tulipshed.decision.BalancerSetup.SECOND;
 import static tulipshed.decision.BalancerSetup.end;
 import static tulipshed.decision.BalancerSetup.endpointName;
-import static tulipshed.decision.BalancerSetup.playRequest;
 import static tulipshed.decision.BalancerSetup.request;
+import static tulipshed.decision.BalancerSetup.sendRequestWithOutcome;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
 import tulipshed.decision.api.Idempotency;
 import tulipshed.decision.api.Outcome;
 
-/** Long random sequences of legal events; invariants are checked after each action. */
+/** Long random sequences of legal events; the invariants are checked at each action. */
 class RandomEventSequenceTest {
 
     /** Simulates clients, endpoints and timers at random, and checks the invariants of the actions. */
@@ -37,8 +37,8 @@
         final Map<Long, Integer> outstanding = new HashMap<>();
         final Map<Long, Boolean> established = new HashMap<>();
         final Map<Long, Integer> attempts = new HashMap<>();
-        final Map<Long, Boolean> mayHaveRun = new HashMap<>();
-        final Set<Long> open = new HashSet<>();
+        final Map<Long, Boolean> mayHaveExecuted = new HashMap<>();
+        final Set<Long> unanswered = new HashSet<>();
         final Set<String> ready = new HashSet<>();
         final List<long[]> timers = new ArrayList<>();
         long now = 1;
@@ -55,11 +55,11 @@
         @Override
         public void startAttempt(long requestId, String endpointId, long timeoutUs) {
             recorder.startAttempt(requestId, endpointId, timeoutUs);
-            assertTrue(open.contains(requestId), "attempt after the final answer: " + requestId);
+            assertTrue(unanswered.contains(requestId), "attempt after the final response: " + requestId);
             assertTrue(ready.contains(endpointId), "attempt at an endpoint that is not ready: " + endpointId);
-            assertTrue(!outstanding.containsKey(requestId), "two attempts at once: " + requestId);
+            assertTrue(!outstanding.containsKey(requestId), "concurrent attempts: " + requestId);
             if (setup.idempotency == Idempotency.NOT_IDEMPOTENT) {
-                assertTrue(!mayHaveRun.getOrDefault(requestId, false), "effect twice: " + requestId);
+                assertTrue(!mayHaveExecuted.getOrDefault(requestId, false), "executed twice: " + requestId);
             }
             int attempt = attempts.merge(requestId, 1, Integer::sum);
             assertTrue(attempt <= setup.maxAttempts, "too many attempts");
@@ -70,25 +70,25 @@
         @Override
         public void reject(long requestId, long retryAfterUs) {
             recorder.reject(requestId, retryAfterUs);
-            answer(requestId);
+            recordFinalResponse(requestId);
             if (setup.idempotency == Idempotency.NOT_IDEMPOTENT) {
                 assertTrue(
-                        !mayHaveRun.getOrDefault(requestId, false),
-                        "rejected a request that may have run: " + requestId);
+                        !mayHaveExecuted.getOrDefault(requestId, false),
+                        "rejected a request that may have executed: " + requestId);
             }
         }
 
         @Override
         public void fail(long requestId) {
             recorder.fail(requestId);
-            answer(requestId);
+            recordFinalResponse(requestId);
         }
 
         @Override
         public void migrate(long requestId) {
             recorder.migrate(requestId);
             assertTrue(established.getOrDefault(requestId, false), "migrated a connection that is not established");
-            answer(requestId);
+            recordFinalResponse(requestId);
         }
 
         @Override
@@ -97,9 +97,9 @@
             timers.add(new long[] {now + afterUs, token});
         }
 
-        private void answer(long requestId) {
-            if (!open.remove(requestId)) {
-                throw new AssertionError("answered twice: " + requestId);
+        private void recordFinalResponse(long requestId) {
+            if (!unanswered.remove(requestId)) {
+                throw new AssertionError("second final response: " + requestId);
             }
         }
 
@@ -111,7 +111,7 @@
                 case 3 -> changeEndpointList();
                 case 4 -> {
                     Long id = randomRequestWithAttempt();
-                    if (id != null && open.remove(id)) {
+                    if (id != null && unanswered.remove(id)) {
                         balancer.requestCancelled(now, id);
                     }
                 }
@@ -124,9 +124,9 @@
                 }
                 case 6, 7 -> {
                     Long id = randomRequestWithAttempt();
-                    if (id != null && !established.get(id) && open.contains(id)) {
+                    if (id != null && !established.get(id) && unanswered.contains(id)) {
                         established.put(id, true);
-                        mayHaveRun.put(id, true);
+                        mayHaveExecuted.put(id, true);
                         balancer.attemptEstablished(now, id, outstanding.get(id), 1 + random.nextInt(50_000));
                     }
                 }
@@ -149,48 +149,48 @@
 
         private void sendRequest() {
             long id = ++lastId;
-            open.add(id);
-            int requestClass = random.nextInt(2);
+            unanswered.add(id);
+            int tenant = random.nextInt(2);
             String group = setup.groupAffinity ? "g" + random.nextInt(5) : null;
-            balancer.requestArrived(now, request(id, requestClass, group, 2 * SECOND));
+            balancer.requestArrived(now, request(id, tenant, group, 2 * SECOND));
         }
 
         private Long randomRequestWithAttempt() {
-            int n = outstanding.size();
-            return n == 0
+            int requestCount = outstanding.size();
+            return requestCount == 0
                     ? null
                     : outstanding.keySet().stream()
                             .sorted()
-                            .skip(random.nextInt(n))
+                            .skip(random.nextInt(requestCount))
                             .findFirst()
                             .orElseThrow();
         }
 
         void endAttempt(long id) {
-            Outcome[] all = Outcome.values();
-            Outcome outcome = established.get(id) ? Outcome.RESET : all[random.nextInt(all.length)];
+            Outcome[] outcomes = Outcome.values();
+            Outcome outcome = established.get(id) ? Outcome.RESET : outcomes[random.nextInt(outcomes.length)];
             int attempt = outstanding.remove(id);
-            boolean concluded = !open.contains(id) || outcome == Outcome.OK || established.get(id);
-            open.removeAll(concluded ? Set.of(id) : Set.of());
+            boolean concluded = !unanswered.contains(id) || outcome == Outcome.OK || established.get(id);
+            unanswered.removeAll(concluded ? Set.of(id) : Set.of());
             if (!outcome.neverExecuted) {
-                mayHaveRun.put(id, true);
+                mayHaveExecuted.put(id, true);
             }
             end(balancer, now, id, attempt, concluded, outcome);
         }
 
         private void changeEndpointList() {
             int i = random.nextInt(12);
-            EndpointStatus state = EndpointStatus.values()[random.nextInt(5) % 3];
-            if (state == EndpointStatus.SERVING) {
+            EndpointStatus status = EndpointStatus.values()[random.nextInt(5) % 3];
+            if (status == EndpointStatus.SERVING) {
                 ready.add(endpointName(i));
             } else {
                 ready.remove(endpointName(i));
             }
             balancer.endpointsChanged(
-                    now, EndpointListKind.CHANGES, List.of(setup.endpoint(i, state, random.nextBoolean() ? now : 0)));
+                    now, EndpointListKind.CHANGES, List.of(setup.endpoint(i, status, random.nextBoolean() ? now : 0)));
         }
 
-        /** Lets all timers expire and all attempts end, long after the last arrival. */
+        /** Fires all timers and ends all attempts, long after the last arrival. */
         void endAll() {
             now += 10 * SECOND;
             while (!timers.isEmpty()) {
@@ -212,7 +212,7 @@
             }
             simulation.endAll();
             assertTrue(simulation.lastId > 500);
-            assertEquals(Set.of(), simulation.open, "requests never answered, seed " + seed);
+            assertEquals(Set.of(), simulation.unanswered, "requests without a final response, seed " + seed);
             assertEquals(0, simulation.balancer.parts.requests.size(), "requests still tracked, seed " + seed);
         }
     }
@@ -220,7 +220,7 @@
     @Test
     void invariantChecksDetectViolations() {
         Simulation simulation = new Simulation(1, Idempotency.NOT_IDEMPOTENT);
-        simulation.open.add(1L);
+        simulation.unanswered.add(1L);
         simulation.ready.add("s");
         simulation.startAttempt(1, "s", 0);
         for (Runnable violation : List.<Runnable>of(
@@ -239,14 +239,14 @@
 
     @Test
     void sameSeedAndEventsGiveSameActionsWhateverTheNames() {
-        List<String> first = play(3, "");
+        List<String> first = actionsOfRun(3, "");
         assertTrue(first.size() > 300);
-        assertEquals(first, play(3, ""));
-        assertEquals(first, play(3, "renamed-"));
-        assertNotEquals(first, play(4, ""));
+        assertEquals(first, actionsOfRun(3, ""));
+        assertEquals(first, actionsOfRun(3, "renamed-"));
+        assertNotEquals(first, actionsOfRun(4, ""));
     }
 
-    private static List<String> play(long seed, String prefix) {
+    private static List<String> actionsOfRun(long seed, String prefix) {
         BalancerSetup setup = new BalancerSetup();
         setup.namePrefix = prefix;
         setup.groupAffinity = true;
@@ -254,7 +254,7 @@
         setup.listEndpoints(balancer, 0, 15);
         for (long id = 1; id <= 400; id++) {
             long now = id * 5000;
-            playRequest(balancer, now, id);
+            sendRequestWithOutcome(balancer, now, id);
             if (id % 11 == 0) {
                 balancer.latencyReported(now, id - 1, 180);
             }
--- a/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/ClientDisconnectRaceTest.java
@@ -18,24 +18,24 @@
 import tulipshed.limits.Limits;
 import tulipshed.limits.SocketLimits;
 
-/** A client that leaves just as its request is about to be attempted, retried or forwarded. */
+/** A client that disconnects just as its request is about to be attempted, retried or forwarded. */
 class ClientDisconnectRaceTest extends RaceConditionFixture {
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void opensNoConnectionForClientGoneBeforeFirstAttempt(String how) throws Exception {
+    void opensNoConnectionForDisconnectedClientBeforeFirstAttempt(String closeType) throws Exception {
         beforeRequestArrived = this::holdLoop;
         LineSocket client = connectClient();
         client.send(OPEN_COMMAND);
         await(loopHeld);
-        disconnect(client, how);
+        disconnect(client, closeType);
         otherEventHappened.countDown();
         assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
-        assertNextRequestIsAnotherClients();
+        assertNothingForwardedBeforeNextClient();
     }
 
-    /** The end of the stream is unread, behind early data, which a client may send. */
+    /** The end of stream is unread and follows early data, which a client may send. */
     @Test
-    void detectsEndOfStreamBehindEarlyDataBeforeFirstAttempt() throws Exception {
+    void detectsEndOfStreamAfterEarlyDataBeforeFirstAttempt() throws Exception {
         beforeRequestArrived = this::holdLoop;
         LineSocket client = connectClient();
         client.send(OPEN_COMMAND);
@@ -44,12 +44,12 @@
         client.close();
         otherEventHappened.countDown();
         assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
-        assertNextRequestIsAnotherClients();
+        assertNothingForwardedBeforeNextClient();
     }
 
-    /** Each read takes but a piece of the early data, so that the end is many reads away. */
+    /** Each read returns only 16 bytes of the early data, so that many reads precede the end of stream. */
     @Test
-    void detectsEndOfStreamBehindManyReadsBeforeFirstAttempt() throws Exception {
+    void detectsEndOfStreamAfterManyReadsBeforeFirstAttempt() throws Exception {
         stop();
         start(withReadBytes(16));
         beforeRequestArrived = this::holdLoop;
@@ -60,7 +60,7 @@
         client.close();
         otherEventHappened.countDown();
         assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
-        assertNextRequestIsAnotherClients();
+        assertNothingForwardedBeforeNextClient();
     }
 
     private static Limits withReadBytes(int readBytes) {
@@ -82,51 +82,51 @@
                 sockets.acceptRetryDelayMs()));
     }
 
-    /** The decision module is notified of both at once; the attempt that it still decides on must end for it too. */
+    /** Both events reach the decision module in one batch; the attempt that it still starts must be reported as ended. */
     @Test
-    void reportsAttemptAsUnusedWhenClientEndsBehindItsOpenCommand() throws Exception {
+    void reportsAttemptAsUnusedWhenClientClosesAfterItsOpenCommand() throws Exception {
         holdLoopThenRun(() -> {});
         LineSocket client = connectClient();
         client.send(OPEN_COMMAND);
         client.close();
-        releaseLoopAndAwaitDecision();
+        releaseLoopAndAwaitTask();
         assertEquals(Outcome.UNUSED, outcomes.poll(5, TimeUnit.SECONDS));
-        assertNextRequestIsAnotherClients();
+        assertNothingForwardedBeforeNextClient();
     }
 
     @Test
-    void forwardsNoEarlyDataForClientGoneBeforeResponse() throws Exception {
+    void forwardsNoEarlyDataForDisconnectedClientBeforeResponse() throws Exception {
         LineSocket client = connectClient();
         ClientSession session = sessionOf(client);
         client.send(OPEN_COMMAND);
-        try (LineSocket server = acceptUpstream()) {
-            server.readLine();
+        try (LineSocket endpoint = acceptUpstream()) {
+            endpoint.readLine();
             client.send("M 1 early\r\n");
             holdLoopThenRun(() -> session.upstream().onReadable(null));
             client.close();
-            server.send("UP r1\r\n");
-            releaseLoopAndAwaitDecision();
-            assertNull(server.readLine());
+            endpoint.send("UP r1\r\n");
+            releaseLoopAndAwaitTask();
+            assertNull(endpoint.readLine());
             assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
         }
     }
 
-    /** Regression: the line after which the client's connection broke was counted as an unexpected response. */
+    /** Regression: the line during whose relay the client's connection failed was counted as an unexpected response. */
     @Test
-    void countsNoLineAsMalformedWhenClientBreaks() throws Exception {
+    void countsNoLineAsMalformedWhenClientResets() throws Exception {
         LineSocket client = connectClient();
         ClientSession session = sessionOf(client);
         client.send(OPEN_COMMAND);
-        try (LineSocket server = acceptUpstream()) {
-            server.send("UP r1\r\n");
+        try (LineSocket endpoint = acceptUpstream()) {
+            endpoint.send("UP r1\r\n");
             assertEquals("UP r1", client.readLine());
             holdLoopThenRun(() -> {
                 session.upstream().onReadable(null);
                 frontend.context().upstreamErrors().flush(Double.MAX_VALUE);
             });
-            server.send("LOAD 1\r\nLOAD 2\r\n");
+            endpoint.send("LOAD 1\r\nLOAD 2\r\n");
             disconnect(client, "RST");
-            releaseLoopAndAwaitDecision();
+            releaseLoopAndAwaitTask();
             assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
             assertEquals(List.of(), logLines);
         }
@@ -134,34 +134,34 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void doesNotRetryForClientGoneBetweenAttempts(String how) throws Exception {
+    void doesNotRetryForDisconnectedClientBetweenAttempts(String closeType) throws Exception {
         addSecondEndpoint();
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
             secondEndpointListener.setSoTimeout(20);
             endpointListener.setSoTimeout(20);
-            try (LineSocket server = new LineSocket(acceptAtEitherEndpoint())) {
-                server.readLine();
+            try (LineSocket endpoint = new LineSocket(acceptAtEitherEndpoint())) {
+                endpoint.readLine();
                 beforeAttemptEnded = this::holdLoop;
-                server.send("BUSY\r\n");
+                endpoint.send("BUSY\r\n");
                 await(loopHeld);
-                disconnect(client, how);
+                disconnect(client, closeType);
                 otherEventHappened.countDown();
                 assertEquals(Outcome.FULL, outcomes.poll(5, TimeUnit.SECONDS));
                 assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS));
             }
             try (LineSocket other = connectClient()) {
                 other.send(OTHER_OPEN_COMMAND);
-                try (LineSocket server = new LineSocket(acceptAtEitherEndpoint())) {
+                try (LineSocket endpoint = new LineSocket(acceptAtEitherEndpoint())) {
                     assertTrue(
-                            String.valueOf(server.readLine()).startsWith("OPEN 0ther "),
-                            "no attempt for a client that has gone");
+                            String.valueOf(endpoint.readLine()).startsWith("OPEN 0ther "),
+                            "no attempt for a disconnected client");
                 }
             }
         }
     }
 
-    /** Accepts at whichever of the two endpoints is tried first. */
+    /** Accepts a connection at whichever of the two endpoints is tried first. */
     private Socket acceptAtEitherEndpoint() throws IOException {
         for (int i = 0; i < 250; i++) {
             try {
@@ -173,10 +173,10 @@
         throw new IllegalStateException();
     }
 
-    /** The client waits until an endpoint serves, and leaves just as one does. */
+    /** The client waits for an endpoint to start serving, and disconnects just as one does. */
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void doesNotForwardForClientGoneWhileNoEndpointServed(String how) throws Exception {
+    void doesNotForwardForDisconnectedClientWhileNoEndpointServed(String closeType) throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         loop.execute(() -> {
             listFirstEndpoint(EndpointStatus.DRAINING);
@@ -189,29 +189,32 @@
         client.send(OPEN_COMMAND);
         await(arrived);
         holdLoopThenRun(() -> listFirstEndpoint(EndpointStatus.SERVING));
-        disconnect(client, how);
-        releaseLoopAndAwaitDecision();
-        assertNextRequestIsAnotherClients();
+        disconnect(client, closeType);
+        releaseLoopAndAwaitTask();
+        assertNothingForwardedBeforeNextClient();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"FIN", "RST"})
-    void doesNotForwardForClientGoneWhileConnecting(String how) throws Exception {
-        // After the event batch that connects, and before the event loop is notified that the connection is made.
+    void doesNotForwardForDisconnectedClientWhileConnecting(String closeType) throws Exception {
+        // After the event batch that starts connecting, but before the event loop is notified of the connection.
         beforeRequestArrived = () -> loop.execute(this::holdLoop);
         LineSocket client = connectClient();
         client.send(OPEN_COMMAND);
         await(loopHeld);
-        try (LineSocket server = acceptUpstream()) {
-            disconnect(client, how);
+        try (LineSocket endpoint = acceptUpstream()) {
+            disconnect(client, closeType);
             otherEventHappened.countDown();
-            assertNull(server.readLine(), "the endpoint receives nothing");
-            assertEquals(Outcome.CANCELLED, outcomes.poll(5, TimeUnit.SECONDS), "the endpoint is not blamed");
+            assertNull(endpoint.readLine(), "the endpoint receives nothing");
+            assertEquals(
+                    Outcome.CANCELLED,
+                    outcomes.poll(5, TimeUnit.SECONDS),
+                    "the outcome does not count against the endpoint");
         }
     }
 
-    private void disconnect(LineSocket client, String how) throws IOException {
-        if (how.equals("RST")) {
+    private void disconnect(LineSocket client, String closeType) throws IOException {
+        if (closeType.equals("RST")) {
             client.socket.setSoLinger(true, 0);
         }
         client.close();
--- a/node/src/test/java/tulipshed/lineprotocol/EndpointChangeRaceTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/EndpointChangeRaceTest.java
@@ -11,7 +11,7 @@
 import tulipshed.decision.api.EndpointStatus;
 import tulipshed.decision.api.Outcome;
 
-/** An endpoint that changes just as a connection to it is made, used or migrated away from. */
+/** An endpoint that changes state just as a connection to it is made, used or migrated away from. */
 class EndpointChangeRaceTest extends RaceConditionFixture {
     @Test
     void sendsNothingToEndpointThatStartsDrainingWhileConnecting() throws Exception {
@@ -22,24 +22,24 @@
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
             await(loopHeld);
-            try (LineSocket server = acceptUpstream()) {
+            try (LineSocket endpoint = acceptUpstream()) {
                 otherEventHappened.countDown();
-                assertNull(server.readLine(), "the endpoint receives nothing");
+                assertNull(endpoint.readLine(), "the endpoint receives nothing");
             }
             assertEquals(Outcome.CONNECT_FAILED, outcomes.poll(5, TimeUnit.SECONDS));
         }
     }
 
-    /** A truncated line is no response. */
+    /** A truncated line does not count as a response. */
     @ParameterizedTest
     @ValueSource(strings = {"U", "UP", "UP r1", "UP r1\r"})
-    void treatsTruncatedResponseAsReset(String cut) throws Exception {
+    void treatsTruncatedResponseAsReset(String truncated) throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND.replace("d=4000", "d=300"));
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send(cut);
-                server.socket.shutdownOutput();
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send(truncated);
+                endpoint.socket.shutdownOutput();
                 assertEquals(Outcome.RESET, outcomes.poll(5, TimeUnit.SECONDS));
             }
             assertTrue(client.readLine().startsWith("BUSY"), "nothing of the response reaches the client");
@@ -50,9 +50,9 @@
     void ignoresSecondResponseAfterRejection() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND.replace("d=4000", "d=300"));
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send("BUSY\r\nUP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send("BUSY\r\nUP r1\r\n");
                 assertEquals(Outcome.FULL, outcomes.poll(5, TimeUnit.SECONDS));
             }
             assertTrue(client.readLine().matches("BUSY [0-9]+"));
@@ -60,18 +60,18 @@
         }
     }
 
-    /** The decoder holds a part of the endpoint's line as the client migrates: MOVE comes between two lines. */
+    /** The decoder holds a partial line of the endpoint when the client is migrated; MOVE must not follow a partial line. */
     @Test
-    void dropsPartialEndpointLineWhenClientMigrates() throws Exception {
+    void dropsPartialEndpointLineWhenClientIsMigrated() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send("UP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send("UP r1\r\n");
                 assertEquals("UP r1", client.readLine());
                 holdLoopThenRun(() -> core.migrateOldest());
-                server.send("M 1 who");
-                releaseLoopAndAwaitDecision();
+                endpoint.send("M 1 who");
+                releaseLoopAndAwaitTask();
                 assertEquals("MOVE", client.readLine());
                 assertNull(client.readLine());
             }
--- a/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
+++ b/node/src/test/java/tulipshed/lineprotocol/LineProtocolFrontendTest.java
@@ -21,7 +21,7 @@
 import tulipshed.limits.Limits;
 import tulipshed.transport.UdpSocket;
 
-/** The line-protocol frontend as its clients and endpoints see it. */
+/** Tests of the line-protocol frontend through the sockets of its clients and endpoints. */
 class LineProtocolFrontendTest extends LineProtocolFixture {
     @Test
     void relaysBothWaysUntilEndpointEndsConnection() throws IOException {
@@ -30,15 +30,15 @@
             assertEquals("PONG", client.readLine());
             client.send(OPEN_COMMAND.substring(0, 20));
             client.send(OPEN_COMMAND.substring(20));
-            try (LineSocket server = acceptUpstream()) {
-                String line = server.readLine();
+            try (LineSocket endpoint = acceptUpstream()) {
+                String line = endpoint.readLine();
                 assertTrue(line.matches("OPEN 9b1f k c=slot-board,t=melnik-terminal,d=[0-9]+"), line);
-                server.send("UP r1\r\n");
+                endpoint.send("UP r1\r\n");
                 assertEquals("UP r1", client.readLine());
                 client.send("M 1 x\r\n");
-                assertEquals("M 1 x", server.readLine());
-                server.send("M 1 x\r\nBYE\r\n");
-                server.socket.shutdownOutput();
+                assertEquals("M 1 x", endpoint.readLine());
+                endpoint.send("M 1 x\r\nBYE\r\n");
+                endpoint.socket.shutdownOutput();
                 assertEquals("M 1 x", client.readLine());
                 assertEquals("BYE", client.readLine());
                 assertNull(client.readLine());
@@ -46,13 +46,13 @@
         }
     }
 
-    /** Regression: the value of LOAD was taken for a load where endpoints report latency only. */
+    /** Regression: the value of LOAD was read as a load although the endpoints report only latency. */
     @Test
     void readsLoadLineAsLatencyWhenConfigured() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send("UP r1\r\nLOAD 61.5\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send("UP r1\r\nLOAD 61.5\r\n");
                 assertEquals("UP r1", client.readLine());
                 assertEquals("LOAD 61.5", client.readLine());
                 assertEquals(61.5, latencies.poll(5, TimeUnit.SECONDS));
@@ -67,15 +67,15 @@
         restart("\"TellsLoad\": false", "\"TellsLoad\": true");
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send("UP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send("UP r1\r\n");
                 assertEquals("UP r1", client.readLine());
                 for (String malformed : List.of("NaN", "-1", "Infinity", "1e300", "", "x", "1 2", "7".repeat(400))) {
-                    server.send("LOAD " + malformed + "\r\n");
+                    endpoint.send("LOAD " + malformed + "\r\n");
                     assertEquals(
                             ("LOAD " + malformed).strip(), client.readLine().strip());
                 }
-                server.send("LOAD\r\nLOAD 1200.5\r\n");
+                endpoint.send("LOAD\r\nLOAD 1200.5\r\n");
                 assertEquals(1200.5, loads.poll(5, TimeUnit.SECONDS));
                 assertTrue(loads.isEmpty() && latencies.isEmpty());
             }
@@ -102,9 +102,9 @@
         restart("\"How\": \"off\"", "\"How\": \"inline\"");
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send(input.replace("|", "\r\n") + "\r\n");
-                server.socket.shutdownOutput();
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send(input.replace("|", "\r\n") + "\r\n");
+                endpoint.socket.shutdownOutput();
                 assertEquals(outcome, outcomes.poll(5, TimeUnit.SECONDS));
                 LoadReport report = loadReports.poll(5, TimeUnit.SECONDS);
                 assertEquals(queue, report.queue());
@@ -117,8 +117,8 @@
     void ignoresInlineLoadReportWhenNotConfigured() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send("BUSY queue=9\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send("BUSY queue=9\r\n");
                 assertEquals(LoadReport.NONE, loadReports.poll(5, TimeUnit.SECONDS));
             }
         }
@@ -139,11 +139,11 @@
     void propagatesEndpointResetToClient() throws IOException {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            LineSocket server = acceptUpstream();
-            server.send("UP r1\r\n");
+            LineSocket endpoint = acceptUpstream();
+            endpoint.send("UP r1\r\n");
             assertEquals("UP r1", client.readLine());
-            server.socket.setSoLinger(true, 0);
-            server.close();
+            endpoint.socket.setSoLinger(true, 0);
+            endpoint.close();
             assertThrows(IOException.class, client::readLine);
         }
     }
@@ -157,11 +157,11 @@
         }
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send("UP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send("UP r1\r\n");
                 client.readLine();
-                for (LineSocket[] direction : new LineSocket[][] {{client, server}, {server, client}}) {
+                for (LineSocket[] direction : new LineSocket[][] {{client, endpoint}, {endpoint, client}}) {
                     Thread sender = new Thread(() -> {
                         try {
                             direction[0].send(text.toString());
@@ -179,7 +179,7 @@
         }
     }
 
-    /** The endpoint's lines before it closes its connection, and the outcome of the attempt. */
+    /** Parameters: the endpoint's lines before it closes its connection, and the expected outcome of the attempt. */
     @ParameterizedTest
     @CsvSource({
         "'', RESET",
@@ -194,9 +194,9 @@
     void mapsEndpointResponsesToOutcomes(String lines, Outcome outcome) throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send(lines.isEmpty() ? "" : lines.replace(";", "\r\n") + "\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send(lines.isEmpty() ? "" : lines.replace(";", "\r\n") + "\r\n");
             }
             assertEquals(outcome, outcomes.poll(5, TimeUnit.SECONDS));
         }
@@ -211,13 +211,13 @@
         }
     }
 
-    /** A machine that fails resets nothing: only the missing responses show it. */
+    /** A failed machine sends no reset, so that only missing responses reveal the failure. */
     @Test
     void migratesClientOfUnresponsiveEndpoint() throws Exception {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send("UP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send("UP r1\r\n");
                 assertEquals("UP r1", client.readLine());
                 client.send("M 1 x\r\n");
                 assertEquals("MOVE", client.readLine());
@@ -231,9 +231,9 @@
     void sendsRetryDelayToClientRejectedEverywhere() throws IOException {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND.replace("d=4000", "d=300"));
-            try (LineSocket server = acceptUpstream()) {
-                server.readLine();
-                server.send("BUSY\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.readLine();
+                endpoint.send("BUSY\r\n");
                 assertTrue(client.readLine().matches("BUSY [0-9]+"));
             }
         }
@@ -241,42 +241,42 @@
 
     /** Regression: endpoints were sent the same invalid request six times, and answered ERR to each. */
     @Test
-    void rejectsIdOfOpenRequest() throws IOException {
+    void failsDuplicateIdOfOpenRequest() throws IOException {
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                server.send("UP r1\r\n");
+            try (LineSocket endpoint = acceptUpstream()) {
+                endpoint.send("UP r1\r\n");
                 assertEquals("UP r1", client.readLine());
                 try (LineSocket duplicate = connectClient()) {
                     duplicate.send(OPEN_COMMAND.replace(" k ", " other "));
                     assertEquals("ERR", duplicate.readLine());
                 }
                 client.send("M 1 x\r\n");
-                server.readLine();
-                assertEquals("M 1 x", server.readLine(), "the first one stays established");
-                server.send("BYE\r\n");
+                endpoint.readLine();
+                assertEquals("M 1 x", endpoint.readLine(), "the first one stays established");
+                endpoint.send("BYE\r\n");
             }
             assertEquals("BYE", client.readLine());
             assertNull(client.readLine());
         }
         try (LineSocket client = connectClient()) {
             client.send(OPEN_COMMAND);
-            try (LineSocket server = acceptUpstream()) {
-                assertTrue(server.readLine().startsWith("OPEN"), "available again once its request has ended");
+            try (LineSocket endpoint = acceptUpstream()) {
+                assertTrue(endpoint.readLine().startsWith("OPEN"), "available again once its request has ended");
             }
         }
     }
 
-    /** A client that sends nothing, only a part of its command, or only pings must not keep its connection. */
+    /** A client that sends nothing, a partial open command or only pings must not keep its connection. */
     @ParameterizedTest
     @ValueSource(strings = {"", "OPEN 9b", "PING\r\n"})
     void failsClientWithoutOpenCommandWithinThreeSeconds(String input) throws IOException {
-        long sinceNs = System.nanoTime();
+        long startNs = System.nanoTime();
         try (LineSocket client = connectClient()) {
             client.send(input);
             String response = client.readLine();
             assertEquals("ERR", response.equals("PONG") ? client.readLine() : response);
-            assertTrue(System.nanoTime() - sinceNs < 3_000_000_000L);
+            assertTrue(System.nanoTime() - startNs < 3_000_000_000L);
         }
     }
 
@@ -284,7 +284,7 @@
     void answersPingsUpToLimit() throws IOException {
         try (LineSocket client = connectClient()) {
             client.send("PING\r\n".repeat(100_000));
-            for (int i = 0; i < Limits.forDescriptors(1024).lineProtocol().pings(); i++) {
+            for (int i = 0; i < Limits.forDescriptors(1024).lineProtocol().maxPings(); i++) {
                 assertEquals("PONG", client.readLine());
             }
             assertEquals("ERR", client.readLine());
@@ -299,17 +299,17 @@
             assertEquals("ERR", client.readLine());
             assertNull(client.readLine());
         }
-        // An endpoint saw one line of the client's at most, and the one attempt that was decided on has ended.
+        // An endpoint received at most one line of the client, and the one attempt that was started has ended.
         endpointListener.setSoTimeout(300);
-        try (LineSocket server = acceptUpstream()) {
-            String first = server.readLine();
-            assertTrue(first == null || server.readLine() == null);
+        try (LineSocket endpoint = acceptUpstream()) {
+            String first = endpoint.readLine();
+            assertTrue(first == null || endpoint.readLine() == null);
         } catch (java.net.SocketTimeoutException none) {
             assertEquals(List.of(Outcome.UNUSED), List.copyOf(outcomes));
         }
     }
 
-    /** A value of 60 MB: the error comes at once, and the event loop serves others meanwhile. */
+    /** For a value of 60 MB the failure is sent immediately, and the event loop serves other clients meanwhile. */
     @Test
     void failsUnterminatedLineImmediately() throws Exception {
         try (LineSocket client = connectClient();
@@ -318,7 +318,7 @@
                 try {
                     client.send("OPEN 1 k c=" + "x".repeat(60_000_000));
                 } catch (IOException closed) {
-                    // The node need not take all of it.
+                    // The node may close the connection before it has received everything.
                     return;
                 }
             });
@@ -346,19 +346,19 @@
         assertTrue(logLines.stream().noneMatch(l -> l.contains("forged")), logLines.toString());
     }
 
-    /** A shortage of descriptors must not be taken for an unreachable endpoint. */
+    /** A shortage of descriptors must not be reported as an unreachable endpoint. */
     @Test
-    void rejectsWithoutBlamingEndpointWhenDescriptorsRunOut() throws Exception {
+    void rejectsAndReportsAttemptAsUnusedWhenDescriptorsRunOut() throws Exception {
         stop();
         start(Limits.forDescriptors(40));
-        List<UdpSocket> ports = new ArrayList<>();
+        List<UdpSocket> udpSockets = new ArrayList<>();
         try (LineSocket client = connectClient()) {
             client.send("PING\r\n");
             assertEquals("PONG", client.readLine());
             loop.execute(() -> {
                 while (loop.hasCapacityForUpstream()) {
                     try {
-                        ports.add(loop.bindUdp(
+                        udpSockets.add(loop.bindUdp(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                 ByteBuffer.allocate(8),
                                 (from, datagram) -> {}));
@@ -371,6 +371,6 @@
             assertTrue(client.readLine().matches("BUSY [0-9]+"));
             assertEquals(Outcome.UNUSED, outcomes.poll(5, TimeUnit.SECONDS));
         }
-        loop.execute(() -> ports.forEach(UdpSocket::close));
+        loop.execute(() -> udpSockets.forEach(UdpSocket::close));
     }
 }
--- a/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
+++ b/node/src/test/java/tulipshed/operators/OperatorsFileTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void exampleIsReadAndThePlatformsFileChangesNothing() {
+    void exampleFileIsReadAndDeployedFileHasNoEffect() {
         OperatorsFile example = OperatorsFile.load(EXAMPLE, names);
         assertEquals(4433, example.quic().listen().getPort());
         assertEquals("s-2", example.quic().ids().get(0).servers().get("000002"));
@@ -128,9 +128,9 @@
         assertEquals(21, lines.length);
         assertEquals("f:2:20: unknown name clas; did you mean class?", lines[0]);
         assertEquals("f: and 10 more", lines[20]);
-        String start = assertThrows(MalformedInputException.class, () -> read(text.toString()))
+        String message = assertThrows(MalformedInputException.class, () -> read(text.toString()))
                 .getMessage();
-        assertEquals(1, start.lines().count(), "at a start it is one line");
+        assertEquals(1, message.lines().count(), "the message of a failed start is one line");
     }
 
     @Test
@@ -141,9 +141,9 @@
                 errors("(define one (= \"a\" 1)) (define two (= member.zone \"z\")) (define three (= member.zone 2))"));
     }
 
-    /** Suggesting a name for each error, reported or not, is too slow for so many. */
+    /** Searching for similar names is too slow to do it for errors beyond the number that is reported. */
     @Test
-    void megabyteOfErrorsIsReportedInBoundedTime() {
+    void largeNumberOfErrorsIsTruncated() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 20_000; i++) {
             text.append("(define name-" + i + " (= nothing-" + i + " \"" + i + "\"))\n");
@@ -162,9 +162,9 @@
         }
     }
 
-    /** Ten thousand rules over one attribute cost a request what one costs. */
+    /** 10,000 rules that test one attribute for equality share one lookup, so a request costs as much as with one rule. */
     @Test
-    void manyRulesAreOneLookupAndTheirTotalIsLimitedByMaxCost() {
+    void equalityRulesShareOneLookupAndTotalCostIsLimited() {
         StringBuilder rules = new StringBuilder("(max-cost 100) (classify\n");
         StringBuilder scans = new StringBuilder("(max-cost 100) (classify\n");
         for (int i = 0; i < 10_000; i++) {
@@ -179,6 +179,6 @@
         assertTrue(
                 scanErrors.matches(
                         "(?s)(.*\\n)?f:1:16: classify may cost [0-9]+ a request, over the max-cost of 100; .*"),
-                () -> "each alone is cheap: " + scanErrors);
+                () -> "no single rule exceeds max-cost: " + scanErrors);
     }
 }
--- a/node/src/test/java/tulipshed/testing/NodeProcess.java
+++ b/node/src/test/java/tulipshed/testing/NodeProcess.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 
 /**
- * A node that runs in a process of its own, with its log.
+ * A node in a separate process, with its log.
  *
  * <p>The process is started by the constructor and killed by {@link #close}. Its standard output and standard error are
  * read as one log by a daemon thread; all other members are for one test thread.
@@ -99,18 +99,18 @@
         }
     }
 
-    /** Returns the log lines that were read so far. */
+    /** Returns the log lines read so far, with the text "null" for a timeout and a NUL character for the end of the log. */
     public List<String> readLines() {
         return readLines;
     }
 
-    /** Sends a signal, named without its prefix: {@code HUP}, {@code TERM}, {@code KILL}. */
+    /** Sends a signal, named without the prefix {@code SIG}: {@code HUP}, {@code TERM}, {@code KILL}. */
     public void sendSignal(String name) throws IOException, InterruptedException {
         Process kill = new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start();
         assertEquals(0, kill.waitFor());
     }
 
-    /** Waits for the process to exit; returns false when it still runs after so many seconds. */
+    /** Waits for the process to exit; returns false if it still runs after this many seconds. */
     public boolean awaitExit(int seconds) throws InterruptedException {
         return process.waitFor(seconds, TimeUnit.SECONDS);
     }
--- a/node/src/test/java/tulipshed/transport/NoMBeanServerBuilderTest.java
+++ b/node/src/test/java/tulipshed/transport/NoMBeanServerBuilderTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import tulipshed.limits.Limits;
 
-/** Guards against a start that spends its time on the platform's MBean server. */
+/** Guards against startup time spent on the platform's MBean server. */
 class NoMBeanServerBuilderTest {
     private static final int DESCRIPTORS = 256;
 
