--- a/node/src/main/java/tulipshed/decision/Balancer.java
+++ b/node/src/main/java/tulipshed/decision/Balancer.java
@@ -14,9 +14,9 @@
 import tulipshed.decision.api.RequestClass;
 
 /**
- * Dispatches the events of {@link BalancerApi} to the components of one balancer. A new connection is admitted by the
- * token bucket of its tenant and pool, whose refill rate falls with the share of pending attempts, and goes to the less
- * loaded of two random ready endpoints; docs/design.md explains the deviations from that. Confined to the event-loop
+ * Dispatches the events that api/BalancerApi.java declares to the components of one balancer. A new connection is admitted
+ * by the token bucket of its tenant and pool, whose refill rate falls with the share of pending attempts, and goes to the
+ * less loaded of two random ready endpoints; docs/design.md explains the deviations from that. Confined to the event-loop
  * thread.
  */
 public final class Balancer implements BalancerApi {
